--- a/crates/cli/src/measure/fleet.rs
+++ b/crates/cli/src/measure/fleet.rs
@@ -10,7 +10,7 @@
 use wheelmast_core::process::control::state::MemberRecord;
 use wheelmast_core::process::forward::directory::{ServerNotice, ServerStanding};
 use wheelmast_core::process::forward::input::EntryPeer;
-use wheelmast_core::process::forward::place::{PlaceStep, RegionMap};
+use wheelmast_core::process::forward::place::{DomainProximity, RegionMap};
 use wheelmast_core::process::forward::roll::view_of;
 use wheelmast_core::process::forward::source::{choose_lines, LineCandidate};
 use wheelmast_wire::group::GroupMessage;
@@ -87,7 +87,7 @@
         let lines = entries.iter().map(|entry| {
             let candidates = control.iter().map(|(address, domain)| LineCandidate {
                 address: *address,
-                place: Some((*domain, regions.step(&entry.domain, domain))),
+                place: Some((*domain, regions.proximity(&entry.domain, domain))),
                 doubted: None,
             });
             let candidates: Vec<_> = candidates.collect();
@@ -281,7 +281,7 @@
         let count = counts.entry(message.kind()).or_default();
         count.messages += times;
         count.bytes += bytes;
-        if self.regions.step(domain, other) == PlaceStep::Elsewhere {
+        if self.regions.proximity(domain, other) == DomainProximity::Elsewhere {
             count.far_bytes += bytes;
         }
         Ok(())
--- a/crates/core/src/process/forward/admit.rs
+++ b/crates/core/src/process/forward/admit.rs
@@ -16,10 +16,10 @@
 use crate::arena::{ServerKey, SlotKey, UpstreamKey};
 use crate::process::forward::answer::{ForwardAction, ForwardDecision};
 use crate::process::forward::call::{CallState, PartStatus};
-use crate::process::forward::choose::ExpectedTimes;
+use crate::process::forward::choose::SelectionCriteria;
 use crate::process::forward::directory::ServerStanding;
-use crate::process::forward::home::HomeSet;
 use crate::process::forward::machine::ForwardMachine;
+use crate::process::forward::region_set::RegionSet;
 
 /// Fraction of the last requests without room above which a shard is scarce. A
 /// short burst stays below; a shard asked for twice what it can do gets there
@@ -79,7 +79,7 @@
         if !state.gathers || state.relayed {
             return AdmitVerdict::Take(Vec::new());
         }
-        let times = self.first_times(state);
+        let times = self.first_attempt_criteria(state);
         let left = state.plan.aim.saturating_sub(now);
         // A caller that came back is late already; it takes no room from those
         // that are not.
@@ -118,7 +118,7 @@
     fn outlook(
         &self,
         upstream: UpstreamKey,
-        times: ExpectedTimes,
+        times: SelectionCriteria,
         left: Duration,
         now: Duration,
     ) -> PartOutlook {
@@ -145,10 +145,10 @@
     }
 
     /// Tells whether a shard is asked for through another entry.
-    fn is_bundled(&self, upstream: UpstreamKey, homes: HomeSet) -> bool {
+    fn is_bundled(&self, upstream: UpstreamKey, homes: RegionSet) -> bool {
         let own = &self.options.domain;
         let has_peers = self.peer_domains.iter().any(|(name, _)| name != own);
-        has_peers && !self.has_server_in(upstream, own, homes)
+        has_peers && !self.has_usable_server_in(upstream, own, homes)
     }
 
     /// Returns the least time to an answer that load explains, if a server of
@@ -156,7 +156,7 @@
     fn expect_loaded(
         &self,
         upstream: UpstreamKey,
-        times: ExpectedTimes,
+        times: SelectionCriteria,
         now: Duration,
     ) -> Option<Duration> {
         let servers = self.upstreams[upstream].servers.iter();
@@ -165,7 +165,7 @@
             .min()
     }
 
-    fn is_able(&self, server: ServerKey, homes: HomeSet, now: Duration) -> bool {
+    fn is_able(&self, server: ServerKey, homes: RegionSet, now: Duration) -> bool {
         let state = &self.servers[server];
         homes.allows(state)
             && state.standing == ServerStanding::Ready
--- a/crates/core/src/process/forward/answer.rs
+++ b/crates/core/src/process/forward/answer.rs
@@ -6,7 +6,7 @@
 
 use crate::arena::{ServerKey, SlotKey};
 use crate::process::forward::input::{LoadReport, RelayOrder, ServerAnswer};
-use crate::process::forward::place::PlaceStep;
+use crate::process::forward::place::DomainProximity;
 use crate::process::forward::suspect::record::SuspectRecord;
 use crate::process::input::CallTag;
 use crate::request::mark::RequestMark;
@@ -191,7 +191,7 @@
         /// Why.
         cause: AttemptCause,
         /// How far off it is.
-        place: PlaceStep,
+        place: DomainProximity,
         /// Expected time to an answer.
         expected: Duration,
         /// Servers that could have been asked.
--- a/crates/core/src/process/forward/begin.rs
+++ b/crates/core/src/process/forward/begin.rs
@@ -12,7 +12,7 @@
 use crate::process::forward::call::{CallState, PartState};
 use crate::process::forward::input::ForwardCall;
 use crate::process::forward::machine::{ForwardMachine, ForwardTimer};
-use crate::process::forward::split::SplitCounter;
+use crate::process::forward::split::SplitScheduler;
 use crate::version::route_table::{RouteRule, RouteTable, RouteTarget};
 use crate::version::workspace::WorkspaceKey;
 
@@ -95,7 +95,7 @@
         let workspace = workspace.map(|(workspace, book)| book.rule(workspace));
         let mut homes = self.options.regions.homes(&rule.homes);
         if let Some(workspace) = workspace {
-            homes = homes.both(self.options.regions.homes(&workspace.homes));
+            homes = homes.intersection(self.options.regions.homes(&workspace.homes));
         }
         let mut plan = self.timings[timing].plan(rule, call.time_left, call.arrived);
         let upstreams = match &call.relayed {
@@ -160,8 +160,8 @@
             RouteTarget::Service(name) => vec![self.upstream(name)],
             RouteTarget::Split(parts) => {
                 let counter = self.splits.entry(rule.name.as_str().into()).or_default();
-                if !counter.divides_by(parts) {
-                    *counter = SplitCounter::begin(parts, &mut self.rng);
+                if !counter.uses_weights(parts) {
+                    *counter = SplitScheduler::begin(parts, &mut self.rng);
                 }
                 let index = counter.next(parts);
                 vec![self.upstream(&parts[index].service)]
@@ -184,8 +184,8 @@
         if !is_unsent {
             return;
         }
-        if let Err(reason) = self.send(call, part, AttemptCause::First, now, out) {
-            self.wait_or_miss(call, part, reason, out);
+        if let Err(reason) = self.send_part(call, part, AttemptCause::First, now, out) {
+            self.enqueue_or_give_up(call, part, reason, out);
         }
     }
 }
--- a/crates/core/src/process/forward/bundle.rs
+++ b/crates/core/src/process/forward/bundle.rs
@@ -17,23 +17,23 @@
 use crate::process::forward::answer::ForwardAction;
 use crate::process::forward::choose::ServerChoice;
 use crate::process::forward::directory::ServerStanding;
-use crate::process::forward::home::HomeSet;
 use crate::process::forward::machine::ForwardMachine;
-use crate::process::forward::place::PlaceStep;
+use crate::process::forward::place::DomainProximity;
+use crate::process::forward::region_set::RegionSet;
 use crate::process::rendezvous::rank;
 
 /// Fewest far shards that are asked for together.
-const LEAST_BUNDLE: usize = 3;
+const MIN_BUNDLE_SHARDS: usize = 3;
 /// Most domains whose entries are asked for one request.
-const MOST_BUNDLES: usize = 4;
+const MAX_BUNDLES: usize = 4;
 /// Near shards above which they are divided.
-pub(super) const DIVIDE_ABOVE: usize = 24;
+pub(super) const MAX_UNDIVIDED_SHARDS: usize = 24;
 /// Shards of a route that fall to one entry together.
-pub(super) const SHARE: usize = 12;
+pub(super) const SHARD_GROUP_SIZE: usize = 12;
 /// Ways that differ by less than this part of the objective count as equal.
-const WAY_STEP: f64 = 0.05;
+const RTT_STEP_SHARE: f64 = 0.05;
 /// Connections to another entry, at most.
-pub(super) const RELAY_CONNECTIONS: usize = 64;
+pub(super) const MAX_RELAY_CONNECTIONS: usize = 64;
 
 /// Parts for one other entry.
 #[derive(Debug)]
@@ -63,13 +63,13 @@
         let own = self.options.domain.clone();
         let (near, mut far): (Vec<usize>, Vec<usize>) = (0..state.parts.len())
             .filter(|part| state.parts[*part].is_open() && state.parts[*part].arrivals == 0)
-            .partition(|part| self.has_server_in(state.parts[*part].upstream, &own, homes));
+            .partition(|part| self.has_usable_server_in(state.parts[*part].upstream, &own, homes));
         let mut plans = Vec::new();
-        if divides && near.len() > DIVIDE_ABOVE {
-            plans.extend(self.divide(call, &near, now));
+        if divides && near.len() > MAX_UNDIVIDED_SHARDS {
+            plans.extend(self.plan_near_bundles(call, &near, now));
         }
-        for _ in 0..MOST_BUNDLES {
-            let plan = self.find_bundle(call, &far, now).filter(|_| !relayed);
+        for _ in 0..MAX_BUNDLES {
+            let plan = self.plan_far_bundle(call, &far, now).filter(|_| !relayed);
             let Some(plan) = plan else {
                 break;
             };
@@ -82,7 +82,7 @@
     }
 
     /// Divides near shards among the entries of this domain.
-    fn divide(&self, call: SlotKey, near: &[usize], now: Duration) -> Vec<BundlePlan> {
+    fn plan_near_bundles(&self, call: SlotKey, near: &[usize], now: Duration) -> Vec<BundlePlan> {
         let Some(state) = self.calls.get(call) else {
             return Vec::new();
         };
@@ -91,7 +91,7 @@
             return Vec::new();
         };
         let names = state.gathered();
-        let mut shares = vec![Vec::new(); names.len().div_ceil(SHARE)];
+        let mut shares = vec![Vec::new(); names.len().div_ceil(SHARD_GROUP_SIZE)];
         // The parts stand in the order of the route's services.
         let mut place = 0;
         for part in near {
@@ -100,13 +100,13 @@
                 place += 1;
             }
             if place < names.len() {
-                shares[place / SHARE].push(*part);
+                shares[place / SHARD_GROUP_SIZE].push(*part);
             }
         }
         let shares = shares.into_iter().enumerate();
         let plans = shares.filter_map(|(index, parts)| {
-            let key = &names[index * SHARE];
-            let choice = self.entry_for(*entries, key, true, state.homes, &[], now)?;
+            let key = &names[index * SHARD_GROUP_SIZE];
+            let choice = self.select_entry(*entries, key, true, state.homes, &[], now)?;
             (!parts.is_empty()).then_some(BundlePlan {
                 choice,
                 parts,
@@ -119,10 +119,14 @@
     /// Finds the nearest domain with entries that has far shards, and of
     /// domains that are as near the one that has most. Ways alone do not tell:
     /// one that was never taken is not known, and looks short.
-    fn find_bundle(&self, call: SlotKey, far: &[usize], now: Duration) -> Option<BundlePlan> {
+    fn plan_far_bundle(&self, call: SlotKey, far: &[usize], now: Duration) -> Option<BundlePlan> {
         let state = self.calls.get(call)?;
-        let step = state.rule().objective().mul_f64(WAY_STEP).as_secs_f64();
-        let mut best: Option<((PlaceStep, u64, usize, Duration), BundlePlan)> = None;
+        let step = state
+            .rule()
+            .objective()
+            .mul_f64(RTT_STEP_SHARE)
+            .as_secs_f64();
+        let mut best: Option<((DomainProximity, u64, usize, Duration), BundlePlan)> = None;
         for (domain, entries) in &self.peer_domains {
             if *domain == self.options.domain {
                 continue;
@@ -130,14 +134,16 @@
             let parts: Vec<usize> = far
                 .iter()
                 .copied()
-                .filter(|part| self.has_server_in(state.parts[*part].upstream, domain, state.homes))
+                .filter(|part| {
+                    self.has_usable_server_in(state.parts[*part].upstream, domain, state.homes)
+                })
                 .collect();
             let own = &self.options.own;
-            let choice = self.entry_for(*entries, own, false, state.homes, &[], now);
+            let choice = self.select_entry(*entries, own, false, state.homes, &[], now);
             let Some(choice) = choice else {
                 continue;
             };
-            if parts.len() < LEAST_BUNDLE {
+            if parts.len() < MIN_BUNDLE_SHARDS {
                 continue;
             }
             let way = (choice.expected.as_secs_f64() / step.max(1e-6)) as u64;
@@ -158,12 +164,12 @@
     /// Returns the entry of a domain to which `key` falls, but for those in
     /// `without`, with the way there as the time to expect. None if that is
     /// this entry, where it `counts` among them, or if all are silent.
-    pub(super) fn entry_for(
+    pub(super) fn select_entry(
         &self,
         entries: UpstreamKey,
         key: &str,
         counts: bool,
-        homes: HomeSet,
+        homes: RegionSet,
         without: &[ServerKey],
         now: Duration,
     ) -> Option<ServerChoice> {
@@ -176,7 +182,7 @@
                 && now >= state.rest_until
                 && !without.contains(server)
                 && homes.allows(state)
-                && state.outstanding.len() < RELAY_CONNECTIONS
+                && state.outstanding.len() < MAX_RELAY_CONNECTIONS
                 && !state.is_still(typical, now)
         });
         let best = able.max_by_key(|server| rank(&self.servers[**server].id))?;
@@ -193,11 +199,11 @@
 
     /// Tells whether a service has a server in a domain that takes work, answers
     /// and may be asked.
-    pub(super) fn has_server_in(
+    pub(super) fn has_usable_server_in(
         &self,
         upstream: UpstreamKey,
         domain: &str,
-        homes: HomeSet,
+        homes: RegionSet,
     ) -> bool {
         let mut servers = self.upstreams[upstream].servers.iter();
         servers.any(|server| {
--- a/crates/core/src/process/forward/call.rs
+++ b/crates/core/src/process/forward/call.rs
@@ -10,8 +10,8 @@
 use crate::process::forward::answer::AttemptCause;
 use crate::process::forward::canary::CallDoubt;
 use crate::process::forward::expectation::ExpectationBasis;
-use crate::process::forward::home::HomeSet;
 use crate::process::forward::input::ServerAnswer;
+use crate::process::forward::region_set::RegionSet;
 use crate::process::forward::timing::AnswerPlan;
 use crate::process::input::CallTag;
 use crate::request::mark::RequestMark;
@@ -116,7 +116,7 @@
     /// Servers of each part that it may run on.
     pub attempts: u32,
     /// Where it may be served.
-    pub homes: HomeSet,
+    pub homes: RegionSet,
     /// The workspace that asks, if requests need a key.
     pub workspace: Option<Arc<str>>,
     /// Digest of the key it came with. Not told to other entries.
--- a/crates/core/src/process/forward/canary.rs
+++ b/crates/core/src/process/forward/canary.rs
@@ -13,7 +13,7 @@
 use crate::arena::SlotKey;
 use crate::process::forward::answer::{AttemptCause, ForwardAction, ForwardFailure};
 use crate::process::forward::call::CallState;
-use crate::process::forward::choose::NoChoice;
+use crate::process::forward::choose::SelectionFailure;
 use crate::process::forward::hedge::LOOK_AGAIN;
 use crate::process::forward::input::ForwardCall;
 use crate::process::forward::machine::ForwardMachine;
@@ -198,14 +198,14 @@
         });
         let mut may_wait = false;
         for part in open {
-            match self.choose_for(call, part, now) {
+            match self.choose_server_for(call, part, now) {
                 Ok(choice) if self.afford(call, part, now, out) => {
-                    let cause = self.cause_for(call, part);
-                    self.send_to(call, part, cause, choice, now, out);
+                    let cause = self.attempt_cause(call, part);
+                    self.send_part_to(call, part, cause, choice, now, out);
                     return true;
                 }
-                Ok(_) | Err(NoChoice::Full) => may_wait = true,
-                Err(NoChoice::NoServer) => {}
+                Ok(_) | Err(SelectionFailure::Full) => may_wait = true,
+                Err(SelectionFailure::NoServer) => {}
             }
         }
         if may_wait {
@@ -271,7 +271,7 @@
             if !is_left {
                 continue;
             }
-            match self.cause_for(call, part) {
+            match self.attempt_cause(call, part) {
                 AttemptCause::First => self.send_first(call, part, now, out),
                 _ => self.try_again(call, part, now, out),
             }
--- a/crates/core/src/process/forward/end.rs
+++ b/crates/core/src/process/forward/end.rs
@@ -279,7 +279,7 @@
             let closes_in = if is_urgent { Duration::ZERO } else { patience };
             let (server, sent_at) = (orphan.server, orphan.sent_at);
             if now >= orphan.due {
-                self.rest_if_silent(server, sent_at, now);
+                self.back_off_if_unresponsive(server, sent_at, now);
             }
             self.timers
                 .set(now + closes_in, ForwardTimer::Orphan(*attempt));
--- a/crates/core/src/process/forward/hedge.rs
+++ b/crates/core/src/process/forward/hedge.rs
@@ -8,7 +8,7 @@
 use crate::process::forward::choose::ServerChoice;
 use crate::process::forward::extra::SpendPace;
 use crate::process::forward::machine::{ForwardMachine, ForwardTimer};
-use crate::process::forward::place::PlaceStep;
+use crate::process::forward::place::DomainProximity;
 
 /// Time between two looks at a part that could not be hedged, or for a server that
 /// may try a request.
@@ -35,7 +35,10 @@
         }
         let open = state.parts.iter().filter(|part| part.is_open());
         let next = open.map(|part| part.hedge_at).min();
-        let next = next.into_iter().chain(self.give_up_at(state)).min();
+        let next = next
+            .into_iter()
+            .chain(self.find_relay_deadline(state))
+            .min();
         let Some(next) = next.filter(|next| *next < state.plan.limit) else {
             return;
         };
@@ -49,7 +52,7 @@
             return;
         };
         let count = state.parts.len();
-        self.look_after_relays(call, now, out);
+        self.check_relays(call, now, out);
         self.examine(call, now, out);
         for part in 0..count {
             self.hedge_if_slow(call, part, now, out);
@@ -80,7 +83,7 @@
             return;
         }
         let is_spent = part_state.runs >= most || part_state.attempts.is_full();
-        if is_spent || self.is_with_relay(&state.parts[part]) {
+        if is_spent || self.has_active_relay(&state.parts[part]) {
             if let Some(state) = self.calls.get_mut(call) {
                 state.parts[part].hedge_at = Duration::MAX;
             }
@@ -89,7 +92,7 @@
         if let Some(state) = self.calls.get_mut(call) {
             state.parts[part].hedge_at = now + LOOK_AGAIN;
         }
-        let Ok(choice) = self.choose_for(call, part, now) else {
+        let Ok(choice) = self.choose_server_for(call, part, now) else {
             return;
         };
         let due = self.far_hedge_due(call, part, choice, now);
@@ -111,7 +114,7 @@
         } else {
             AttemptCause::Hedge
         };
-        self.send_to(call, part, cause, choice, now, out);
+        self.send_part_to(call, part, cause, choice, now, out);
     }
 
     /// Keeps a part whose repeat the bound on extra load does not allow yet: the
@@ -147,10 +150,10 @@
         let Some(state) = self.calls.get(call) else {
             return now;
         };
-        if !state.gathers || self.servers[choice.server.key()].place < PlaceStep::Elsewhere {
+        if !state.gathers || self.servers[choice.server.key()].place < DomainProximity::Elsewhere {
             return now;
         }
-        if self.is_with_late_relay(&state.parts[part]) {
+        if self.has_only_overdue_relays(&state.parts[part]) {
             return now;
         }
         let Some(first) = self.first_sent(&state.parts[part]) else {
@@ -169,7 +172,7 @@
         let Some(state) = self.calls.get(call) else {
             return false;
         };
-        if self.is_with_late_relay(&state.parts[part]) {
+        if self.has_only_overdue_relays(&state.parts[part]) {
             return true;
         }
         let Some(sent) = self.first_sent(&state.parts[part]) else {
--- a/crates/core/src/process/forward/machine.rs
+++ b/crates/core/src/process/forward/machine.rs
@@ -27,7 +27,7 @@
 use crate::process::forward::pause::{IntervalVote, PauseWay};
 use crate::process::forward::place::RegionMap;
 use crate::process::forward::server::ServerState;
-use crate::process::forward::split::SplitCounter;
+use crate::process::forward::split::SplitScheduler;
 use crate::process::forward::suspect::alert::EndWatch;
 use crate::process::forward::suspect::book::SuspectBook;
 use crate::process::forward::timing::RouteTiming;
@@ -159,7 +159,7 @@
     /// Place of the timing of requests passed on.
     pub(super) relay_timing: usize,
     pub(super) timing_names: HashMap<Box<str>, usize>,
-    pub(super) splits: HashMap<Box<str>, SplitCounter>,
+    pub(super) splits: HashMap<Box<str>, SplitScheduler>,
     pub(super) timers: TimerHeap<ForwardTimer>,
     pub(super) counters: ForwardCounters,
     pub(super) expectations: ExpectationBook,
@@ -231,8 +231,10 @@
             ForwardInput::Peers(peers) => self.set_peers(peers, now, out),
             ForwardInput::Suspects(records) => self.merge_suspects(&records, now, out),
             ForwardInput::Call(call) => self.begin(call, now, out),
-            ForwardInput::Alive(attempt) => self.hear_alive(attempt, now, out),
-            ForwardInput::Granted(tag, attempts) => self.take_grant(tag, attempts, now, out),
+            ForwardInput::Alive(attempt) => self.handle_acknowledgement(attempt, now, out),
+            ForwardInput::Granted(tag, attempts) => {
+                self.handle_raised_allowance(tag, attempts, now, out)
+            }
             ForwardInput::CallerLeft(tag) => self.caller_left(tag, now, out),
             ForwardInput::Ended { attempt, end } => self.ended(attempt, end, now, out),
             ForwardInput::Connected { server, took } => self.servers[server].connected(took),
@@ -305,7 +307,7 @@
         let routes = self.table.iter().flat_map(|table| table.routes());
         routes.flat_map(|route| {
             let counter = self.splits.get(&*route.name);
-            let counts = counter.map_or(&[][..], SplitCounter::counts);
+            let counts = counter.map_or(&[][..], SplitScheduler::counts);
             let parts = match &route.target {
                 RouteTarget::Split(parts) => &parts[..],
                 RouteTarget::Service(_) | RouteTarget::Gather(_) => &[],
@@ -344,7 +346,7 @@
             self.upstreams[upstream].connections = service.connections.max(1);
             self.upstreams[upstream].cold_per_s = service.cold_per_s;
         }
-        self.find_shares(&table);
+        self.assign_shard_groups(&table);
         self.end_keyless(&table, now, out);
         self.table = Some(table);
     }
--- a/crates/core/src/process/forward/notices.rs
+++ b/crates/core/src/process/forward/notices.rs
@@ -9,7 +9,7 @@
 use crate::process::forward::directory::{NoticeEffect, ServerNotice, ServerStanding};
 use crate::process::forward::machine::ForwardMachine;
 use crate::process::forward::pace::ServerPace;
-use crate::process::forward::place::PlaceStep;
+use crate::process::forward::place::DomainProximity;
 use crate::process::forward::server::ServerState;
 
 impl ForwardMachine {
@@ -86,7 +86,7 @@
         self.server_ids.insert(notice.id, server);
         self.bar_version(server);
         self.upstreams[upstream].servers.push(server);
-        self.serve_waiting(upstream, now, out);
+        self.retry_waiting_parts(upstream, now, out);
     }
 
     /// Takes the word of whoever is at a server's address that it is another
@@ -102,8 +102,8 @@
     }
 
     /// Returns how far off a failure domain is.
-    pub fn place_of(&self, domain: &str) -> PlaceStep {
-        self.options.regions.step(&self.options.domain, domain)
+    pub fn place_of(&self, domain: &str) -> DomainProximity {
+        self.options.regions.proximity(&self.options.domain, domain)
     }
 
     /// Takes over that a server leaves; it never comes back in its lifetime.
@@ -163,7 +163,7 @@
         }
         self.evacuated = domains;
         for upstream in returned {
-            self.serve_waiting(upstream, now, out);
+            self.retry_waiting_parts(upstream, now, out);
         }
     }
 
--- a/crates/core/src/process/forward/place.rs
+++ b/crates/core/src/process/forward/place.rs
@@ -7,11 +7,11 @@
 
 use std::collections::BTreeMap;
 
-use crate::process::forward::home::{HomeSet, RegionKey};
+use crate::process::forward::region_set::{RegionKey, RegionSet};
 
 /// How far off a failure domain is; the order is by distance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum PlaceStep {
+pub enum DomainProximity {
     /// The same failure domain.
     Domain,
     /// Another one of the same region.
@@ -20,13 +20,13 @@
     Elsewhere,
 }
 
-impl PlaceStep {
+impl DomainProximity {
     /// Returns a word for logs.
     pub fn word(self) -> &'static str {
         match self {
-            PlaceStep::Domain => "domain",
-            PlaceStep::Region => "region",
-            PlaceStep::Elsewhere => "elsewhere",
+            DomainProximity::Domain => "domain",
+            DomainProximity::Region => "region",
+            DomainProximity::Elsewhere => "elsewhere",
         }
     }
 }
@@ -69,32 +69,32 @@
 
     /// Returns the set of the regions of these names; all regions if there are
     /// none. A name that is not known stands for no failure domain.
-    pub fn homes(&self, names: &[String]) -> HomeSet {
+    pub fn homes(&self, names: &[String]) -> RegionSet {
         if names.is_empty() {
-            return HomeSet::ANYWHERE;
+            return RegionSet::ANYWHERE;
         }
         let places = names
             .iter()
             .filter_map(|name| self.names.iter().position(|region| **region == **name));
-        HomeSet::of(places.map(RegionKey::new))
+        RegionSet::of(places.map(RegionKey::new))
     }
 
     /// Tells whether a failure domain is among those known. All are taken for
     /// known if the settings name none.
-    pub fn knows(&self, domain: &str) -> bool {
+    pub fn is_known(&self, domain: &str) -> bool {
         self.regions.is_empty() || self.regions.contains_key(domain)
     }
 
     /// Returns how far off a failure domain is from another.
-    pub fn step(&self, own: &str, other: &str) -> PlaceStep {
+    pub fn proximity(&self, own: &str, other: &str) -> DomainProximity {
         if own == other {
-            return PlaceStep::Domain;
+            return DomainProximity::Domain;
         }
         let region = self.regions.get(own);
         if region.is_some() && region == self.regions.get(other) {
-            PlaceStep::Region
+            DomainProximity::Region
         } else {
-            PlaceStep::Elsewhere
+            DomainProximity::Elsewhere
         }
     }
 }
--- a/crates/core/src/process/forward/home.rs
+++ b/crates/core/src/process/forward/region_set.rs
@@ -13,7 +13,7 @@
 
 /// Most regions that are told apart; requests with homes are sent to none of
 /// those beyond.
-const MOST_REGIONS: usize = 63;
+const MAX_REGIONS: usize = 63;
 
 /// A region, by its place among the regions in the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -21,41 +21,41 @@
 
 impl RegionKey {
     /// A region that the settings do not name.
-    pub const UNKNOWN: RegionKey = RegionKey(MOST_REGIONS as u8);
+    pub const UNKNOWN: RegionKey = RegionKey(MAX_REGIONS as u8);
 
     /// Returns the key of the region at this place.
     pub fn new(place: usize) -> RegionKey {
-        RegionKey(place.min(MOST_REGIONS) as u8)
+        RegionKey(place.min(MAX_REGIONS) as u8)
     }
 }
 
 /// The regions in which a request may be served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HomeSet(u64);
+pub struct RegionSet(u64);
 
-impl HomeSet {
+impl RegionSet {
     /// All regions, also those that are not known.
-    pub const ANYWHERE: HomeSet = HomeSet(u64::MAX);
+    pub const ANYWHERE: RegionSet = RegionSet(u64::MAX);
 
     /// Returns the set of these regions.
-    pub fn of(regions: impl Iterator<Item = RegionKey>) -> HomeSet {
+    pub fn of(regions: impl Iterator<Item = RegionKey>) -> RegionSet {
         let known = regions.filter(|region| *region != RegionKey::UNKNOWN);
-        HomeSet(known.fold(0, |set, region| set | 1 << region.0))
+        RegionSet(known.fold(0, |set, region| set | 1 << region.0))
     }
 
     /// Returns the regions that both sets hold.
-    pub fn both(self, other: HomeSet) -> HomeSet {
-        HomeSet(self.0 & other.0)
+    pub fn intersection(self, other: RegionSet) -> RegionSet {
+        RegionSet(self.0 & other.0)
     }
 
     /// Tells whether a region is one of them.
-    pub fn holds(self, region: RegionKey) -> bool {
+    pub fn contains(self, region: RegionKey) -> bool {
         self.0 & (1 << region.0) != 0
     }
 
     /// Tells whether a request may be sent to a server or an entry.
     pub(super) fn allows(self, state: &ServerState) -> bool {
-        !state.evacuated && !state.barred && self.holds(state.region)
+        !state.evacuated && !state.barred && self.contains(state.region)
     }
 
     /// Returns the leave to send a request to a server or an entry, if it may
--- a/crates/core/src/process/forward/relay.rs
+++ b/crates/core/src/process/forward/relay.rs
@@ -1,6 +1,6 @@
 //! The other entries, and what becomes of the parts that they are asked for.
 //! Which these are is planned in [`crate::process::forward::bundle`]; what is
-//! done about an entry that is late, in [`crate::process::forward::around`].
+//! done about an entry that is late, in [`crate::process::forward::reroute`].
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -12,16 +12,16 @@
 use crate::process::forward::directory::ServerStanding;
 use crate::process::forward::input::{BundleAnswer, EntryPeer, RelayOrder};
 use crate::process::forward::machine::ForwardMachine;
-use crate::process::forward::place::PlaceStep;
-use crate::process::forward::send::AttemptSend;
+use crate::process::forward::place::DomainProximity;
+use crate::process::forward::send::AttemptPlan;
 use crate::process::forward::server::ServerState;
 
 /// Least time that an entry which was silent is left alone: each request that
 /// asks it loses its share, and the control group drops it by then if it is
 /// gone.
-pub(super) const SILENT_REST: Duration = Duration::from_secs(3);
+pub(super) const UNRESPONSIVE_BACKOFF: Duration = Duration::from_secs(3);
 /// Time that the way back and the merge of a bundle are given.
-const BUNDLE_MARGIN: Duration = Duration::from_millis(5);
+const RETURN_MARGIN: Duration = Duration::from_millis(5);
 
 impl ForwardMachine {
     /// Takes over the entries that take requests.
@@ -63,11 +63,11 @@
                 }
             }
         }
-        self.find_held();
+        self.update_owned_shards();
     }
 
     fn add_peer(&mut self, peer: &EntryPeer, id: Box<str>) {
-        let upstream = self.peer_domain(&peer.domain);
+        let upstream = self.find_or_add_peer_domain(&peer.domain);
         let mut state = ServerState::new(id.clone().into(), upstream, peer.address);
         state.domain = peer.domain.clone();
         state.place = self.place_of(&peer.domain);
@@ -78,7 +78,7 @@
         self.upstreams[upstream].servers.push(server);
     }
 
-    fn peer_domain(&mut self, domain: &str) -> UpstreamKey {
+    fn find_or_add_peer_domain(&mut self, domain: &str) -> UpstreamKey {
         let found = self.peer_domains.iter().find(|(name, _)| **name == *domain);
         if let Some((_, upstream)) = found {
             return *upstream;
@@ -107,23 +107,23 @@
         let entry = &self.servers[choice.server.key()];
         let way = entry.way();
         // Within a failure domain ways are short.
-        let is_near = entry.place == PlaceStep::Domain;
+        let is_near = entry.place == DomainProximity::Domain;
         let known_way = entry.known_way().or(is_near.then_some(way));
-        let loan = ForwardMachine::loan(state, &parts, known_way, now);
+        let loan = ForwardMachine::compute_allowance(state, &parts, known_way, now);
         let shards = parts.iter().map(|part| {
             let upstream = state.parts[*part].upstream;
             self.upstreams[upstream].name.clone()
         });
         let relay = RelayOrder {
             version: state.table.version(),
-            answer_by: state.plan.aim.saturating_sub(way + BUNDLE_MARGIN),
+            answer_by: state.plan.aim.saturating_sub(way + RETURN_MARGIN),
             attempts: loan.attempts,
             earns: state.earns && parts.iter().all(|part| state.parts[*part].arrivals == 0),
             divides,
             workspace: state.workspace.clone(),
             shards: shards.collect(),
         };
-        let send = AttemptSend {
+        let send = AttemptPlan {
             cause: AttemptCause::Relay,
             choice,
             timing: self.relay_timing,
@@ -139,7 +139,7 @@
     /// and cannot be taken apart: a part among them that a server answered in
     /// the meantime is taken from the bundle instead. Of two bundles that have
     /// a part in common, the one that brings more is taken.
-    pub(super) fn take_bundle(
+    pub(super) fn accept_bundle(
         &mut self,
         call: SlotKey,
         attempt: SlotKey,
--- a/crates/core/src/process/forward/reply.rs
+++ b/crates/core/src/process/forward/reply.rs
@@ -5,12 +5,12 @@
 use crate::arena::SlotKey;
 use crate::process::forward::answer::{AttemptCause, ForwardAction, ForwardDecision};
 use crate::process::forward::call::{ForwardAttempt, PartState, PartStatus};
-use crate::process::forward::choose::NoChoice;
+use crate::process::forward::choose::SelectionFailure;
 use crate::process::forward::input::{AttemptEnd, ServerAnswer};
 use crate::process::forward::machine::ForwardMachine;
 use crate::process::forward::pace::PaceEstimate;
 use crate::process::forward::pause::{IntervalVote, PauseWay, LATE_BY};
-use crate::process::forward::relay::SILENT_REST;
+use crate::process::forward::relay::UNRESPONSIVE_BACKOFF;
 use crate::process::forward::server::ServerState;
 use crate::process::forward::version::AnswerVerdict;
 use crate::process::input::CallTag;
@@ -172,7 +172,7 @@
                 self.release(call, now, out);
             }
         }
-        self.serve_waiting(state.upstream, now, out);
+        self.retry_waiting_parts(state.upstream, now, out);
     }
 
     /// Counts an end for the version of its server.
@@ -264,7 +264,7 @@
             EndMeaning::Withdrawn => {}
             EndMeaning::Broken if state.call.is_none() => {}
             EndMeaning::Unsent if state.is_relay() && work > REFUSAL_TIME => {
-                server.rest_at_least(SILENT_REST, now);
+                server.rest_at_least(UNRESPONSIVE_BACKOFF, now);
             }
             EndMeaning::Unsent => server.rest(now),
             EndMeaning::Broken => {
@@ -334,8 +334,8 @@
         }
         match end {
             AttemptEnd::Bundle(bundle) => {
-                self.take_bundle(key, attempt, &state.parts, &bundle);
-                self.pass_asked(key, &state.parts, state.server);
+                self.accept_bundle(key, attempt, &state.parts, &bundle);
+                self.mark_domain_tried(key, &state.parts, state.server);
                 self.check_end(key, now, out);
             }
             AttemptEnd::Answer(answer) if meaning == EndMeaning::Final => {
@@ -450,14 +450,14 @@
             return self.check_end(key, now, out);
         }
         if is_allowed && !state.attempts.is_full() {
-            match self.choose_for(key, part, now) {
+            match self.choose_server_for(key, part, now) {
                 Ok(choice) if self.afford(key, part, now, out) => {
-                    self.send_to(key, part, AttemptCause::Retry, choice, now, out);
+                    self.send_part_to(key, part, AttemptCause::Retry, choice, now, out);
                     return self.plan_sweep(key, now);
                 }
                 Ok(_) if may_wait => return self.look_again(key, part, now, out),
-                Err(reason @ NoChoice::Full) if may_wait => {
-                    self.wait_or_miss(key, part, reason, out);
+                Err(reason @ SelectionFailure::Full) if may_wait => {
+                    self.enqueue_or_give_up(key, part, reason, out);
                     return self.check_end(key, now, out);
                 }
                 _ => {}
--- a/crates/core/src/process/forward/around.rs
+++ b/crates/core/src/process/forward/reroute.rs
@@ -15,30 +15,30 @@
 
 use crate::arena::{ServerKey, SlotKey};
 use crate::process::forward::answer::{ForwardAction, ForwardDecision};
-use crate::process::forward::bundle::{BundlePlan, DIVIDE_ABOVE};
+use crate::process::forward::bundle::{BundlePlan, MAX_UNDIVIDED_SHARDS};
 use crate::process::forward::call::{
     CallState, ForwardAttempt, PartState, PartStatus, RelayStanding,
 };
 use crate::process::forward::machine::ForwardMachine;
-use crate::process::forward::relay::SILENT_REST;
+use crate::process::forward::relay::UNRESPONSIVE_BACKOFF;
 use crate::process::input::CallTag;
 
 /// Part of the time left within which an entry says that it is at work. An
 /// entry that is busy takes some tens of milliseconds; asking elsewhere takes a
 /// new connection and the work of one request.
-const SIGN_TIME: f64 = 0.25;
+const ACK_TIME_SHARE: f64 = 0.25;
 /// Least such time: entries of other failure domains are some milliseconds
 /// away.
-const LEAST_SIGN_TIME: Duration = Duration::from_millis(20);
+const MIN_ACK_TIME: Duration = Duration::from_millis(20);
 /// Part of the time left that is allowed for ways that were never taken.
-const UNKNOWN_WAY: f64 = 0.25;
+const UNKNOWN_RTT_SHARE: f64 = 0.25;
 /// Time after the aim at which a silent entry is given up, as a part of the
 /// objective: until then a late answer may still come of it.
-const LATE_TIME: f64 = 0.5;
+const GIVE_UP_SHARE: f64 = 0.5;
 
 /// What another entry may do for a request.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct RelayLoan {
+pub(super) struct AttemptAllowance {
     /// Servers of each part that it may run on.
     pub(super) attempts: u32,
     /// When it should have said that it is at work.
@@ -47,26 +47,26 @@
 
 impl ForwardMachine {
     /// Decides what another entry may do for these parts of a request.
-    pub(super) fn loan(
+    pub(super) fn compute_allowance(
         state: &CallState,
         parts: &[usize],
         way: Option<Duration>,
         now: Duration,
-    ) -> RelayLoan {
+    ) -> AttemptAllowance {
         let left = state.plan.aim.saturating_sub(now);
-        let sign_time = left.mul_f64(SIGN_TIME).max(LEAST_SIGN_TIME);
+        let sign_time = left.mul_f64(ACK_TIME_SHARE).max(MIN_ACK_TIME);
         // A connection may have to be opened first. Without that, entries 12 ms
         // away were all taken for silent, and a tenth of the requests was lost.
-        let ways = way.map_or(left.mul_f64(UNKNOWN_WAY), |way| way * 2);
+        let ways = way.map_or(left.mul_f64(UNKNOWN_RTT_SHARE), |way| way * 2);
         let kept = u32::from(state.rule().idempotent);
-        RelayLoan {
-            attempts: own_attempts(state, parts).saturating_sub(kept).max(1),
+        AttemptAllowance {
+            attempts: remaining_attempts(state, parts).saturating_sub(kept).max(1),
             due: now + ways + sign_time,
         }
     }
 
     /// Takes the word of another entry that it is at work.
-    pub(super) fn hear_alive(
+    pub(super) fn handle_acknowledgement(
         &mut self,
         attempt: SlotKey,
         now: Duration,
@@ -78,12 +78,12 @@
         self.servers[relay.server].answered_at = now;
         if relay.relay == RelayStanding::Unheard {
             relay.relay = RelayStanding::AtWork;
-            self.grant(attempt, out);
+            self.raise_allowance(attempt, out);
         }
     }
 
     /// Leaves the attempts that are left to another entry that is at work.
-    fn grant(&mut self, attempt: SlotKey, out: &mut Vec<ForwardAction>) {
+    fn raise_allowance(&mut self, attempt: SlotKey, out: &mut Vec<ForwardAction>) {
         let Some(relay) = self.attempts.get_mut(attempt) else {
             return;
         };
@@ -91,7 +91,7 @@
         let Some(state) = call.filter(|_| relay.relay == RelayStanding::AtWork) else {
             return;
         };
-        let more = own_attempts(state, &relay.parts);
+        let more = remaining_attempts(state, &relay.parts);
         if more == 0 {
             return;
         }
@@ -104,7 +104,7 @@
 
     /// Takes the word of the entry that asks that more servers may run a part,
     /// and passes it on to those that are asked in turn.
-    pub(super) fn take_grant(
+    pub(super) fn handle_raised_allowance(
         &mut self,
         tag: CallTag,
         attempts: u32,
@@ -130,14 +130,14 @@
             }
         }
         for attempt in self.relays_of(call) {
-            self.grant(attempt, out);
+            self.raise_allowance(attempt, out);
         }
         self.plan_sweep(call, now);
     }
 
     /// Looks after the entries that a request waits for: those that are late
     /// are asked around, those that stay silent given up.
-    pub(super) fn look_after_relays(
+    pub(super) fn check_relays(
         &mut self,
         call: SlotKey,
         now: Duration,
@@ -149,28 +149,28 @@
             };
             if state.relay == RelayStanding::Unheard && now >= state.due {
                 state.relay = RelayStanding::Late;
-                self.ask_around(call, attempt, now, out);
+                self.reroute_relay(call, attempt, now, out);
             }
             let is_over = self
                 .calls
                 .get(call)
-                .is_some_and(|state| now >= give_up_time(state));
+                .is_some_and(|state| now >= relay_deadline(state));
             if is_over {
-                self.drop_silent_relay(call, attempt, now, out);
+                self.abandon_relay(call, attempt, now, out);
             }
         }
     }
 
     /// Returns when the next silent entry is given up, if one is asked.
-    pub(super) fn give_up_at(&self, state: &CallState) -> Option<Duration> {
+    pub(super) fn find_relay_deadline(&self, state: &CallState) -> Option<Duration> {
         let mut attempts = state.parts.iter().flat_map(|part| &part.attempts);
         attempts
             .any(|attempt| self.is_relay(*attempt))
-            .then(|| give_up_time(state))
+            .then(|| relay_deadline(state))
     }
 
     /// Tells whether another entry is at work on a part, or may be.
-    pub(super) fn is_with_relay(&self, part: &PartState) -> bool {
+    pub(super) fn has_active_relay(&self, part: &PartState) -> bool {
         let attempts = part.attempts.iter();
         let mut attempts = attempts.filter_map(|attempt| self.attempts.get(*attempt));
         attempts.any(|attempt| attempt.is_relay() && attempt.relay != RelayStanding::Late)
@@ -178,7 +178,7 @@
 
     /// Tells whether nobody but entries that are late was asked for a part: it
     /// is as good as not asked for.
-    pub(super) fn is_with_late_relay(&self, part: &PartState) -> bool {
+    pub(super) fn has_only_overdue_relays(&self, part: &PartState) -> bool {
         let attempts = part.attempts.iter();
         let mut attempts = attempts.filter_map(|attempt| self.attempts.get(*attempt));
         !part.attempts.is_empty() && attempts.all(|attempt| attempt.relay == RelayStanding::Late)
@@ -205,7 +205,7 @@
 
     /// Asks for the parts of an entry that is late elsewhere: for many through
     /// another entry, for few of servers.
-    fn ask_around(
+    fn reroute_relay(
         &mut self,
         call: SlotKey,
         attempt: SlotKey,
@@ -238,13 +238,13 @@
                 parts: count,
             }
         });
-        if count <= DIVIDE_ABOVE {
+        if count <= MAX_UNDIVIDED_SHARDS {
             return;
         }
         let entries = self.servers[server].upstream;
         let own = self.options.own.clone();
         let homes = state.homes;
-        let Some(choice) = self.entry_for(entries, &own, false, homes, &[server], now) else {
+        let Some(choice) = self.select_entry(entries, &own, false, homes, &[server], now) else {
             return;
         };
         let parts = open.into_iter();
@@ -261,7 +261,7 @@
 
     /// Gives up an entry that has not answered, with the parts that nobody else
     /// is asked for.
-    fn drop_silent_relay(
+    fn abandon_relay(
         &mut self,
         call: SlotKey,
         attempt: SlotKey,
@@ -274,7 +274,7 @@
         late.call = None;
         late.cancelled = true;
         let (server, sent_at, parts) = (late.server, late.sent_at, late.parts.clone());
-        self.servers[server].rest_at_least(SILENT_REST, now);
+        self.servers[server].rest_at_least(UNRESPONSIVE_BACKOFF, now);
         let Some(state) = self.calls.get_mut(call) else {
             return;
         };
@@ -292,15 +292,20 @@
 
     /// Leaves an entry alone for a while that was late and has answered nothing
     /// else since it was asked.
-    pub(super) fn rest_if_silent(&mut self, server: ServerKey, sent_at: Duration, now: Duration) {
+    pub(super) fn back_off_if_unresponsive(
+        &mut self,
+        server: ServerKey,
+        sent_at: Duration,
+        now: Duration,
+    ) {
         if self.servers[server].answered_at < sent_at {
-            self.servers[server].rest_at_least(SILENT_REST, now);
+            self.servers[server].rest_at_least(UNRESPONSIVE_BACKOFF, now);
         }
     }
 
     /// Takes the servers beside an entry that answered without some parts as
     /// asked for these: it asked them first.
-    pub(super) fn pass_asked(&mut self, call: SlotKey, parts: &[usize], entry: ServerKey) {
+    pub(super) fn mark_domain_tried(&mut self, call: SlotKey, parts: &[usize], entry: ServerKey) {
         let Some(state) = self.calls.get_mut(call) else {
             return;
         };
@@ -320,12 +325,12 @@
 }
 
 /// Returns how many more servers may run any of these parts.
-fn own_attempts(state: &CallState, parts: &[usize]) -> u32 {
+fn remaining_attempts(state: &CallState, parts: &[usize]) -> u32 {
     let runs = parts.iter().map(|part| state.parts[*part].runs).max();
     state.attempts.saturating_sub(runs.unwrap_or(0))
 }
 
 /// Returns when an entry that is silent is given up.
-fn give_up_time(state: &CallState) -> Duration {
-    state.plan.aim + state.rule().objective().mul_f64(LATE_TIME)
+fn relay_deadline(state: &CallState) -> Duration {
+    state.plan.aim + state.rule().objective().mul_f64(GIVE_UP_SHARE)
 }
--- a/crates/core/src/process/forward/send.rs
+++ b/crates/core/src/process/forward/send.rs
@@ -5,7 +5,7 @@
 use crate::arena::{SlotKey, UpstreamKey};
 use crate::process::forward::answer::{AttemptCause, AttemptOrder, ForwardAction, ForwardDecision};
 use crate::process::forward::call::{CallState, ForwardAttempt, PartStatus, RelayStanding};
-use crate::process::forward::choose::{ExpectedTimes, NoChoice, ServerChoice};
+use crate::process::forward::choose::{SelectionCriteria, SelectionFailure, ServerChoice};
 use crate::process::forward::input::RelayOrder;
 use crate::process::forward::machine::ForwardMachine;
 use crate::process::forward::server::OutstandingAttempt;
@@ -13,11 +13,11 @@
 use crate::process::forward::version::slow_after;
 
 /// Time kept for the way back when a server is told its time.
-const SEND_MARGIN: Duration = Duration::from_millis(3);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(3);
 
 /// An attempt that is to be sent.
 #[derive(Debug)]
-pub(super) struct AttemptSend {
+pub(super) struct AttemptPlan {
     /// Places of the parts in the request.
     pub(super) parts: Vec<usize>,
     /// Why.
@@ -36,47 +36,47 @@
 
 impl ForwardMachine {
     /// Sends a part to a server, if there is one with room.
-    pub(super) fn send(
+    pub(super) fn send_part(
         &mut self,
         call: SlotKey,
         part: usize,
         cause: AttemptCause,
         now: Duration,
         out: &mut Vec<ForwardAction>,
-    ) -> Result<(), NoChoice> {
-        let choice = self.choose_for(call, part, now)?;
-        self.send_to(call, part, cause, choice, now, out);
+    ) -> Result<(), SelectionFailure> {
+        let choice = self.choose_server_for(call, part, now)?;
+        self.send_part_to(call, part, cause, choice, now, out);
         Ok(())
     }
 
     /// Chooses a server for a part out of those that were not asked for it.
-    pub(super) fn choose_for(
+    pub(super) fn choose_server_for(
         &mut self,
         call: SlotKey,
         part: usize,
         now: Duration,
-    ) -> Result<ServerChoice, NoChoice> {
-        let state = self.calls.get(call).ok_or(NoChoice::NoServer)?;
+    ) -> Result<ServerChoice, SelectionFailure> {
+        let state = self.calls.get(call).ok_or(SelectionFailure::NoServer)?;
         let (upstream, tried) = (state.parts[part].upstream, state.parts[part].tried.clone());
-        let times = ExpectedTimes {
-            far_as_near: !state.gathers && !tried.is_empty(),
-            ..self.first_times(state)
+        let times = SelectionCriteria {
+            ignores_distance: !state.gathers && !tried.is_empty(),
+            ..self.first_attempt_criteria(state)
         };
-        self.choose(upstream, &tried, times, now)
+        self.choose_server(upstream, &tried, times, now)
     }
 
     /// Returns what is expected of the first answers to a request.
-    pub(super) fn first_times(&self, state: &CallState) -> ExpectedTimes {
-        ExpectedTimes {
+    pub(super) fn first_attempt_criteria(&self, state: &CallState) -> SelectionCriteria {
+        SelectionCriteria {
             typical: self.timings[state.timing].typical(state.rule()),
             objective: state.rule().objective(),
-            far_as_near: false,
+            ignores_distance: false,
             repeats: state.rule().idempotent,
             homes: state.homes,
         }
     }
 
-    pub(super) fn send_to(
+    pub(super) fn send_part_to(
         &mut self,
         call: SlotKey,
         part: usize,
@@ -90,7 +90,7 @@
         };
         let timing = state.timing;
         let slow = self.timings[timing].slow(state.rule());
-        let send = AttemptSend {
+        let send_part = AttemptPlan {
             parts: vec![part],
             cause,
             choice,
@@ -99,7 +99,7 @@
             runs: 1,
             relay: None,
         };
-        self.send_attempt(call, send, now, out);
+        self.send_attempt(call, send_part, now, out);
         if let Some(state) = self.calls.get_mut(call) {
             let _ = state.parts[part].tried.try_push(choice.server.key());
         }
@@ -109,38 +109,38 @@
     pub(super) fn send_attempt(
         &mut self,
         call: SlotKey,
-        send: AttemptSend,
+        send_part: AttemptPlan,
         now: Duration,
         out: &mut Vec<ForwardAction>,
     ) {
         let Some(state) = self.calls.get_mut(call) else {
             return;
         };
-        let AttemptSend { cause, choice, .. } = send;
+        let AttemptPlan { cause, choice, .. } = send_part;
         let is_known = self.suspects.standing(state.mark, now) != SuspectStanding::Clear;
         let on_trial = state.is_doubted() || (is_known && !state.gathers);
-        let typical = self.timings[send.timing].typical(state.rule());
+        let typical = self.timings[send_part.timing].typical(state.rule());
         let slow_after = slow_after(typical, state.rule().objective());
         let key = choice.server.key();
         let server = &mut self.servers[key];
         let attempt = self.attempts.insert(ForwardAttempt {
             call: Some(call),
             mark: state.mark,
-            parts: send.parts.clone(),
+            parts: send_part.parts.clone(),
             server: key,
             upstream: server.upstream,
             sent_at: now,
             typical,
             slow_after,
-            basis: send
+            basis: send_part
                 .relay
                 .is_none()
                 .then(|| server.basis(choice.expected, now)),
             cause,
-            timing: send.timing,
-            runs: send.runs,
-            due: if send.relay.is_some() {
-                now + send.patience
+            timing: send_part.timing,
+            runs: send_part.runs,
+            due: if send_part.relay.is_some() {
+                now + send_part.patience
             } else {
                 Duration::MAX
             },
@@ -152,14 +152,14 @@
         state.sends += 1;
         let (tag, gathers) = (state.tag, state.gathers);
         let workspace = state.workspace.clone();
-        let until = state.plan.given_up.saturating_sub(SEND_MARGIN);
-        for part in &send.parts {
+        let until = state.plan.given_up.saturating_sub(RESPONSE_MARGIN);
+        for part in &send_part.parts {
             let part = &mut state.parts[*part];
             part.attempts.push(attempt);
             part.arrivals += 1;
-            part.runs += send.runs;
-            part.hedge_at = now + send.patience;
-            part.bundled |= send.relay.is_some();
+            part.runs += send_part.runs;
+            part.hedge_at = now + send_part.patience;
+            part.bundled |= send_part.relay.is_some();
         }
         let counts = &mut self.upstreams[server.upstream].counts;
         counts.sends += 1;
@@ -167,7 +167,7 @@
             counts.extras += 1;
         }
         let outstanding = server.outstanding.len();
-        if send.relay.is_none() {
+        if send_part.relay.is_none() {
             let work = server.work(typical, now);
             server.backlog.sent(work, server.slots, self.entries, now);
         }
@@ -209,36 +209,36 @@
             until,
             workspace,
             whole_head: !gathers,
-            relay: send.relay,
+            relay: send_part.relay,
         }));
     }
 
     /// Lets a part that was not sent wait for a server with room, or gives it
     /// up if its service has none.
-    pub(super) fn wait_or_miss(
+    pub(super) fn enqueue_or_give_up(
         &mut self,
         call: SlotKey,
         part: usize,
-        reason: NoChoice,
+        reason: SelectionFailure,
         out: &mut Vec<ForwardAction>,
     ) {
         let Some(state) = self.calls.get_mut(call) else {
             return;
         };
         let part_state = &mut state.parts[part];
-        if reason == NoChoice::Full {
+        if reason == SelectionFailure::Full {
             if !part_state.waits {
                 part_state.waits = true;
                 let upstream = part_state.upstream;
                 self.upstreams[upstream].waiting.push_back((call, part));
             }
         } else if part_state.attempts.is_empty() {
-            self.miss(call, part, out);
+            self.give_up_part(call, part, out);
         }
     }
 
     /// Gives a part up whose service has no server left to ask.
-    fn miss(&mut self, call: SlotKey, part: usize, out: &mut Vec<ForwardAction>) {
+    fn give_up_part(&mut self, call: SlotKey, part: usize, out: &mut Vec<ForwardAction>) {
         let Some(state) = self.calls.get_mut(call) else {
             return;
         };
@@ -251,7 +251,7 @@
     }
 
     /// Returns why a part is sent that was sent before, or was not.
-    pub(super) fn cause_for(&self, call: SlotKey, part: usize) -> AttemptCause {
+    pub(super) fn attempt_cause(&self, call: SlotKey, part: usize) -> AttemptCause {
         let state = self.calls.get(call);
         let is_first = state.is_none_or(|state| state.parts[part].arrivals == 0);
         if is_first {
@@ -262,7 +262,7 @@
     }
 
     /// Gives the parts that wait for a service another try.
-    pub(super) fn serve_waiting(
+    pub(super) fn retry_waiting_parts(
         &mut self,
         upstream: UpstreamKey,
         now: Duration,
@@ -283,14 +283,14 @@
             if self.is_held(call, part) {
                 continue;
             }
-            let cause = self.cause_for(call, part);
-            match self.choose_for(call, part, now) {
+            let cause = self.attempt_cause(call, part);
+            match self.choose_server_for(call, part, now) {
                 Ok(choice) if self.afford(call, part, now, out) => {
-                    self.send_to(call, part, cause, choice, now, out);
+                    self.send_part_to(call, part, cause, choice, now, out);
                 }
                 Ok(_) => self.look_again(call, part, now, out),
                 Err(reason) => {
-                    self.wait_or_miss(call, part, reason, out);
+                    self.enqueue_or_give_up(call, part, reason, out);
                     self.check_end(call, now, out);
                 }
             }
--- a/crates/core/src/process/forward/server.rs
+++ b/crates/core/src/process/forward/server.rs
@@ -9,11 +9,11 @@
 use crate::process::forward::cold::{ColdWindow, DOUBT_TIME};
 use crate::process::forward::directory::ServerStanding;
 use crate::process::forward::expectation::ExpectationBasis;
-use crate::process::forward::home::RegionKey;
 use crate::process::forward::input::LoadReport;
 use crate::process::forward::pace::{PaceEstimate, PaceWay, ServerPace};
 use crate::process::forward::pause::PauseBook;
-use crate::process::forward::place::PlaceStep;
+use crate::process::forward::place::DomainProximity;
+use crate::process::forward::region_set::RegionKey;
 
 /// Weight of a new sample in the moving average of failures.
 const SAMPLE_WEIGHT: f64 = 0.15;
@@ -53,7 +53,7 @@
     /// Its failure domain.
     pub domain: Box<str>,
     /// How far off it is.
-    pub place: PlaceStep,
+    pub place: DomainProximity,
     /// Its region.
     pub region: RegionKey,
     /// Version of its software.
@@ -104,7 +104,7 @@
             upstream,
             address,
             domain: "".into(),
-            place: PlaceStep::Elsewhere,
+            place: DomainProximity::Elsewhere,
             region: RegionKey::UNKNOWN,
             version: "".into(),
             barred: false,
--- a/crates/core/src/process/forward/share.rs
+++ b/crates/core/src/process/forward/shard_owner.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 
 use crate::arena::UpstreamKey;
-use crate::process::forward::bundle::{DIVIDE_ABOVE, SHARE};
+use crate::process::forward::bundle::{MAX_UNDIVIDED_SHARDS, SHARD_GROUP_SIZE};
 use crate::process::forward::extra::ExtraView;
 use crate::process::forward::machine::ForwardMachine;
 use crate::process::rendezvous::rank;
@@ -14,15 +14,15 @@
     /// Takes over what the shards of a table are divided by. A service that was a
     /// shard stays one: while some entries have the new table and others not, equal
     /// parts beside holders' parts would exceed the bound.
-    pub(super) fn find_shares(&mut self, table: &RouteTable) {
+    pub(super) fn assign_shard_groups(&mut self, table: &RouteTable) {
         for route in table.routes() {
             let RouteTarget::Gather(names) = &route.target else {
                 continue;
             };
-            if names.len() <= DIVIDE_ABOVE {
+            if names.len() <= MAX_UNDIVIDED_SHARDS {
                 continue;
             }
-            for share in names.chunks(SHARE) {
+            for share in names.chunks(SHARD_GROUP_SIZE) {
                 for name in share {
                     let upstream = self.upstream(name);
                     let known = &mut self.upstreams[upstream].share_key;
@@ -30,18 +30,18 @@
                 }
             }
         }
-        self.find_held();
+        self.update_owned_shards();
     }
 
     /// Finds out which shards fall to this entry.
-    pub(super) fn find_held(&mut self) {
+    pub(super) fn update_owned_shards(&mut self) {
         let mut held: HashMap<Box<str>, bool> = HashMap::new();
         for (_, upstream) in self.upstreams.iter() {
             let Some(key) = &upstream.share_key else {
                 continue;
             };
             if !held.contains_key(key) {
-                held.insert(key.clone(), self.falls_here(key));
+                held.insert(key.clone(), self.is_owner_of(key));
             }
         }
         for (_, upstream) in self.upstreams.iter_mut() {
@@ -52,7 +52,7 @@
 
     /// Tells whether a key falls to this entry among those of its failure domain
     /// that are known. Before it has heard of them none does.
-    pub(super) fn falls_here(&self, key: &str) -> bool {
+    pub(super) fn is_owner_of(&self, key: &str) -> bool {
         if !self.knows_peers {
             return false;
         }
--- a/crates/core/src/process/forward/source.rs
+++ b/crates/core/src/process/forward/source.rs
@@ -14,7 +14,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::process::forward::place::PlaceStep;
+use crate::process::forward::place::DomainProximity;
 use crate::process::rendezvous::rank;
 
 /// Control instances that an entry is connected to.
@@ -35,7 +35,7 @@
     /// Its listener for entries.
     pub address: SocketAddr,
     /// Its failure domain, and how far off that is, if known.
-    pub place: Option<(&'a str, PlaceStep)>,
+    pub place: Option<(&'a str, DomainProximity)>,
     /// When it last could not be reached, was silent, or was out of contact with
     /// its group; none if that was long ago, or it was heard to be well since.
     pub doubted: Option<Duration>,
@@ -67,7 +67,7 @@
             (
                 candidate.doubted,
                 is_used && domain.is_some(),
-                place.unwrap_or(PlaceStep::Elsewhere),
+                place.unwrap_or(DomainProximity::Elsewhere),
                 Reverse(order),
             )
         });
--- a/crates/core/src/process/forward/split.rs
+++ b/crates/core/src/process/forward/split.rs
@@ -5,12 +5,12 @@
 use crate::version::route_table::WeightedService;
 
 /// Places of the sequence that a counter may begin at.
-const BEGINNINGS: u32 = 1000;
+const START_POSITIONS: u32 = 1000;
 
 /// Keeps each service's share of the requests near its weight's, also over
 /// short spans: the service that lags most behind its share is next.
 #[derive(Debug, Clone, Default)]
-pub struct SplitCounter {
+pub struct SplitScheduler {
     /// Weights that the credits are for.
     weights: Vec<f64>,
     credits: Vec<f64>,
@@ -18,14 +18,14 @@
     counts: Vec<u64>,
 }
 
-impl SplitCounter {
+impl SplitScheduler {
     /// Returns a counter that is somewhere in its sequence, by chance.
     ///
     /// Many entries see a request or two of a route. Did all begin at the same
     /// place, the heaviest service would get nearly all.
-    pub fn begin<R: Rng>(parts: &[WeightedService], rng: &mut R) -> SplitCounter {
-        let mut counter = SplitCounter::default();
-        for _ in 0..rng.random_range(0..BEGINNINGS) {
+    pub fn begin<R: Rng>(parts: &[WeightedService], rng: &mut R) -> SplitScheduler {
+        let mut counter = SplitScheduler::default();
+        for _ in 0..rng.random_range(0..START_POSITIONS) {
             counter.next(parts);
         }
         counter.counts.fill(0);
@@ -33,14 +33,14 @@
     }
 
     /// Tells whether the weights are those that it divides by.
-    pub fn divides_by(&self, parts: &[WeightedService]) -> bool {
+    pub fn uses_weights(&self, parts: &[WeightedService]) -> bool {
         let weights = parts.iter().map(|part| part.weight);
         weights.eq(self.weights.iter().copied())
     }
 
     /// Returns the place of the service for the next request.
     pub fn next(&mut self, parts: &[WeightedService]) -> usize {
-        if !self.divides_by(parts) {
+        if !self.uses_weights(parts) {
             self.weights = parts.iter().map(|part| part.weight).collect();
             self.credits = vec![0.0; parts.len()];
             self.counts = vec![0; parts.len()];
--- a/crates/core/tests/forward/homes.rs
+++ b/crates/core/tests/forward/allowed_regions.rs
@@ -1,10 +1,10 @@
 //! Homes of a route: nothing of its requests leaves them.
 
 use wheelmast_core::process::forward::answer::{AttemptOrder, ForwardAnswer, ForwardFailure};
-use wheelmast_core::process::forward::home::{HomeSet, RegionKey};
 use wheelmast_core::process::forward::input::AttemptEnd;
 use wheelmast_core::process::forward::machine::ForwardOptions;
 use wheelmast_core::process::forward::place::RegionMap;
+use wheelmast_core::process::forward::region_set::{RegionKey, RegionSet};
 use wheelmast_core::version::route_table::{RouteRule, RouteTarget};
 
 use crate::harness::{route, shards, table, Harness, HOME};
@@ -154,13 +154,13 @@
 fn a_set_holds_its_regions_and_no_unknown_one() {
     let map = regions();
     let east = map.homes(&["east".to_string()]);
-    assert!(east.holds(map.region_of(FAR)));
-    assert!(!east.holds(map.region_of(HOME)));
-    assert!(!east.holds(map.region_of("unheard")));
-    assert!(!east.holds(RegionKey::UNKNOWN));
-    assert!(map.homes(&[]).holds(RegionKey::UNKNOWN));
-    assert!(HomeSet::ANYWHERE.holds(map.region_of(FARTHER)));
-    let many = HomeSet::of((0..200).map(RegionKey::new));
-    assert!(many.holds(RegionKey::new(62)));
-    assert!(!many.holds(RegionKey::new(63)));
+    assert!(east.contains(map.region_of(FAR)));
+    assert!(!east.contains(map.region_of(HOME)));
+    assert!(!east.contains(map.region_of("unheard")));
+    assert!(!east.contains(RegionKey::UNKNOWN));
+    assert!(map.homes(&[]).contains(RegionKey::UNKNOWN));
+    assert!(RegionSet::ANYWHERE.contains(map.region_of(FARTHER)));
+    let many = RegionSet::of((0..200).map(RegionKey::new));
+    assert!(many.contains(RegionKey::new(62)));
+    assert!(!many.contains(RegionKey::new(63)));
 }
--- a/crates/core/tests/forward/chance.rs
+++ b/crates/core/tests/forward/chance.rs
@@ -9,7 +9,7 @@
 use wheelmast_core::process::forward::directory::{ServerDirectory, ServerNotice, ServerStanding};
 use wheelmast_core::process::forward::extra::{ExtraBound, ExtraBudget, SpendPace};
 use wheelmast_core::process::forward::input::{AttemptEnd, ForwardInput, ServerAnswer};
-use wheelmast_core::process::forward::split::SplitCounter;
+use wheelmast_core::process::forward::split::SplitScheduler;
 use wheelmast_core::process::input::CallTag;
 use wheelmast_core::version::route_table::{RouteTarget, WeightedService};
 
@@ -191,7 +191,7 @@
             .iter()
             .map(|weight| WeightedService { service: "s".into(), weight: *weight })
             .collect();
-        let mut counter = SplitCounter::default();
+        let mut counter = SplitScheduler::default();
         let mut counts = vec![0.0; parts.len()];
         for _ in 0..60 {
             counts[counter.next(&parts)] += 1.0;
--- a/crates/core/tests/forward/places.rs
+++ b/crates/core/tests/forward/proximity.rs
@@ -1,7 +1,7 @@
 //! Same failure domain, same region, elsewhere: whom an entry asks.
 
 use wheelmast_core::process::forward::machine::ForwardOptions;
-use wheelmast_core::process::forward::place::{PlaceStep, RegionMap};
+use wheelmast_core::process::forward::place::{DomainProximity, RegionMap};
 
 use crate::harness::{route, shards, table, Harness, HOME};
 
@@ -33,15 +33,15 @@
 #[test]
 fn there_are_three_steps() {
     let cases = [
-        (HOME, HOME, PlaceStep::Domain),
-        (HOME, BESIDE, PlaceStep::Region),
-        (HOME, FAR, PlaceStep::Elsewhere),
-        (HOME, "unknown", PlaceStep::Elsewhere),
-        ("unknown", "unheard", PlaceStep::Elsewhere),
-        ("unknown", "unknown", PlaceStep::Domain),
+        (HOME, HOME, DomainProximity::Domain),
+        (HOME, BESIDE, DomainProximity::Region),
+        (HOME, FAR, DomainProximity::Elsewhere),
+        (HOME, "unknown", DomainProximity::Elsewhere),
+        ("unknown", "unheard", DomainProximity::Elsewhere),
+        ("unknown", "unknown", DomainProximity::Domain),
     ];
     for (own, other, want) in cases {
-        assert_eq!(regions().step(own, other), want, "{own} to {other}");
+        assert_eq!(regions().proximity(own, other), want, "{own} to {other}");
     }
 }
 
--- a/crates/core/tests/forward/source.rs
+++ b/crates/core/tests/forward/source.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use wheelmast_core::process::forward::place::PlaceStep;
+use wheelmast_core::process::forward::place::DomainProximity;
 use wheelmast_core::process::forward::source::{
     choose_lines, choose_source, ControlPeer, LineCandidate, LINES,
 };
@@ -104,9 +104,9 @@
 /// Control instances in these failure domains; regions are their first letters.
 fn sites(domains: &[&'static str]) -> Vec<LineCandidate<'static>> {
     let place = |domain: &str| match domain {
-        OWN_DOMAIN => PlaceStep::Domain,
-        domain if domain.starts_with('a') => PlaceStep::Region,
-        _ => PlaceStep::Elsewhere,
+        OWN_DOMAIN => DomainProximity::Domain,
+        domain if domain.starts_with('a') => DomainProximity::Region,
+        _ => DomainProximity::Elsewhere,
     };
     let sites = domains.iter().enumerate();
     sites
--- a/crates/node/src/process/forward/feed.rs
+++ b/crates/node/src/process/forward/feed.rs
@@ -17,7 +17,7 @@
 use tokio::sync::Notify;
 use wheelmast_core::process::forward::input::{EntryPeer, ForwardInput};
 use wheelmast_core::process::forward::machine::ForwardMachine;
-use wheelmast_core::process::forward::place::PlaceStep;
+use wheelmast_core::process::forward::place::DomainProximity;
 use wheelmast_core::process::forward::source::ControlSite;
 use wheelmast_core::process::forward::suspect::record::SuspectRecord;
 use wheelmast_core::process::forward::suspect::NEWS_PAUSE;
@@ -111,9 +111,9 @@
     }
 
     /// Returns how far off a failure domain is.
-    fn place_of(&self, domain: &str) -> PlaceStep {
+    fn place_of(&self, domain: &str) -> DomainProximity {
         if *domain == *self.peer.domain {
-            return PlaceStep::Domain;
+            return DomainProximity::Domain;
         }
         self.entry.look(|machine| machine.place_of(domain))
     }
@@ -259,7 +259,7 @@
                 version,
             } => {
                 let place = self.place_of(&domain);
-                let is_near = place == PlaceStep::Domain;
+                let is_near = place == DomainProximity::Domain;
                 let place = Some((domain, place));
                 self.lines.borrow_mut().learn_site(address, place);
                 let state = LineState {
--- a/crates/node/src/process/forward/lines.rs
+++ b/crates/node/src/process/forward/lines.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use wheelmast_core::process::forward::place::PlaceStep;
+use wheelmast_core::process::forward::place::DomainProximity;
 use wheelmast_core::process::forward::source::{
     choose_lines, choose_source, ControlPeer, ControlSite, LineCandidate, LINES,
 };
@@ -57,7 +57,7 @@
 #[derive(Debug, Default)]
 struct KnownSite {
     /// Its failure domain, and how far off that is, if known.
-    place: Option<(Box<str>, PlaceStep)>,
+    place: Option<(Box<str>, DomainProximity)>,
     /// How often in a row it could not be reached.
     failures: u32,
     /// When it last failed, or said that it is out of contact with its group,
@@ -96,7 +96,7 @@
     }
 
     /// Takes note of a control instance, and of where it stands if that is known.
-    pub fn learn_site(&mut self, address: SocketAddr, place: Option<(Box<str>, PlaceStep)>) {
+    pub fn learn_site(&mut self, address: SocketAddr, place: Option<(Box<str>, DomainProximity)>) {
         let site = self.sites.entry(address).or_default();
         if place.is_some() {
             site.place = place;
@@ -298,7 +298,7 @@
         let lacking_since = *self.lacking_since.get_or_insert(now);
         let is_in_region = |site: &KnownSite| {
             let place = site.place.as_ref();
-            place.is_some_and(|(_, place)| *place <= PlaceStep::Region)
+            place.is_some_and(|(_, place)| *place <= DomainProximity::Region)
         };
         let is_near = self.sites.get(&source).is_some_and(is_in_region);
         if is_near || now > lacking_since + NEAR_TIME {
--- a/crates/node/src/process/group/answer.rs
+++ b/crates/node/src/process/group/answer.rs
@@ -150,7 +150,7 @@
 
 /// Takes a failure domain out of use, or back into use.
 async fn evacuate(node: &Rc<GroupNode>, domain: &str, evacuated: bool) -> FullResponse {
-    if !node.settings.regions.knows(domain) {
+    if !node.settings.regions.is_known(domain) {
         tracing::warn!(target: "group", domain, "evacuation: refused, no such failure domain");
         let text = format!("no failure domain {domain}");
         return text_response(StatusCode::NOT_FOUND, text);
