--- a/crates/core/src/process/forward/bundle.rs
+++ b/crates/core/src/process/forward/bundle.rs
@@ -1,15 +1,17 @@
-//! Planning which parts of a request other entries are asked for.
+//! Plans the bundles of a request. A bundle is several shards of one request that are
+//! sent to another entry in one message.
 //!
-//! Far shards: an entry would fetch each part by itself. Another entry next to
-//! these shards fetches and merges them, and its one answer is a fraction of
-//! these bytes over the same way.
+//! Far shards (without a usable server in the local failure domain): an entry near
+//! these shards queries and merges them, so that one merged answer crosses the network
+//! instead of many larger ones.
 //!
-//! Many near shards: an entry of a small machine would be busy with the parts
-//! for most of the objective. It divides them among the entries of its domain.
-//! The same shards always fall to the same entry, which so has warm connections
-//! to their servers and sees early which of them stand still.
+//! Many near shards: querying all of them would keep an entry on a small machine busy
+//! for most of the objective, so the shards are divided among the entries of the local
+//! failure domain. Rendezvous hashing assigns the same shards to the same entry each
+//! time; this entry has warm connections to their servers and notices early which
+//! servers are stalled.
 //!
-//! Should an entry refuse, the shards are asked from here.
+//! If the other entry refuses a bundle, the shards are sent to servers directly.
 
 use std::time::Duration;
 
@@ -22,31 +24,34 @@
 use crate::process::forward::region_set::RegionSet;
 use crate::process::rendezvous::rank;
 
-/// Fewest far shards that are asked for together.
+/// Minimum number of far shards in a bundle.
 const MIN_BUNDLE_SHARDS: usize = 3;
-/// Most domains whose entries are asked for one request.
+/// Maximum number of bundles for far shards per request, each to another failure domain.
 const MAX_BUNDLES: usize = 4;
-/// Near shards above which they are divided.
+/// Number of near shards above which they are divided among the local domain's entries.
 pub(super) const MAX_UNDIVIDED_SHARDS: usize = 24;
-/// Shards of a route that fall to one entry together.
+/// Number of consecutive shards of a route that are assigned to one entry as a group.
 pub(super) const SHARD_GROUP_SIZE: usize = 12;
-/// Ways that differ by less than this part of the objective count as equal.
+/// Step to which round-trip times are rounded down before they are compared, as a
+/// fraction of the route's objective.
 const RTT_STEP_SHARE: f64 = 0.05;
-/// Connections to another entry, at most.
+/// Maximum number of connections to another entry.
 pub(super) const MAX_RELAY_CONNECTIONS: usize = 64;
 
-/// Parts for one other entry.
+/// A bundle that is to be sent: the chosen entry and the parts for it.
 #[derive(Debug)]
 pub(super) struct BundlePlan {
+    /// The entry that receives the bundle.
     pub(super) choice: ServerChoice,
+    /// Indexes of the parts in the request.
     pub(super) parts: Vec<usize>,
-    /// Whether the entry may divide them further.
+    /// Whether the receiving entry may divide the parts among the entries of its domain.
     pub(super) divides: bool,
 }
 
 impl ForwardMachine {
-    /// Asks other entries for parts, where that is better than to ask for them
-    /// from here.
+    /// Sends bundles of unsent parts to other entries: near parts if there are more than
+    /// [`MAX_UNDIVIDED_SHARDS`], and far parts if this request was not itself relayed.
     pub(super) fn send_bundles(
         &mut self,
         call: SlotKey,
@@ -59,11 +64,14 @@
         if !state.gathers || self.peer_domains.is_empty() || state.plan.aim <= now {
             return;
         }
-        let (relayed, divides, homes) = (state.relayed, state.divides, state.homes);
-        let own = self.options.domain.clone();
+        let (relayed, divides, regions) = (state.relayed, state.divides, state.homes);
+        let local_domain = self.options.domain.clone();
         let (near, mut far): (Vec<usize>, Vec<usize>) = (0..state.parts.len())
             .filter(|part| state.parts[*part].is_open() && state.parts[*part].arrivals == 0)
-            .partition(|part| self.has_usable_server_in(state.parts[*part].upstream, &own, homes));
+            .partition(|part| {
+                let upstream = state.parts[*part].upstream;
+                self.has_usable_server_in(upstream, &local_domain, regions)
+            });
         let mut plans = Vec::new();
         if divides && near.len() > MAX_UNDIVIDED_SHARDS {
             plans.extend(self.plan_near_bundles(call, &near, now));
@@ -81,7 +89,8 @@
         }
     }
 
-    /// Divides near shards among the entries of this domain.
+    /// Divides near shards into groups of [`SHARD_GROUP_SIZE`] and plans a bundle for
+    /// each group that is assigned to another entry of the local failure domain.
     fn plan_near_bundles(&self, call: SlotKey, near: &[usize], now: Duration) -> Vec<BundlePlan> {
         let Some(state) = self.calls.get(call) else {
             return Vec::new();
@@ -91,20 +100,20 @@
             return Vec::new();
         };
         let names = state.gathered();
-        let mut shares = vec![Vec::new(); names.len().div_ceil(SHARD_GROUP_SIZE)];
-        // The parts stand in the order of the route's services.
-        let mut place = 0;
+        let mut groups = vec![Vec::new(); names.len().div_ceil(SHARD_GROUP_SIZE)];
+        // The parts are in the order of the route's services.
+        let mut service_index = 0;
         for part in near {
             let name = &*self.upstreams[state.parts[*part].upstream].name;
-            while names.get(place).is_some_and(|other| other != name) {
-                place += 1;
+            while names.get(service_index).is_some_and(|other| other != name) {
+                service_index += 1;
             }
-            if place < names.len() {
-                shares[place / SHARD_GROUP_SIZE].push(*part);
+            if service_index < names.len() {
+                groups[service_index / SHARD_GROUP_SIZE].push(*part);
             }
         }
-        let shares = shares.into_iter().enumerate();
-        let plans = shares.filter_map(|(index, parts)| {
+        let groups = groups.into_iter().enumerate();
+        let plans = groups.filter_map(|(index, parts)| {
             let key = &names[index * SHARD_GROUP_SIZE];
             let choice = self.select_entry(*entries, key, true, state.homes, &[], now)?;
             (!parts.is_empty()).then_some(BundlePlan {
@@ -116,9 +125,11 @@
         plans.collect()
     }
 
-    /// Finds the nearest domain with entries that has far shards, and of
-    /// domains that are as near the one that has most. Ways alone do not tell:
-    /// one that was never taken is not known, and looks short.
+    /// Plans a bundle of far parts for an entry of the nearest failure domain that has
+    /// both an available entry and servers of at least [`MIN_BUNDLE_SHARDS`] of these
+    /// parts. Compares domains by proximity, then by rounded round-trip time, then by the
+    /// number of parts. The round-trip time alone is not enough: until it is measured,
+    /// a short default is assumed.
     fn plan_far_bundle(&self, call: SlotKey, far: &[usize], now: Duration) -> Option<BundlePlan> {
         let state = self.calls.get(call)?;
         let step = state
@@ -138,17 +149,22 @@
                     self.has_usable_server_in(state.parts[*part].upstream, domain, state.homes)
                 })
                 .collect();
-            let own = &self.options.own;
-            let choice = self.select_entry(*entries, own, false, state.homes, &[], now);
+            let local_id = &self.options.own;
+            let choice = self.select_entry(*entries, local_id, false, state.homes, &[], now);
             let Some(choice) = choice else {
                 continue;
             };
             if parts.len() < MIN_BUNDLE_SHARDS {
                 continue;
             }
-            let way = (choice.expected.as_secs_f64() / step.max(1e-6)) as u64;
-            let place = self.place_of(domain);
-            let rank = (place, way, usize::MAX - parts.len(), choice.expected);
+            let round_trip = (choice.expected.as_secs_f64() / step.max(1e-6)) as u64;
+            let proximity = self.place_of(domain);
+            let rank = (
+                proximity,
+                round_trip,
+                usize::MAX - parts.len(),
+                choice.expected,
+            );
             if best.as_ref().is_none_or(|(least, _)| rank < *least) {
                 let plan = BundlePlan {
                     choice,
@@ -161,54 +177,55 @@
         best.map(|(_, plan)| plan)
     }
 
-    /// Returns the entry of a domain to which `key` falls, but for those in
-    /// `without`, with the way there as the time to expect. None if that is
-    /// this entry, where it `counts` among them, or if all are silent.
+    /// Selects the available entry of a failure domain that ranks highest for `key` by
+    /// rendezvous hashing, except those in `excluded`. The choice's expected time is the
+    /// round-trip time. Returns `None` if no entry is available, or if this entry ranks
+    /// highest and `includes_self` is set.
     pub(super) fn select_entry(
         &self,
         entries: UpstreamKey,
         key: &str,
-        counts: bool,
-        homes: RegionSet,
-        without: &[ServerKey],
+        includes_self: bool,
+        regions: RegionSet,
+        excluded: &[ServerKey],
         now: Duration,
     ) -> Option<ServerChoice> {
         let typical = self.timings[self.relay_timing].relay();
         let rank = |id: &str| rank(key, id);
         let servers = &self.upstreams[entries].servers;
-        let able = servers.iter().filter(|server| {
+        let available = servers.iter().filter(|server| {
             let state = &self.servers[**server];
             state.standing == ServerStanding::Ready
                 && now >= state.rest_until
-                && !without.contains(server)
-                && homes.allows(state)
+                && !excluded.contains(server)
+                && regions.allows(state)
                 && state.outstanding.len() < MAX_RELAY_CONNECTIONS
                 && !state.is_still(typical, now)
         });
-        let best = able.max_by_key(|server| rank(&self.servers[**server].id))?;
+        let best = available.max_by_key(|server| rank(&self.servers[**server].id))?;
         let state = &self.servers[*best];
-        if counts && rank(&self.options.own) > rank(&state.id) {
+        if includes_self && rank(&self.options.own) > rank(&state.id) {
             return None;
         }
         Some(ServerChoice {
-            server: homes.permit(*best, state)?,
+            server: regions.permit(*best, state)?,
             expected: state.way(),
             candidates: servers.len(),
         })
     }
 
-    /// Tells whether a service has a server in a domain that takes work, answers
-    /// and may be asked.
+    /// Returns whether a service has a server in this failure domain whose lease has not
+    /// expired and that the request may be sent to.
     pub(super) fn has_usable_server_in(
         &self,
         upstream: UpstreamKey,
         domain: &str,
-        homes: RegionSet,
+        regions: RegionSet,
     ) -> bool {
         let mut servers = self.upstreams[upstream].servers.iter();
         servers.any(|server| {
             let state = &self.servers[*server];
-            *state.domain == *domain && !state.silent && homes.allows(state)
+            *state.domain == *domain && !state.silent && regions.allows(state)
         })
     }
 }
--- a/crates/core/src/process/forward/choose.rs
+++ b/crates/core/src/process/forward/choose.rs
@@ -1,4 +1,6 @@
-//! Choosing the server that is asked.
+//! Chooses the server of a service that gets an attempt. Each available server has a
+//! cost: its expected response time plus penalties for distance, failures and other
+//! risks, changed by some random jitter. The server with the lowest cost is chosen.
 
 use std::time::Duration;
 
@@ -14,110 +16,115 @@
 use crate::process::forward::server::ServerState;
 use crate::process::forward::version::VersionWish;
 
-/// Largest part by which chance changes an expected time, so that entries that
-/// know the same do not all choose the same.
+/// Maximum fraction by which the random jitter raises a server's cost. Without jitter,
+/// entries with the same information would all choose the same server.
 const MAX_JITTER: f64 = 0.15;
-/// What an answer from another region costs, as a part of the objective: bytes
-/// between regions are dear, and a near server that answers in time is as good.
-/// On 15 plays of a deployment whose ways between regions are a sixth of the
-/// objective, 0.4, 0.3 and 0.2 earned 0.642, 0.652 and 0.656 of the worth.
+/// Penalty for a server in another region, as a fraction of the objective. Traffic
+/// between regions is expensive, and a near server that answers in time is as good. In
+/// 15 simulated runs of a deployment whose round trip between regions is a sixth of the
+/// objective, penalties of 0.4, 0.3 and 0.2 earned 0.642, 0.652 and 0.656 of the
+/// value that the simulation assigns to requests answered in time.
 const OTHER_REGION_COST: f64 = 0.2;
-/// The same for another failure domain of the region, whose bytes cost a quarter
-/// on a deployment of six domains in three regions.
+/// Penalty for a server in another failure domain of the same region, as a fraction of
+/// the objective. In a deployment of six domains in three regions, this traffic costs a
+/// quarter of that between regions.
 const OTHER_DOMAIN_COST: f64 = 0.075;
-/// What a new connection costs, as time.
+/// Penalty if a new connection has to be opened.
 const CONNECT_COST: Duration = Duration::from_millis(5);
-/// What a server that failed last costs, as time, where a request may not be
+/// Penalty for a server whose recent answers all failed, if the request may not be
 /// repeated.
 const FAILURE_COST: Duration = Duration::from_millis(250);
-/// What a repeat costs while the bound on extra load is untouched, as a part of
-/// the objective.
+/// Cost of a retry while the extra-load budget is unspent, as a fraction of the
+/// objective.
 const MIN_RETRY_COST: f64 = 0.1;
-/// What it costs when the bound is spent: the part waits for room, and is
-/// likely lost. At one objective the bound stayed spent while half of the
-/// servers shed.
+/// Cost of a retry when the extra-load budget is spent, as a fraction of the objective:
+/// the part then waits for the budget and is likely lost. With a cost of one objective,
+/// the budget stayed spent while half of the servers were shedding load.
 const MAX_RETRY_COST: f64 = 2.5;
-/// What a server costs that is silent at the control group or rests, as time.
+/// Penalty for a server whose lease at the control group has expired, or that this entry
+/// backs off from.
 const UNAVAILABLE_COST: Duration = Duration::from_secs(2);
-/// Requests for each slot that an entry may have at a near server.
+/// Number of requests per slot (concurrent request of the server) that an entry may have
+/// outstanding at a server of its own failure domain.
 const REQUESTS_PER_SLOT: usize = 2;
-/// Part of a server's connections that all entries together use.
+/// Fraction of a server's connection limit that all entries together may use.
 const SHARED_CONNECTION_USE: f64 = 0.85;
 
-/// What is expected of an answer.
+/// Properties of a request that the choice of a server depends on.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SelectionCriteria {
-    /// Time an idle server typically takes.
+    /// Response time that is typical of an idle server.
     pub(super) typical: Duration,
-    /// Time within which the whole answer should go out.
+    /// Time within which the caller should get the whole answer.
     pub(super) objective: Duration,
-    /// Whether a far server costs no more than a near one: a repeat of a
-    /// request that one server answers is few bytes, and what slows a server
-    /// often slows those beside it.
+    /// Whether distance adds no penalty. Set for retries and hedges of a request that a
+    /// single server answers: such an answer is small, and a fault that slows one server
+    /// often slows the servers of the same failure domain too.
     pub(super) ignores_distance: bool,
-    /// Whether it may be repeated.
-    pub(super) repeats: bool,
-    /// Where it may be served.
+    /// Whether the request may be repeated, as its route is idempotent.
+    pub(super) is_repeatable: bool,
+    /// Regions in which the request may be served.
     pub(super) homes: RegionSet,
 }
 
-/// The choice of a server.
+/// The server that was chosen for an attempt.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ServerChoice {
+    /// The server or entry, with the permission to send the request there.
     pub(super) server: PermittedServer,
-    /// Time to expect to an answer.
+    /// Expected time until the answer arrives.
     pub(super) expected: Duration,
-    /// Servers that could have been asked.
+    /// Number of servers that the choice was made from.
     pub(super) candidates: usize,
 }
 
-/// Why there is no choice.
+/// Why no server could be chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum SelectionFailure {
-    /// The service has no server that takes work and may be asked.
+    /// The service has no ready server that the request may be sent to.
     NoServer,
-    /// All of its servers have as many requests as they may.
+    /// All usable servers already have the maximum number of requests.
     Full,
 }
 
 impl ForwardMachine {
-    /// Chooses a server of a service out of those not in `tried`, of the version
-    /// that the request is to go to.
+    /// Chooses a server of a service, except those in `tried`. During a roll-out, the
+    /// roll-out decides whether the server must run the new or an old version.
     pub(super) fn choose_server(
         &mut self,
         upstream: UpstreamKey,
         tried: &[ServerKey],
-        times: SelectionCriteria,
+        criteria: SelectionCriteria,
         now: Duration,
     ) -> Result<ServerChoice, SelectionFailure> {
         match self.wish_version(upstream, !tried.is_empty(), now) {
-            VersionWish::Any => self.choose_server_of_version(upstream, None, tried, times, now),
+            VersionWish::Any => self.choose_server_of_version(upstream, None, tried, criteria, now),
             VersionWish::Old => {
-                self.choose_server_of_version(upstream, Some(false), tried, times, now)
+                self.choose_server_of_version(upstream, Some(false), tried, criteria, now)
             }
             VersionWish::NewFirst => {
-                let new = self.choose_server_of_version(upstream, Some(true), tried, times, now);
+                let new = self.choose_server_of_version(upstream, Some(true), tried, criteria, now);
                 new.or_else(|_| {
-                    self.choose_server_of_version(upstream, Some(false), tried, times, now)
+                    self.choose_server_of_version(upstream, Some(false), tried, criteria, now)
                 })
             }
         }
     }
 
-    /// Chooses a server, of the version that is rolled out or of the others, if
-    /// that is said.
+    /// Chooses the server with the lowest cost. If `target` is set, only servers of the
+    /// version that is rolled out (`true`) or of other versions (`false`) are considered.
     fn choose_server_of_version(
         &mut self,
         upstream: UpstreamKey,
         target: Option<bool>,
         tried: &[ServerKey],
-        times: SelectionCriteria,
+        criteria: SelectionCriteria,
         now: Duration,
     ) -> Result<ServerChoice, SelectionFailure> {
         let mut best: Option<(PermittedServer, f64, Duration)> = None;
         let mut candidates = 0;
         let mut is_full = false;
-        let repeat = self.retry_cost(upstream, times, now);
+        let retry_cost = self.retry_cost(upstream, criteria, now);
         for server in &self.upstreams[upstream].servers {
             let state = &self.servers[*server];
             if state.standing != ServerStanding::Ready || tried.contains(server) {
@@ -126,11 +133,11 @@
             if target.is_some_and(|target| target != self.is_target(*server)) {
                 continue;
             }
-            let Some(permitted) = times.homes.permit(*server, state) else {
+            let Some(permitted) = criteria.homes.permit(*server, state) else {
                 continue;
             };
-            // It is not waited for: nothing says when it has room, and the caller
-            // can come back.
+            // A cold server at its limit does not count as full: the part would be queued,
+            // but no event tells when the server has capacity again. The caller can retry.
             if !self.has_cold_capacity(*server, now) {
                 continue;
             }
@@ -143,11 +150,11 @@
                 continue;
             }
             candidates += 1;
-            let expected = state.expect(times.typical, self.pause_vote.interval(), now);
+            let expected = state.expect(criteria.typical, self.pause_vote.interval(), now);
             let jitter = 1.0 + MAX_JITTER * self.rng.random::<f64>();
-            let failing = repeat.map_or(FAILURE_COST, |repeat| expected + repeat);
-            let doubt = selection_penalty(state, times, failing, now);
-            let cost = (expected + doubt).as_secs_f64() * jitter;
+            let failure_cost = retry_cost.map_or(FAILURE_COST, |cost| expected + cost);
+            let penalty = selection_penalty(state, criteria, failure_cost, now);
+            let cost = (expected + penalty).as_secs_f64() * jitter;
             if best.is_none_or(|(_, least, _)| cost < least) {
                 best = Some((permitted, cost, expected));
             }
@@ -163,25 +170,26 @@
         }
     }
 
-    /// Returns what a repeat costs besides the time that was lost, if the
-    /// request may be repeated: the more of the bound on extra load is spent,
-    /// the more.
+    /// Returns the cost of a retry in addition to the time lost, or `None` if the request
+    /// may not be repeated. The cost grows with the square of the spent share of the
+    /// extra-load budget.
     fn retry_cost(
         &self,
         upstream: UpstreamKey,
-        times: SelectionCriteria,
+        criteria: SelectionCriteria,
         now: Duration,
     ) -> Option<Duration> {
-        if !times.repeats {
+        if !criteria.is_repeatable {
             return None;
         }
         let budget = &self.upstreams[upstream].budget;
         let spent = budget.spent_share(&self.options.extra, self.extra_view(upstream), now);
-        let part = MIN_RETRY_COST + (MAX_RETRY_COST - MIN_RETRY_COST) * spent * spent;
-        Some(times.objective.mul_f64(part))
+        let cost_share = MIN_RETRY_COST + (MAX_RETRY_COST - MIN_RETRY_COST) * spent * spent;
+        Some(criteria.objective.mul_f64(cost_share))
     }
 
-    /// Tells whether a server that is cold may get one more request.
+    /// Returns whether a server may get one more request under the limit for cold
+    /// servers. A server is cold just after its start or return, while its caches are empty.
     fn has_cold_capacity(&self, server: ServerKey, now: Duration) -> bool {
         let state = &self.servers[server];
         let per_s = self.upstreams[state.upstream].cold_per_s;
@@ -197,18 +205,19 @@
         state.cold.has_room(allowance, now)
     }
 
-    /// Tells whether a server falls to this entry among the entries of the
-    /// server's failure domain. Before it has heard of the others none does.
+    /// Returns whether rendezvous hashing assigns a server to this entry among the entries
+    /// of the server's failure domain. False until this entry has received the list of
+    /// entries.
     fn owns_server(&self, state: &ServerState) -> bool {
         state.place == DomainProximity::Domain && self.is_owner_of(&state.id)
     }
 
-    /// Returns how many connections this entry may have to a server: its part
-    /// of the server's limit, which all entries share.
+    /// Returns the maximum number of connections from this entry to a server: this
+    /// entry's share of the server's limit, which all entries share.
     ///
-    /// A near server is asked mostly by the entries of its domain, and there,
-    /// with many entries, by the one to which its shard falls: they may keep
-    /// its slots busy and as much again waiting.
+    /// A server gets most requests from the entries of its own failure domain, and if
+    /// there are many entries, from the one that owns its shard. These entries may
+    /// therefore keep all slots of the server busy and queue as many requests again.
     pub fn connection_cap(&self, server: ServerKey) -> usize {
         let state = &self.servers[server];
         let upstream = &self.upstreams[state.upstream];
@@ -216,46 +225,46 @@
             return MAX_RELAY_CONNECTIONS;
         }
         let used = f64::from(upstream.connections) * SHARED_CONNECTION_USE;
-        let part = (used / f64::from(self.entries.max(1))) as usize;
+        let equal_share = (used / f64::from(self.entries.max(1))) as usize;
         if state.place != DomainProximity::Domain {
-            return part.max(1);
+            return equal_share.max(1);
         }
-        let near_part = (used / f64::from(self.near_entries)) as usize;
-        let busy = state.slots as usize * REQUESTS_PER_SLOT;
-        part.max(near_part.min(busy)).max(1)
+        let domain_share = (used / f64::from(self.near_entries)) as usize;
+        let slot_limit = state.slots as usize * REQUESTS_PER_SLOT;
+        equal_share.max(domain_share.min(slot_limit)).max(1)
     }
 }
 
-/// Returns what an answer from there costs, as a part of the objective.
-fn distance_cost(place: DomainProximity) -> f64 {
-    match place {
+/// Returns the penalty for a server's distance, as a fraction of the objective.
+fn distance_cost(proximity: DomainProximity) -> f64 {
+    match proximity {
         DomainProximity::Domain => 0.0,
         DomainProximity::Region => OTHER_DOMAIN_COST,
         DomainProximity::Elsewhere => OTHER_REGION_COST,
     }
 }
 
-/// Returns what speaks against a server besides its expected time, where a
-/// failure costs `failing`.
+/// Returns the penalties that are added to a server's expected response time.
+/// `failure_cost` is the time that a failed attempt costs.
 fn selection_penalty(
     state: &ServerState,
-    times: SelectionCriteria,
-    failing: Duration,
+    criteria: SelectionCriteria,
+    failure_cost: Duration,
     now: Duration,
 ) -> Duration {
-    let mut doubt = failing.mul_f64(state.failing);
-    if !times.ignores_distance {
-        doubt += times.objective.mul_f64(distance_cost(state.place));
+    let mut penalty = failure_cost.mul_f64(state.failing);
+    if !criteria.ignores_distance {
+        penalty += criteria.objective.mul_f64(distance_cost(state.place));
     }
     if state.idle == 0 {
-        doubt += CONNECT_COST;
+        penalty += CONNECT_COST;
     }
     if state.silent || now < state.rest_until {
-        doubt += UNAVAILABLE_COST;
+        penalty += UNAVAILABLE_COST;
     }
     if state.outstanding.iter().any(|attempt| attempt.on_trial) {
-        // It may end under that, with all that is beside it.
-        doubt += times.objective;
+        // The server may crash under a canary attempt and fail all its other requests.
+        penalty += criteria.objective;
     }
-    doubt
+    penalty
 }
--- a/crates/core/src/process/forward/place.rs
+++ b/crates/core/src/process/forward/place.rs
@@ -1,27 +1,27 @@
-//! How far off the servers and entries of a failure domain are.
+//! Proximity of failure domains: the same domain, the same region or elsewhere.
 //!
-//! Bytes within a region cost a fraction of those between regions, and take a
-//! tenth of the time. The region of each failure domain is in the settings; it
-//! cannot be learned from the ways alone, as an entry that makes a request in
-//! some seconds has been to few others.
+//! Traffic within a region costs a fraction of traffic between regions and takes a tenth
+//! of the time. The settings give the region of each failure domain. Measured round-trip
+//! times are not enough to find it, as an entry with one request in several seconds
+//! has contacted few other domains.
 
 use std::collections::BTreeMap;
 
 use crate::process::forward::region_set::{RegionKey, RegionSet};
 
-/// How far off a failure domain is; the order is by distance.
+/// How near a failure domain is to the local one. Nearer values sort first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum DomainProximity {
     /// The same failure domain.
     Domain,
-    /// Another one of the same region.
+    /// Another failure domain of the same region.
     Region,
-    /// Another region, or one that is not known.
+    /// Another region, or an unknown one.
     Elsewhere,
 }
 
 impl DomainProximity {
-    /// Returns a word for logs.
+    /// Returns the name that is used in logs.
     pub fn word(self) -> &'static str {
         match self {
             DomainProximity::Domain => "domain",
@@ -31,25 +31,25 @@
     }
 }
 
-/// The regions of the failure domains.
+/// Maps each failure domain to its region, as the settings give them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RegionMap {
-    /// Places of the regions in `names`, by failure domain.
+    /// Index in `names` of each failure domain's region.
     regions: BTreeMap<Box<str>, usize>,
-    /// The regions, in the order of their names.
+    /// Names of the regions, sorted and without duplicates.
     names: Vec<Box<str>>,
 }
 
 impl RegionMap {
-    /// Returns the map of these pairs of failure domain and region.
+    /// Creates a map from pairs of failure domain and region.
     pub fn new(regions: impl IntoIterator<Item = (Box<str>, Box<str>)>) -> RegionMap {
         let pairs: BTreeMap<Box<str>, Box<str>> = regions.into_iter().collect();
         let mut names: Vec<Box<str>> = pairs.values().cloned().collect();
         names.sort_unstable();
         names.dedup();
-        let place = |region: &str| names.partition_point(|name| **name < *region);
+        let index = |region: &str| names.partition_point(|name| **name < *region);
         let pairs = pairs.iter();
-        let regions = pairs.map(|(domain, region)| (domain.clone(), place(region)));
+        let regions = pairs.map(|(domain, region)| (domain.clone(), index(region)));
         RegionMap {
             regions: regions.collect(),
             names,
@@ -61,36 +61,37 @@
         self.regions.len()
     }
 
-    /// Returns the region of a failure domain.
+    /// Returns the region of a failure domain, or [`RegionKey::UNKNOWN`] if the settings
+    /// do not name the domain.
     pub fn region_of(&self, domain: &str) -> RegionKey {
-        let place = self.regions.get(domain);
-        place.map_or(RegionKey::UNKNOWN, |place| RegionKey::new(*place))
+        let index = self.regions.get(domain);
+        index.map_or(RegionKey::UNKNOWN, |index| RegionKey::new(*index))
     }
 
-    /// Returns the set of the regions of these names; all regions if there are
-    /// none. A name that is not known stands for no failure domain.
+    /// Returns the set of regions with these names (the `homes` of a route or a
+    /// workspace), or all regions if `names` is empty. Unknown names are ignored.
     pub fn homes(&self, names: &[String]) -> RegionSet {
         if names.is_empty() {
             return RegionSet::ANYWHERE;
         }
-        let places = names
+        let indexes = names
             .iter()
             .filter_map(|name| self.names.iter().position(|region| **region == **name));
-        RegionSet::of(places.map(RegionKey::new))
+        RegionSet::of(indexes.map(RegionKey::new))
     }
 
-    /// Tells whether a failure domain is among those known. All are taken for
-    /// known if the settings name none.
+    /// Returns whether the settings name a failure domain. True for every domain if the
+    /// settings name none.
     pub fn is_known(&self, domain: &str) -> bool {
         self.regions.is_empty() || self.regions.contains_key(domain)
     }
 
-    /// Returns how far off a failure domain is from another.
-    pub fn proximity(&self, own: &str, other: &str) -> DomainProximity {
-        if own == other {
+    /// Returns the proximity of two failure domains.
+    pub fn proximity(&self, local: &str, other: &str) -> DomainProximity {
+        if local == other {
             return DomainProximity::Domain;
         }
-        let region = self.regions.get(own);
+        let region = self.regions.get(local);
         if region.is_some() && region == self.regions.get(other) {
             DomainProximity::Region
         } else {
--- a/crates/core/src/process/forward/relay.rs
+++ b/crates/core/src/process/forward/relay.rs
@@ -1,6 +1,8 @@
-//! The other entries, and what becomes of the parts that they are asked for.
-//! Which these are is planned in [`crate::process::forward::bundle`]; what is
-//! done about an entry that is late, in [`crate::process::forward::reroute`].
+//! Tracks the other entries, sends relays to them and accepts their merged answers. A
+//! relay is a request, or some of its shards, that is sent to another entry.
+//!
+//! [`crate::process::forward::bundle`] plans which parts are relayed;
+//! [`crate::process::forward::reroute`] handles entries that do not acknowledge a relay.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -16,29 +18,32 @@
 use crate::process::forward::send::AttemptPlan;
 use crate::process::forward::server::ServerState;
 
-/// Least time that an entry which was silent is left alone: each request that
-/// asks it loses its share, and the control group drops it by then if it is
-/// gone.
+/// Minimum time for which an unresponsive entry gets no relays. Each request relayed to
+/// an unresponsive entry loses these shards; by the end of this time the control group
+/// removes the entry if it has failed.
 pub(super) const UNRESPONSIVE_BACKOFF: Duration = Duration::from_secs(3);
-/// Time that the way back and the merge of a bundle are given.
+/// Time reserved for the merge of a bundle and for returning the answer, in addition to
+/// the round-trip time.
 const RETURN_MARGIN: Duration = Duration::from_millis(5);
 
 impl ForwardMachine {
-    /// Takes over the entries that take requests.
+    /// Replaces the set of known entries: adds new ones, marks missing ones as gone and
+    /// recomputes which shards this entry owns.
     pub(super) fn set_peers(
         &mut self,
         peers: Vec<EntryPeer>,
         now: Duration,
         out: &mut Vec<ForwardAction>,
     ) {
-        let near = peers
+        let near_peers = peers
             .iter()
             .filter(|peer| peer.domain == self.options.domain);
         self.knows_peers = true;
-        self.near_entries = (near.count() as u32).max(1);
-        let known = self.peer_domains.iter();
-        let known: Vec<UpstreamKey> = known.map(|(_, upstream)| *upstream).collect();
-        let mut wanted = HashSet::with_capacity(peers.len());
+        self.near_entries = (near_peers.count() as u32).max(1);
+        let known_domains = self.peer_domains.iter();
+        let known_domains: Vec<UpstreamKey> =
+            known_domains.map(|(_, upstream)| *upstream).collect();
+        let mut current_ids = HashSet::with_capacity(peers.len());
         for peer in &peers {
             let id = peer.id();
             if id == self.options.own {
@@ -46,17 +51,17 @@
             }
             if !self.server_ids.contains_key(&id) {
                 self.add_peer(peer, id.clone());
-                if !known.is_empty() {
-                    // It takes requests that came to the others so far.
+                if !known_domains.is_empty() {
+                    // The new entry takes over requests that other entries received before.
                     self.shifts_until = now + self.options.extra.window;
                 }
             }
-            wanted.insert(id);
+            current_ids.insert(id);
         }
-        for upstream in known {
+        for upstream in known_domains {
             for server in self.upstreams[upstream].servers.clone() {
                 let id = self.servers[server].id.clone();
-                if !wanted.contains(&*id) {
+                if !current_ids.contains(&*id) {
                     self.server_ids.remove(&*id);
                     self.end_watch.note_lost_entry(now);
                     self.set_standing(server, ServerStanding::Gone, out);
@@ -66,6 +71,7 @@
         self.update_owned_shards();
     }
 
+    /// Adds another entry to the servers, under the upstream of its failure domain.
     fn add_peer(&mut self, peer: &EntryPeer, id: Box<str>) {
         let upstream = self.find_or_add_peer_domain(&peer.domain);
         let mut state = ServerState::new(id.clone().into(), upstream, peer.address);
@@ -78,6 +84,8 @@
         self.upstreams[upstream].servers.push(server);
     }
 
+    /// Returns the upstream that stands for the entries of a failure domain, and adds one
+    /// if the domain is new.
     fn find_or_add_peer_domain(&mut self, domain: &str) -> UpstreamKey {
         let found = self.peer_domains.iter().find(|(name, _)| **name == *domain);
         if let Some((_, upstream)) = found {
@@ -89,6 +97,8 @@
         upstream
     }
 
+    /// Sends a bundle to the planned entry, with the attempt allowance for its parts and
+    /// the time by which the answer must be sent.
     pub(super) fn send_bundle(
         &mut self,
         call: SlotKey,
@@ -105,40 +115,41 @@
             divides,
         } = plan;
         let entry = &self.servers[choice.server.key()];
-        let way = entry.way();
-        // Within a failure domain ways are short.
+        let round_trip = entry.way();
+        // Within a failure domain the round trip is short, so the default time is used
+        // if none was measured.
         let is_near = entry.place == DomainProximity::Domain;
-        let known_way = entry.known_way().or(is_near.then_some(way));
-        let loan = ForwardMachine::compute_allowance(state, &parts, known_way, now);
+        let known_rtt = entry.known_way().or(is_near.then_some(round_trip));
+        let allowance = ForwardMachine::compute_allowance(state, &parts, known_rtt, now);
         let shards = parts.iter().map(|part| {
             let upstream = state.parts[*part].upstream;
             self.upstreams[upstream].name.clone()
         });
-        let relay = RelayOrder {
+        let order = RelayOrder {
             version: state.table.version(),
-            answer_by: state.plan.aim.saturating_sub(way + RETURN_MARGIN),
-            attempts: loan.attempts,
+            answer_by: state.plan.aim.saturating_sub(round_trip + RETURN_MARGIN),
+            attempts: allowance.attempts,
             earns: state.earns && parts.iter().all(|part| state.parts[*part].arrivals == 0),
             divides,
             workspace: state.workspace.clone(),
             shards: shards.collect(),
         };
-        let send = AttemptPlan {
+        let plan = AttemptPlan {
             cause: AttemptCause::Relay,
             choice,
             timing: self.relay_timing,
-            patience: loan.due.saturating_sub(now),
-            runs: loan.attempts,
-            relay: Some(relay),
+            check_after: allowance.ack_due.saturating_sub(now),
+            runs: allowance.attempts,
+            relay: Some(order),
             parts,
         };
-        self.send_attempt(call, send, now, out);
+        self.send_attempt(call, plan, now, out);
     }
 
-    /// Takes the parts that another entry gathered. Their records are merged
-    /// and cannot be taken apart: a part among them that a server answered in
-    /// the meantime is taken from the bundle instead. Of two bundles that have
-    /// a part in common, the one that brings more is taken.
+    /// Accepts the merged answer of another entry. The records of its parts cannot be
+    /// separated, so a part that a server has answered in the meantime is replaced by the
+    /// bundle's. Of two bundles with a part in common, the new one is accepted only if it
+    /// adds more parts than are lost with the other.
     pub(super) fn accept_bundle(
         &mut self,
         call: SlotKey,
@@ -149,21 +160,21 @@
         let Some(state) = self.calls.get_mut(call) else {
             return;
         };
-        let mut places = Vec::with_capacity(bundle.parts.len());
+        let mut stamped_parts = Vec::with_capacity(bundle.parts.len());
         for (shard, stamp) in &bundle.parts {
-            let place = parts.iter().copied().find(|part| {
+            let index = parts.iter().copied().find(|part| {
                 let upstream = state.parts[*part].upstream;
                 *self.upstreams[upstream].name == **shard
             });
-            places.extend(place.map(|place| (place, stamp)));
+            stamped_parts.extend(index.map(|index| (index, stamp)));
         }
-        let taken: Vec<usize> = places.iter().map(|(place, _)| *place).collect();
-        if !state.make_way(&taken) {
+        let indexes: Vec<usize> = stamped_parts.iter().map(|(index, _)| *index).collect();
+        if !state.make_way(&indexes) {
             return;
         }
         let mut body = bundle.body.clone();
-        for (place, stamp) in places {
-            match state.parts[place].status {
+        for (index, stamp) in stamped_parts {
+            match state.parts[index].status {
                 PartStatus::Answered { .. } => {}
                 PartStatus::Missing => {
                     state.missing -= 1;
@@ -171,7 +182,7 @@
                 }
                 PartStatus::Open => state.answered += 1,
             }
-            state.parts[place].status = PartStatus::Answered {
+            state.parts[index].status = PartStatus::Answered {
                 stamp: stamp.clone(),
                 body: std::mem::take(&mut body),
                 bundle: Some(attempt),
--- a/crates/core/src/process/forward/reroute.rs
+++ b/crates/core/src/process/forward/reroute.rs
@@ -1,15 +1,15 @@
-//! Asking around an entry that does not say that it is at work.
+//! Detects unresponsive entries and reroutes the shards that were relayed to them.
 //!
-//! An entry that lost its power or its way answers nothing, and nothing says
-//! so. With some fifty entries in a failure domain each request asks fifteen of
-//! them, so that one silent entry in ten reaches four requests of five. So an
-//! entry that is asked says at once that it is at work, long before its answer.
-//! One that does not say so in time is asked around.
+//! An entry that lost power or its network sends no error. With about fifty entries
+//! in a failure domain, each request is relayed to fifteen of them, so one
+//! unresponsive entry in ten affects four requests in five. Therefore an entry
+//! acknowledges a relay at once, long before its answer. If the acknowledgement is
+//! late, the shards are sent to another entry or directly to servers.
 //!
-//! No more servers than the route allows may run a part, whatever is lost on
-//! the way. So another entry is first lent all but one of the route's attempts;
-//! the last one it is granted when it was heard, or else it is used here. What
-//! the other may have run counts as run.
+//! The route limits how many servers may run a part, even if messages are lost. An
+//! entry is therefore first allowed all but one of the route's attempts. The last
+//! attempt is granted to that entry once it has acknowledged the relay; otherwise
+//! the attempt is used locally. Attempts granted to an entry always count as run.
 
 use std::time::Duration;
 
@@ -23,49 +23,56 @@
 use crate::process::forward::relay::UNRESPONSIVE_BACKOFF;
 use crate::process::input::CallTag;
 
-/// Part of the time left within which an entry says that it is at work. An
-/// entry that is busy takes some tens of milliseconds; asking elsewhere takes a
-/// new connection and the work of one request.
+/// Fraction of the time left until the soft deadline within which an entry must
+/// acknowledge a relay. A busy entry takes some tens of milliseconds; rerouting needs
+/// time for a new connection and for the work of one request.
 const ACK_TIME_SHARE: f64 = 0.25;
-/// Least such time: entries of other failure domains are some milliseconds
-/// away.
+/// Minimum time allowed for an acknowledgement. Entries of other failure domains are
+/// some milliseconds away.
 const MIN_ACK_TIME: Duration = Duration::from_millis(20);
-/// Part of the time left that is allowed for ways that were never taken.
+/// Fraction of the time left until the soft deadline that is allowed for connecting
+/// to an entry whose round-trip time was never measured.
 const UNKNOWN_RTT_SHARE: f64 = 0.25;
-/// Time after the aim at which a silent entry is given up, as a part of the
-/// objective: until then a late answer may still come of it.
+/// Time after the soft deadline at which an entry that has not answered is given up,
+/// as a fraction of the route's objective. Until then a late answer is still used.
 const GIVE_UP_SHARE: f64 = 0.5;
 
-/// What another entry may do for a request.
+/// How many servers another entry may try for each relayed part, and the deadline of
+/// the entry's acknowledgement.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AttemptAllowance {
-    /// Servers of each part that it may run on.
+    /// Number of servers that the entry may try for each part.
     pub(super) attempts: u32,
-    /// When it should have said that it is at work.
-    pub(super) due: Duration,
+    /// Time by which the entry must acknowledge the relay.
+    pub(super) ack_due: Duration,
 }
 
 impl ForwardMachine {
-    /// Decides what another entry may do for these parts of a request.
+    /// Computes the attempt allowance for relaying these parts to another entry.
+    /// `round_trip` is the measured round-trip time to that entry, if there is one.
     pub(super) fn compute_allowance(
         state: &CallState,
         parts: &[usize],
-        way: Option<Duration>,
+        round_trip: Option<Duration>,
         now: Duration,
     ) -> AttemptAllowance {
-        let left = state.plan.aim.saturating_sub(now);
-        let sign_time = left.mul_f64(ACK_TIME_SHARE).max(MIN_ACK_TIME);
-        // A connection may have to be opened first. Without that, entries 12 ms
-        // away were all taken for silent, and a tenth of the requests was lost.
-        let ways = way.map_or(left.mul_f64(UNKNOWN_RTT_SHARE), |way| way * 2);
-        let kept = u32::from(state.rule().idempotent);
+        let time_left = state.plan.aim.saturating_sub(now);
+        let ack_time = time_left.mul_f64(ACK_TIME_SHARE).max(MIN_ACK_TIME);
+        // Allows a second round trip, as a connection may have to be opened first.
+        // Without it, all entries 12 ms away were treated as unresponsive, and a tenth
+        // of the requests was lost.
+        let network_time = round_trip.map_or(time_left.mul_f64(UNKNOWN_RTT_SHARE), |time| time * 2);
+        let reserved = u32::from(state.rule().idempotent);
         AttemptAllowance {
-            attempts: remaining_attempts(state, parts).saturating_sub(kept).max(1),
-            due: now + ways + sign_time,
+            attempts: remaining_attempts(state, parts)
+                .saturating_sub(reserved)
+                .max(1),
+            ack_due: now + network_time + ack_time,
         }
     }
 
-    /// Takes the word of another entry that it is at work.
+    /// Handles the acknowledgement of a relay by another entry: grants that entry the
+    /// remaining attempts, unless the relay was already rerouted.
     pub(super) fn handle_acknowledgement(
         &mut self,
         attempt: SlotKey,
@@ -82,7 +89,8 @@
         }
     }
 
-    /// Leaves the attempts that are left to another entry that is at work.
+    /// Raises the attempt allowance of an acknowledged relay by all attempts that are
+    /// left for its parts.
     fn raise_allowance(&mut self, attempt: SlotKey, out: &mut Vec<ForwardAction>) {
         let Some(relay) = self.attempts.get_mut(attempt) else {
             return;
@@ -91,19 +99,20 @@
         let Some(state) = call.filter(|_| relay.relay == RelayStanding::AtWork) else {
             return;
         };
-        let more = remaining_attempts(state, &relay.parts);
-        if more == 0 {
+        let remaining = remaining_attempts(state, &relay.parts);
+        if remaining == 0 {
             return;
         }
-        relay.runs += more;
+        relay.runs += remaining;
         for part in &relay.parts {
-            state.parts[*part].runs += more;
+            state.parts[*part].runs += remaining;
         }
         out.push(ForwardAction::Grant(attempt, relay.runs));
     }
 
-    /// Takes the word of the entry that asks that more servers may run a part,
-    /// and passes it on to those that are asked in turn.
+    /// Handles a message of the entry that relayed this request: it raises the number
+    /// of servers that may run each part. Passes the higher allowance on to the
+    /// entries that this one relayed parts to.
     pub(super) fn handle_raised_allowance(
         &mut self,
         tag: CallTag,
@@ -117,13 +126,14 @@
         let Some(state) = self.calls.get_mut(call) else {
             return;
         };
-        let most = state.rule().attempts;
-        if !state.relayed || attempts.min(most) <= state.attempts {
+        let max_attempts = state.rule().attempts;
+        if !state.relayed || attempts.min(max_attempts) <= state.attempts {
             return;
         }
-        state.attempts = attempts.min(most);
+        state.attempts = attempts.min(max_attempts);
         for part in state.parts.iter_mut().filter(|part| part.is_open()) {
-            // What is lost or was not looked at any more may be repeated now.
+            // Parts whose attempts all failed, or that were no longer checked for a
+            // hedge, may be sent again under the raised allowance.
             let is_lost = part.attempts.is_empty() && !part.waits;
             if is_lost || part.hedge_at == Duration::MAX {
                 part.hedge_at = now;
@@ -135,8 +145,8 @@
         self.plan_sweep(call, now);
     }
 
-    /// Looks after the entries that a request waits for: those that are late
-    /// are asked around, those that stay silent given up.
+    /// Checks the relays that a request waits for. Reroutes a relay whose
+    /// acknowledgement is late, and abandons one that is past the relay deadline.
     pub(super) fn check_relays(
         &mut self,
         call: SlotKey,
@@ -151,17 +161,18 @@
                 state.relay = RelayStanding::Late;
                 self.reroute_relay(call, attempt, now, out);
             }
-            let is_over = self
+            let is_past_deadline = self
                 .calls
                 .get(call)
                 .is_some_and(|state| now >= relay_deadline(state));
-            if is_over {
+            if is_past_deadline {
                 self.abandon_relay(call, attempt, now, out);
             }
         }
     }
 
-    /// Returns when the next silent entry is given up, if one is asked.
+    /// Returns when the unanswered relays of a request are abandoned, or `None` if no
+    /// part of the request is relayed.
     pub(super) fn find_relay_deadline(&self, state: &CallState) -> Option<Duration> {
         let mut attempts = state.parts.iter().flat_map(|part| &part.attempts);
         attempts
@@ -169,15 +180,15 @@
             .then(|| relay_deadline(state))
     }
 
-    /// Tells whether another entry is at work on a part, or may be.
+    /// Returns whether a part is relayed to an entry whose acknowledgement is not late.
     pub(super) fn has_active_relay(&self, part: &PartState) -> bool {
         let attempts = part.attempts.iter();
         let mut attempts = attempts.filter_map(|attempt| self.attempts.get(*attempt));
         attempts.any(|attempt| attempt.is_relay() && attempt.relay != RelayStanding::Late)
     }
 
-    /// Tells whether nobody but entries that are late was asked for a part: it
-    /// is as good as not asked for.
+    /// Returns whether all attempts of a part are relays with a late acknowledgement.
+    /// Such a part counts as not sent.
     pub(super) fn has_only_overdue_relays(&self, part: &PartState) -> bool {
         let attempts = part.attempts.iter();
         let mut attempts = attempts.filter_map(|attempt| self.attempts.get(*attempt));
@@ -189,7 +200,7 @@
         attempt.is_some_and(ForwardAttempt::is_relay)
     }
 
-    /// Returns the attempts of a request that other entries have.
+    /// Returns the attempts of a request that are relays to other entries, each once.
     fn relays_of(&self, call: SlotKey) -> Vec<SlotKey> {
         let mut relays = Vec::new();
         let Some(state) = self.calls.get(call) else {
@@ -203,8 +214,9 @@
         relays
     }
 
-    /// Asks for the parts of an entry that is late elsewhere: for many through
-    /// another entry, for few of servers.
+    /// Reroutes the open parts of a relay whose acknowledgement is late. More than
+    /// [`MAX_UNDIVIDED_SHARDS`] parts go to another entry in one bundle; fewer are left
+    /// to the hedging code, which sends them to servers.
     fn reroute_relay(
         &mut self,
         call: SlotKey,
@@ -212,22 +224,22 @@
         now: Duration,
         out: &mut Vec<ForwardAction>,
     ) {
-        let Some(late) = self.attempts.get(attempt) else {
+        let Some(relay) = self.attempts.get(attempt) else {
             return;
         };
-        let (server, sent_at, parts) = (late.server, late.sent_at, late.parts.clone());
+        let (server, sent_at, parts) = (relay.server, relay.sent_at, relay.parts.clone());
         let Some(state) = self.calls.get(call).filter(|state| !state.is_doubted()) else {
             return;
         };
         let tag = state.tag;
-        let open: Vec<usize> = parts
+        let open_parts: Vec<usize> = parts
             .into_iter()
             .filter(|part| state.parts[*part].is_open() && state.parts[*part].runs < state.attempts)
             .collect();
-        if open.is_empty() {
+        if open_parts.is_empty() {
             return;
         }
-        let count = open.len();
+        let count = open_parts.len();
         self.counters.asked_around += 1;
         self.decide(tag, out, || {
             let (service, instance) = self.names(server);
@@ -242,12 +254,13 @@
             return;
         }
         let entries = self.servers[server].upstream;
-        let own = self.options.own.clone();
-        let homes = state.homes;
-        let Some(choice) = self.select_entry(entries, &own, false, homes, &[server], now) else {
+        let local_id = self.options.own.clone();
+        let regions = state.homes;
+        let Some(choice) = self.select_entry(entries, &local_id, false, regions, &[server], now)
+        else {
             return;
         };
-        let parts = open.into_iter();
+        let parts = open_parts.into_iter();
         let parts = parts.filter(|part| self.afford(call, *part, now, out));
         let plan = BundlePlan {
             choice,
@@ -259,8 +272,9 @@
         }
     }
 
-    /// Gives up an entry that has not answered, with the parts that nobody else
-    /// is asked for.
+    /// Abandons a relay that was not answered by the relay deadline: cancels the
+    /// attempt, backs off from the entry and omits the parts that have no other
+    /// attempt.
     fn abandon_relay(
         &mut self,
         call: SlotKey,
@@ -268,12 +282,12 @@
         now: Duration,
         out: &mut Vec<ForwardAction>,
     ) {
-        let Some(late) = self.attempts.get_mut(attempt) else {
+        let Some(relay) = self.attempts.get_mut(attempt) else {
             return;
         };
-        late.call = None;
-        late.cancelled = true;
-        let (server, sent_at, parts) = (late.server, late.sent_at, late.parts.clone());
+        relay.call = None;
+        relay.cancelled = true;
+        let (server, sent_at, parts) = (relay.server, relay.sent_at, relay.parts.clone());
         self.servers[server].rest_at_least(UNRESPONSIVE_BACKOFF, now);
         let Some(state) = self.calls.get_mut(call) else {
             return;
@@ -290,8 +304,8 @@
         self.close_if_silent(server, sent_at, out);
     }
 
-    /// Leaves an entry alone for a while that was late and has answered nothing
-    /// else since it was asked.
+    /// Sends an entry no relays for [`UNRESPONSIVE_BACKOFF`] if that entry has answered
+    /// nothing since `sent_at`, when the late relay was sent.
     pub(super) fn back_off_if_unresponsive(
         &mut self,
         server: ServerKey,
@@ -303,8 +317,9 @@
         }
     }
 
-    /// Takes the servers beside an entry that answered without some parts as
-    /// asked for these: it asked them first.
+    /// Marks the servers in an entry's failure domain as tried for the parts that its
+    /// answer omitted. The entry sent these parts to the servers of its own domain
+    /// first.
     pub(super) fn mark_domain_tried(&mut self, call: SlotKey, parts: &[usize], entry: ServerKey) {
         let Some(state) = self.calls.get_mut(call) else {
             return;
@@ -316,21 +331,22 @@
                 continue;
             }
             let servers = self.upstreams[part.upstream].servers.iter();
-            let beside = servers.filter(|server| self.servers[**server].domain == *domain);
-            for server in beside {
+            let same_domain = servers.filter(|server| self.servers[**server].domain == *domain);
+            for server in same_domain {
                 let _ = part.tried.try_push(*server);
             }
         }
     }
 }
 
-/// Returns how many more servers may run any of these parts.
+/// Returns how many more servers may run each of these parts. The part with the most
+/// runs decides.
 fn remaining_attempts(state: &CallState, parts: &[usize]) -> u32 {
     let runs = parts.iter().map(|part| state.parts[*part].runs).max();
     state.attempts.saturating_sub(runs.unwrap_or(0))
 }
 
-/// Returns when an entry that is silent is given up.
+/// Returns when the unanswered relays of a request are abandoned.
 fn relay_deadline(state: &CallState) -> Duration {
     state.plan.aim + state.rule().objective().mul_f64(GIVE_UP_SHARE)
 }
--- a/crates/core/src/process/forward/send.rs
+++ b/crates/core/src/process/forward/send.rs
@@ -1,4 +1,6 @@
-//! Sending a part to a server, or letting it wait for one with room.
+//! Sends parts of requests to servers, and queues a part while all servers of its
+//! service are at capacity. A part is one shard's subquery of a request, or the whole of
+//! an unsharded request.
 
 use std::time::Duration;
 
@@ -12,30 +14,33 @@
 use crate::process::forward::suspect::book::SuspectStanding;
 use crate::process::forward::version::slow_after;
 
-/// Time kept for the way back when a server is told its time.
+/// Time reserved for returning the answer: a server's deadline is this much earlier than
+/// the caller's.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(3);
 
-/// An attempt that is to be sent.
+/// Everything needed to send one attempt to a server or to another entry.
 #[derive(Debug)]
 pub(super) struct AttemptPlan {
-    /// Places of the parts in the request.
+    /// Indexes of the parts in the request.
     pub(super) parts: Vec<usize>,
-    /// Why.
+    /// Why the attempt is sent.
     pub(super) cause: AttemptCause,
-    /// The server.
+    /// The server or entry that was chosen.
     pub(super) choice: ServerChoice,
-    /// Place of the timing that it counts for.
+    /// Index of the timing statistics that the attempt counts for.
     pub(super) timing: usize,
-    /// Time after which it is looked over.
-    pub(super) patience: Duration,
-    /// Servers of each part that it may run on.
+    /// Time after which an unanswered attempt is checked for a hedge or, if the attempt
+    /// is a relay, for its acknowledgement.
+    pub(super) check_after: Duration,
+    /// Number of servers that the attempt may run on, per part.
     pub(super) runs: u32,
-    /// What is asked, if the server is another entry.
+    /// The order for the other entry, if the attempt is a relay.
     pub(super) relay: Option<RelayOrder>,
 }
 
 impl ForwardMachine {
-    /// Sends a part to a server, if there is one with room.
+    /// Chooses a server for a part and sends the part there. Fails if no server has
+    /// capacity.
     pub(super) fn send_part(
         &mut self,
         call: SlotKey,
@@ -49,7 +54,7 @@
         Ok(())
     }
 
-    /// Chooses a server for a part out of those that were not asked for it.
+    /// Chooses a server for a part, except those that were already tried for it.
     pub(super) fn choose_server_for(
         &mut self,
         call: SlotKey,
@@ -58,24 +63,25 @@
     ) -> Result<ServerChoice, SelectionFailure> {
         let state = self.calls.get(call).ok_or(SelectionFailure::NoServer)?;
         let (upstream, tried) = (state.parts[part].upstream, state.parts[part].tried.clone());
-        let times = SelectionCriteria {
+        let criteria = SelectionCriteria {
             ignores_distance: !state.gathers && !tried.is_empty(),
             ..self.first_attempt_criteria(state)
         };
-        self.choose_server(upstream, &tried, times, now)
+        self.choose_server(upstream, &tried, criteria, now)
     }
 
-    /// Returns what is expected of the first answers to a request.
+    /// Returns the criteria by which servers are chosen for a request's first attempts.
     pub(super) fn first_attempt_criteria(&self, state: &CallState) -> SelectionCriteria {
         SelectionCriteria {
             typical: self.timings[state.timing].typical(state.rule()),
             objective: state.rule().objective(),
             ignores_distance: false,
-            repeats: state.rule().idempotent,
+            is_repeatable: state.rule().idempotent,
             homes: state.homes,
         }
     }
 
+    /// Sends a part to the chosen server and records that server as tried for the part.
     pub(super) fn send_part_to(
         &mut self,
         call: SlotKey,
@@ -89,58 +95,59 @@
             return;
         };
         let timing = state.timing;
-        let slow = self.timings[timing].slow(state.rule());
-        let send_part = AttemptPlan {
+        let hedge_after = self.timings[timing].slow(state.rule());
+        let plan = AttemptPlan {
             parts: vec![part],
             cause,
             choice,
             timing,
-            patience: self.servers[choice.server.key()].way() + slow,
+            check_after: self.servers[choice.server.key()].way() + hedge_after,
             runs: 1,
             relay: None,
         };
-        self.send_attempt(call, send_part, now, out);
+        self.send_attempt(call, plan, now, out);
         if let Some(state) = self.calls.get_mut(call) {
             let _ = state.parts[part].tried.try_push(choice.server.key());
         }
     }
 
-    /// Sends one attempt, for one part or for several.
+    /// Sends one attempt for one part or several, and records it with the request, the
+    /// parts, the server and the counters.
     pub(super) fn send_attempt(
         &mut self,
         call: SlotKey,
-        send_part: AttemptPlan,
+        plan: AttemptPlan,
         now: Duration,
         out: &mut Vec<ForwardAction>,
     ) {
         let Some(state) = self.calls.get_mut(call) else {
             return;
         };
-        let AttemptPlan { cause, choice, .. } = send_part;
-        let is_known = self.suspects.standing(state.mark, now) != SuspectStanding::Clear;
-        let on_trial = state.is_doubted() || (is_known && !state.gathers);
-        let typical = self.timings[send_part.timing].typical(state.rule());
+        let AttemptPlan { cause, choice, .. } = plan;
+        let is_suspect = self.suspects.standing(state.mark, now) != SuspectStanding::Clear;
+        let on_trial = state.is_doubted() || (is_suspect && !state.gathers);
+        let typical = self.timings[plan.timing].typical(state.rule());
         let slow_after = slow_after(typical, state.rule().objective());
         let key = choice.server.key();
         let server = &mut self.servers[key];
         let attempt = self.attempts.insert(ForwardAttempt {
             call: Some(call),
             mark: state.mark,
-            parts: send_part.parts.clone(),
+            parts: plan.parts.clone(),
             server: key,
             upstream: server.upstream,
             sent_at: now,
             typical,
             slow_after,
-            basis: send_part
+            basis: plan
                 .relay
                 .is_none()
                 .then(|| server.basis(choice.expected, now)),
             cause,
-            timing: send_part.timing,
-            runs: send_part.runs,
-            due: if send_part.relay.is_some() {
-                now + send_part.patience
+            timing: plan.timing,
+            runs: plan.runs,
+            due: if plan.relay.is_some() {
+                now + plan.check_after
             } else {
                 Duration::MAX
             },
@@ -152,14 +159,14 @@
         state.sends += 1;
         let (tag, gathers) = (state.tag, state.gathers);
         let workspace = state.workspace.clone();
-        let until = state.plan.given_up.saturating_sub(RESPONSE_MARGIN);
-        for part in &send_part.parts {
+        let deadline = state.plan.given_up.saturating_sub(RESPONSE_MARGIN);
+        for part in &plan.parts {
             let part = &mut state.parts[*part];
             part.attempts.push(attempt);
             part.arrivals += 1;
-            part.runs += send_part.runs;
-            part.hedge_at = now + send_part.patience;
-            part.bundled |= send_part.relay.is_some();
+            part.runs += plan.runs;
+            part.hedge_at = now + plan.check_after;
+            part.bundled |= plan.relay.is_some();
         }
         let counts = &mut self.upstreams[server.upstream].counts;
         counts.sends += 1;
@@ -167,7 +174,7 @@
             counts.extras += 1;
         }
         let outstanding = server.outstanding.len();
-        if send_part.relay.is_none() {
+        if plan.relay.is_none() {
             let work = server.work(typical, now);
             server.backlog.sent(work, server.slots, self.entries, now);
         }
@@ -206,15 +213,16 @@
             server: key,
             address,
             instance,
-            until,
+            until: deadline,
             workspace,
             whole_head: !gathers,
-            relay: send_part.relay,
+            relay: plan.relay,
         }));
     }
 
-    /// Lets a part that was not sent wait for a server with room, or gives it
-    /// up if its service has none.
+    /// Handles a part for which no server was chosen: puts the part in its service's
+    /// queue if all servers are at capacity, or gives it up if there is no usable server
+    /// and the part has no other attempt.
     pub(super) fn enqueue_or_give_up(
         &mut self,
         call: SlotKey,
@@ -237,7 +245,7 @@
         }
     }
 
-    /// Gives a part up whose service has no server left to ask.
+    /// Gives up a part whose service has no server left to try.
     fn give_up_part(&mut self, call: SlotKey, part: usize, out: &mut Vec<ForwardAction>) {
         let Some(state) = self.calls.get_mut(call) else {
             return;
@@ -250,7 +258,8 @@
         self.decide(tag, out, || ForwardDecision::NoServer { service, servers });
     }
 
-    /// Returns why a part is sent that was sent before, or was not.
+    /// Returns the cause of a part's next attempt: `First` if the part never reached a
+    /// server, otherwise `Retry`.
     pub(super) fn attempt_cause(&self, call: SlotKey, part: usize) -> AttemptCause {
         let state = self.calls.get(call);
         let is_first = state.is_none_or(|state| state.parts[part].arrivals == 0);
@@ -261,7 +270,7 @@
         }
     }
 
-    /// Gives the parts that wait for a service another try.
+    /// Tries again to send the parts in a service's queue, each once.
     pub(super) fn retry_waiting_parts(
         &mut self,
         upstream: UpstreamKey,
--- a/crates/core/src/process/forward/shard_owner.rs
+++ b/crates/core/src/process/forward/shard_owner.rs
@@ -1,5 +1,6 @@
-//! Which entry of a failure domain a shard falls to, where many shards are divided
-//! among the entries.
+//! Determines which entry of a failure domain owns a shard, for routes whose shards are
+//! divided among the entries. Consecutive shards of a route form a group; rendezvous
+//! hashing of the group's key over the entries of the domain selects the owner.
 
 use std::collections::HashMap;
 
@@ -11,9 +12,11 @@
 use crate::version::route_table::{RouteTable, RouteTarget};
 
 impl ForwardMachine {
-    /// Takes over what the shards of a table are divided by. A service that was a
-    /// shard stays one: while some entries have the new table and others not, equal
-    /// parts beside holders' parts would exceed the bound.
+    /// Assigns the shards of each divided route in a route table to groups, and records
+    /// the group's key with each shard. A shard keeps its first key even if a later table
+    /// no longer divides it: while entries have different tables, some would use an
+    /// equal share of the extra-load allowance and others an owner's share, which
+    /// together exceed the bound.
     pub(super) fn assign_shard_groups(&mut self, table: &RouteTable) {
         for route in table.routes() {
             let RouteTarget::Gather(names) = &route.target else {
@@ -22,50 +25,52 @@
             if names.len() <= MAX_UNDIVIDED_SHARDS {
                 continue;
             }
-            for share in names.chunks(SHARD_GROUP_SIZE) {
-                for name in share {
+            for group in names.chunks(SHARD_GROUP_SIZE) {
+                for name in group {
                     let upstream = self.upstream(name);
-                    let known = &mut self.upstreams[upstream].share_key;
-                    known.get_or_insert_with(|| share[0].as_str().into());
+                    let group_key = &mut self.upstreams[upstream].share_key;
+                    group_key.get_or_insert_with(|| group[0].as_str().into());
                 }
             }
         }
         self.update_owned_shards();
     }
 
-    /// Finds out which shards fall to this entry.
+    /// Recomputes for each divided shard whether this entry is the owner.
     pub(super) fn update_owned_shards(&mut self) {
-        let mut held: HashMap<Box<str>, bool> = HashMap::new();
+        let mut owned_keys: HashMap<Box<str>, bool> = HashMap::new();
         for (_, upstream) in self.upstreams.iter() {
             let Some(key) = &upstream.share_key else {
                 continue;
             };
-            if !held.contains_key(key) {
-                held.insert(key.clone(), self.is_owner_of(key));
+            if !owned_keys.contains_key(key) {
+                owned_keys.insert(key.clone(), self.is_owner_of(key));
             }
         }
         for (_, upstream) in self.upstreams.iter_mut() {
             let key = upstream.share_key.as_ref();
-            upstream.holds = key.is_some_and(|key| held.get(key) == Some(&true));
+            upstream.holds = key.is_some_and(|key| owned_keys.get(key) == Some(&true));
         }
     }
 
-    /// Tells whether a key falls to this entry among those of its failure domain
-    /// that are known. Before it has heard of them none does.
+    /// Returns whether this entry owns a key, that is, ranks highest for the key among the
+    /// known entries of its failure domain. False until this entry has received the list
+    /// of entries.
     pub(super) fn is_owner_of(&self, key: &str) -> bool {
         if !self.knows_peers {
             return false;
         }
-        let own = rank(key, &self.options.own);
+        let local_rank = rank(key, &self.options.own);
         let mut domains = self.peer_domains.iter();
         let Some((_, entries)) = domains.find(|(name, _)| *name == self.options.domain) else {
             return true;
         };
         let mut others = self.upstreams[*entries].servers.iter();
-        others.all(|other| rank(key, &self.servers[*other].id) < own)
+        others.all(|other| rank(key, &self.servers[*other].id) < local_rank)
     }
 
-    /// Returns what is known of those that share a service's bound on extra load.
+    /// Returns how many entries and failure domains share a service's bound on extra load,
+    /// and whether this entry owns the shard if the service is a divided one.
     pub(super) fn extra_view(&self, upstream: UpstreamKey) -> ExtraView {
         let state = &self.upstreams[upstream];
         let domains = self.options.regions.domain_count();
--- a/crates/core/src/process/forward/split.rs
+++ b/crates/core/src/process/forward/split.rs
@@ -1,44 +1,49 @@
-//! Dividing requests over services by weight.
+//! Smooth weighted round robin: distributes the requests of a split route over several
+//! services by weight.
 
 use rand::Rng;
 
 use crate::version::route_table::WeightedService;
 
-/// Places of the sequence that a counter may begin at.
+/// Number of positions in the sequence of choices that a scheduler may start at.
 const START_POSITIONS: u32 = 1000;
 
-/// Keeps each service's share of the requests near its weight's, also over
-/// short spans: the service that lags most behind its share is next.
+/// Scheduler that keeps each service's share of the requests near its weight's share,
+/// even over few requests. The next request goes to the service that is furthest behind
+/// its share.
 #[derive(Debug, Clone, Default)]
 pub struct SplitScheduler {
-    /// Weights that the credits are for.
+    /// Weights of the services, in the order of the route's services.
     weights: Vec<f64>,
+    /// Requests that each service should have received so far, minus those it received.
     credits: Vec<f64>,
-    /// Requests of each service since the weights last changed.
+    /// Requests sent to each service since the weights last changed.
     counts: Vec<u64>,
 }
 
 impl SplitScheduler {
-    /// Returns a counter that is somewhere in its sequence, by chance.
+    /// Creates a scheduler at a random position of its sequence.
     ///
-    /// Many entries see a request or two of a route. Did all begin at the same
-    /// place, the heaviest service would get nearly all.
+    /// With many entries, each may receive only one or two requests of a route. If all
+    /// entries started at the same position, the service with the largest weight would
+    /// get nearly all of these requests.
     pub fn begin<R: Rng>(parts: &[WeightedService], rng: &mut R) -> SplitScheduler {
-        let mut counter = SplitScheduler::default();
+        let mut scheduler = SplitScheduler::default();
         for _ in 0..rng.random_range(0..START_POSITIONS) {
-            counter.next(parts);
+            scheduler.next(parts);
         }
-        counter.counts.fill(0);
-        counter
+        scheduler.counts.fill(0);
+        scheduler
     }
 
-    /// Tells whether the weights are those that it divides by.
+    /// Returns whether the scheduler's current weights equal those of `parts`.
     pub fn uses_weights(&self, parts: &[WeightedService]) -> bool {
         let weights = parts.iter().map(|part| part.weight);
         weights.eq(self.weights.iter().copied())
     }
 
-    /// Returns the place of the service for the next request.
+    /// Chooses the service for the next request, and returns its index in `parts`. Starts
+    /// over if the weights have changed.
     pub fn next(&mut self, parts: &[WeightedService]) -> usize {
         if !self.uses_weights(parts) {
             self.weights = parts.iter().map(|part| part.weight).collect();
@@ -49,18 +54,19 @@
         for (credit, weight) in self.credits.iter_mut().zip(&self.weights) {
             *credit += weight / sum;
         }
-        let mut best = 0;
+        let mut next = 0;
         for (index, credit) in self.credits.iter().enumerate() {
-            if *credit > self.credits[best] {
-                best = index;
+            if *credit > self.credits[next] {
+                next = index;
             }
         }
-        self.credits[best] -= 1.0;
-        self.counts[best] += 1;
-        best
+        self.credits[next] -= 1.0;
+        self.counts[next] += 1;
+        next
     }
 
-    /// Returns the requests of each service, in the order of the parts.
+    /// Returns the number of requests sent to each service since the weights last changed,
+    /// in the order of `parts`.
     pub fn counts(&self) -> &[u64] {
         &self.counts
     }
