--- a/crates/core/src/process/forward/admit.rs
+++ b/crates/core/src/process/forward/admit.rs
@@ -148,7 +148,7 @@
     fn is_bundled(&self, upstream: UpstreamKey, homes: RegionSet) -> bool {
         let own = &self.options.domain;
         let has_peers = self.peer_domains.iter().any(|(name, _)| name != own);
-        has_peers && !self.has_usable_server_in(upstream, own, homes)
+        has_peers && !self.has_server_in(upstream, own, homes)
     }
 
     /// Returns the least time to an answer that load explains, if a server of
--- a/crates/core/src/process/forward/bundle.rs
+++ b/crates/core/src/process/forward/bundle.rs
@@ -65,13 +65,10 @@
             return;
         }
         let (relayed, divides, regions) = (state.relayed, state.divides, state.homes);
-        let local_domain = self.options.domain.clone();
+        let domain = self.options.domain.clone();
         let (near, mut far): (Vec<usize>, Vec<usize>) = (0..state.parts.len())
             .filter(|part| state.parts[*part].is_open() && state.parts[*part].arrivals == 0)
-            .partition(|part| {
-                let upstream = state.parts[*part].upstream;
-                self.has_usable_server_in(upstream, &local_domain, regions)
-            });
+            .partition(|part| self.has_server_in(state.parts[*part].upstream, &domain, regions));
         let mut plans = Vec::new();
         if divides && near.len() > MAX_UNDIVIDED_SHARDS {
             plans.extend(self.plan_near_bundles(call, &near, now));
@@ -145,9 +142,7 @@
             let parts: Vec<usize> = far
                 .iter()
                 .copied()
-                .filter(|part| {
-                    self.has_usable_server_in(state.parts[*part].upstream, domain, state.homes)
-                })
+                .filter(|part| self.has_server_in(state.parts[*part].upstream, domain, state.homes))
                 .collect();
             let local_id = &self.options.own;
             let choice = self.select_entry(*entries, local_id, false, state.homes, &[], now);
@@ -216,7 +211,7 @@
 
     /// Returns whether a service has a server in this failure domain whose lease has not
     /// expired and that the request may be sent to.
-    pub(super) fn has_usable_server_in(
+    pub(super) fn has_server_in(
         &self,
         upstream: UpstreamKey,
         domain: &str,
--- a/crates/core/src/process/forward/choose.rs
+++ b/crates/core/src/process/forward/choose.rs
@@ -32,7 +32,7 @@
 /// Penalty if a new connection has to be opened.
 const CONNECT_COST: Duration = Duration::from_millis(5);
 /// Penalty for a server whose recent answers all failed, if the request may not be
-/// repeated.
+/// repeated. Scaled by the fraction of answers that failed.
 const FAILURE_COST: Duration = Duration::from_millis(250);
 /// Cost of a retry while the extra-load budget is unspent, as a fraction of the
 /// objective.
@@ -44,8 +44,8 @@
 /// Penalty for a server whose lease at the control group has expired, or that this entry
 /// backs off from.
 const UNAVAILABLE_COST: Duration = Duration::from_secs(2);
-/// Number of requests per slot (concurrent request of the server) that an entry may have
-/// outstanding at a server of its own failure domain.
+/// Number of outstanding requests per slot that an entry may have at a server of its own
+/// failure domain. A server's slots are the requests that it processes at once.
 const REQUESTS_PER_SLOT: usize = 2;
 /// Fraction of a server's connection limit that all entries together may use.
 const SHARED_CONNECTION_USE: f64 = 0.85;
--- a/crates/core/src/process/forward/relay.rs
+++ b/crates/core/src/process/forward/relay.rs
@@ -19,7 +19,7 @@
 use crate::process::forward::server::ServerState;
 
 /// Minimum time for which an unresponsive entry gets no relays. Each request relayed to
-/// an unresponsive entry loses these shards; by the end of this time the control group
+/// an unresponsive entry loses the relayed shards; by the end of this time the control group
 /// removes the entry if it has failed.
 pub(super) const UNRESPONSIVE_BACKOFF: Duration = Duration::from_secs(3);
 /// Time reserved for the merge of a bundle and for returning the answer, in addition to
@@ -146,10 +146,10 @@
         self.send_attempt(call, plan, now, out);
     }
 
-    /// Accepts the merged answer of another entry. The records of its parts cannot be
-    /// separated, so a part that a server has answered in the meantime is replaced by the
-    /// bundle's. Of two bundles with a part in common, the new one is accepted only if it
-    /// adds more parts than are lost with the other.
+    /// Accepts the merged answer of another entry to a bundle. The merged records cannot
+    /// be separated by part, so for a part that a server has answered in the meantime, the
+    /// bundle's records replace the server's. If the bundle shares parts with an earlier
+    /// one, the new bundle is accepted only if the request gains more parts than it loses.
     pub(super) fn accept_bundle(
         &mut self,
         call: SlotKey,
--- a/crates/core/src/process/forward/reroute.rs
+++ b/crates/core/src/process/forward/reroute.rs
@@ -195,6 +195,7 @@
         !part.attempts.is_empty() && attempts.all(|attempt| attempt.relay == RelayStanding::Late)
     }
 
+    /// Returns whether an attempt is a relay to another entry, not a send to a server.
     fn is_relay(&self, attempt: SlotKey) -> bool {
         let attempt = self.attempts.get(attempt);
         attempt.is_some_and(ForwardAttempt::is_relay)
--- a/crates/core/src/process/forward/send.rs
+++ b/crates/core/src/process/forward/send.rs
@@ -39,8 +39,8 @@
 }
 
 impl ForwardMachine {
-    /// Chooses a server for a part and sends the part there. Fails if no server has
-    /// capacity.
+    /// Chooses a server for a part and sends the part there. Returns an error if no server
+    /// can be chosen.
     pub(super) fn send_part(
         &mut self,
         call: SlotKey,
@@ -159,7 +159,7 @@
         state.sends += 1;
         let (tag, gathers) = (state.tag, state.gathers);
         let workspace = state.workspace.clone();
-        let deadline = state.plan.given_up.saturating_sub(RESPONSE_MARGIN);
+        let until = state.plan.given_up.saturating_sub(RESPONSE_MARGIN);
         for part in &plan.parts {
             let part = &mut state.parts[*part];
             part.attempts.push(attempt);
@@ -213,7 +213,7 @@
             server: key,
             address,
             instance,
-            until: deadline,
+            until,
             workspace,
             whole_head: !gathers,
             relay: plan.relay,
--- a/crates/core/tests/forward/allowed_regions.rs
+++ b/crates/core/tests/forward/allowed_regions.rs
@@ -1,4 +1,4 @@
-//! Homes of a route: nothing of its requests leaves them.
+//! Allowed regions of a route (`homes`): none of its requests is sent outside of them.
 
 use wheelmast_core::process::forward::answer::{AttemptOrder, ForwardAnswer, ForwardFailure};
 use wheelmast_core::process::forward::input::AttemptEnd;
@@ -9,12 +9,14 @@
 
 use crate::harness::{route, shards, table, Harness, HOME};
 
-/// A failure domain of the same region.
+/// Another failure domain of the local region.
 const BESIDE: &str = "beside";
-/// Two of other regions.
+/// A failure domain of another region.
 const FAR: &str = "far";
+/// A failure domain of a third region.
 const FARTHER: &str = "farther";
 
+/// Maps the four failure domains to three regions.
 fn regions() -> RegionMap {
     let pairs = [
         (HOME, "west"),
@@ -25,9 +27,9 @@
     RegionMap::new(pairs.map(|(domain, region)| (domain.into(), region.into())))
 }
 
-/// A route with these homes over shards with a server in each of `domains`,
-/// and an entry in each of `peers`.
-fn world(target: RouteTarget, homes: &[&str], domains: &[&str], peers: &[&str]) -> Harness {
+/// Creates a harness with a route restricted to the regions `homes`. Each service has a
+/// server in each of `domains`; there is another entry in each of `peers`.
+fn new_harness(target: RouteTarget, homes: &[&str], domains: &[&str], peers: &[&str]) -> Harness {
     let mut harness = Harness::with_options(ForwardOptions {
         domain: HOME.into(),
         regions: regions(),
@@ -50,39 +52,39 @@
     harness
 }
 
-struct HomeCase {
+struct RegionCase {
     name: &'static str,
     homes: &'static [&'static str],
     domains: &'static [&'static str],
     peers: &'static [&'static str],
-    /// Failure domains that may be asked.
+    /// Failure domains that may receive requests.
     allowed: &'static [&'static str],
 }
 
-const CASES: &[HomeCase] = &[
-    HomeCase {
-        name: "the own region",
+const CASES: &[RegionCase] = &[
+    RegionCase {
+        name: "the local region",
         homes: &["west"],
         domains: &[HOME, BESIDE, FAR, FARTHER],
         peers: &[BESIDE, FAR, FARTHER],
         allowed: &[HOME, BESIDE],
     },
-    HomeCase {
+    RegionCase {
         name: "another region",
         homes: &["east"],
         domains: &[HOME, BESIDE, FAR, FARTHER],
         peers: &[HOME, BESIDE, FAR, FARTHER],
         allowed: &[FAR],
     },
-    HomeCase {
+    RegionCase {
         name: "two other regions",
         homes: &["east", "south"],
         domains: &[HOME, FAR, FARTHER],
         peers: &[FAR, FARTHER, BESIDE],
         allowed: &[FAR, FARTHER],
     },
-    HomeCase {
-        name: "no entry in the home",
+    RegionCase {
+        name: "no entry in the allowed region",
         homes: &["east"],
         domains: &[HOME, FAR],
         peers: &[BESIDE, FARTHER],
@@ -90,8 +92,9 @@
     },
 ];
 
-fn check_places(name: &str, allowed: &[&str], sends: &[AttemptOrder]) {
-    assert!(!sends.is_empty(), "{name}: nothing was asked");
+/// Checks that requests were sent, and only to failure domains in `allowed`.
+fn check_domains(name: &str, allowed: &[&str], sends: &[AttemptOrder]) {
+    assert!(!sends.is_empty(), "{name}: nothing was sent");
     for order in sends {
         let is_allowed = allowed.iter().any(|domain| {
             order
@@ -101,12 +104,12 @@
                 .unwrap_or("")
                 .ends_with(domain)
         });
-        assert!(is_allowed, "{name}: asked {}", order.instance);
+        assert!(is_allowed, "{name}: sent to {}", order.instance);
     }
 }
 
 #[test]
-fn first_sends_hedges_and_repeats_stay_in_the_homes() {
+fn first_sends_hedges_and_retries_stay_in_the_allowed_regions() {
     for case in CASES {
         for count in [1, 6, 30] {
             let target = if count == 1 {
@@ -114,7 +117,7 @@
             } else {
                 shards(count)
             };
-            let mut harness = world(target, case.homes, case.domains, case.peers);
+            let mut harness = new_harness(target, case.homes, case.domains, case.peers);
             for round in 0..6 {
                 let first = harness.sends.len();
                 harness.call("q");
@@ -125,17 +128,17 @@
                 }
                 harness.pass(90);
             }
-            check_places(case.name, case.allowed, &harness.sends);
+            check_domains(case.name, case.allowed, &harness.sends);
         }
     }
 }
 
 #[test]
-fn without_a_server_in_the_homes_the_refusal_is_true_and_at_once() {
+fn without_a_server_in_the_allowed_regions_a_request_is_refused_at_once() {
     for homes in [&["east"][..], &["nowhere"][..]] {
         let one = RouteTarget::Service("one".to_string());
         for target in [one, shards(6)] {
-            let mut harness = world(target, homes, &[HOME, FARTHER], &[BESIDE, FAR]);
+            let mut harness = new_harness(target, homes, &[HOME, FARTHER], &[BESIDE, FAR]);
             harness.call("q");
             assert_eq!(harness.sends.len(), 0, "{homes:?}");
             let answers = harness.answers.iter();
@@ -151,7 +154,7 @@
 }
 
 #[test]
-fn a_set_holds_its_regions_and_no_unknown_one() {
+fn a_region_set_contains_its_regions_and_no_unknown_one() {
     let map = regions();
     let east = map.homes(&["east".to_string()]);
     assert!(east.contains(map.region_of(FAR)));
--- a/crates/core/tests/forward/bundles.rs
+++ b/crates/core/tests/forward/bundles.rs
@@ -1,4 +1,4 @@
-//! Asking another entry for the shards that stand nearer to it.
+//! Bundles of far shards, which are sent to another entry near these shards in one message.
 
 use std::time::Duration;
 
@@ -8,13 +8,14 @@
 
 use crate::harness::{route, shards, table, Harness, HOME};
 
-/// Two shards here, four there, and an entry there.
-fn split_world() -> Harness {
-    split_world_of(2)
+/// Creates a harness with servers of two shards in the local domain, servers of four in
+/// the domain "there", and another entry in "there".
+fn new_harness() -> Harness {
+    new_harness_with(2)
 }
 
-/// The same with a route that allows so many attempts.
-fn split_world_of(attempts: u32) -> Harness {
+/// Like [`new_harness`], with a route that allows `attempts` attempts per shard.
+fn new_harness_with(attempts: u32) -> Harness {
     let mut harness = Harness::new();
     let rule = RouteRule {
         attempts,
@@ -29,7 +30,8 @@
     harness
 }
 
-fn bundle_place(harness: &Harness) -> usize {
+/// Returns the index of the bundle among the sends.
+fn bundle_index(harness: &Harness) -> usize {
     let mut orders = harness.sends.iter();
     orders
         .position(|order| order.relay.is_some())
@@ -37,11 +39,11 @@
 }
 
 #[test]
-fn far_shards_are_asked_for_together() {
-    let mut harness = split_world();
+fn far_shards_are_sent_in_one_bundle() {
+    let mut harness = new_harness();
     let call = harness.call("q");
     assert_eq!(harness.sends.len(), 3, "two parts and a bundle");
-    let bundle = bundle_place(&harness);
+    let bundle = bundle_index(&harness);
     let order = harness.sends[bundle].relay.clone().expect("an order");
     assert_eq!(order.version, 3);
     assert_eq!(order.shards.len(), 4);
@@ -55,57 +57,61 @@
 }
 
 #[test]
-fn an_entry_that_refuses_costs_nothing() {
-    let mut harness = split_world();
+fn a_refused_bundle_uses_no_attempts() {
+    let mut harness = new_harness();
     harness.call("q");
-    let bundle = bundle_place(&harness);
+    let bundle = bundle_index(&harness);
     harness.end(bundle, AttemptEnd::Unsent);
-    assert_eq!(harness.sends.len(), 7, "its shards are asked from here");
+    assert_eq!(
+        harness.sends.len(),
+        7,
+        "the shards are sent to servers directly"
+    );
 }
 
 struct RunCase {
-    /// Servers of a part that the route allows.
+    /// Attempts per part that the route allows.
     attempts: u32,
-    /// Those that the other entry may ask.
-    lent: u32,
-    /// Sends for each part from here afterwards.
+    /// Attempts per part that the other entry is allowed at first.
+    allowance: u32,
+    /// Direct sends of each part to servers after the bundle has failed.
     direct: usize,
 }
 
 #[test]
-fn what_another_entry_may_have_run_counts_as_run() {
+fn attempts_allowed_to_another_entry_count_as_run() {
     let cases = [
         RunCase {
             attempts: 1,
-            lent: 1,
+            allowance: 1,
             direct: 0,
         },
         RunCase {
             attempts: 2,
-            lent: 1,
+            allowance: 1,
             direct: 1,
         },
         RunCase {
             attempts: 3,
-            lent: 2,
+            allowance: 2,
             direct: 1,
         },
     ];
     for case in cases {
-        for silent in [false, true] {
-            let mut harness = split_world_of(case.attempts);
+        for is_unresponsive in [false, true] {
+            let mut harness = new_harness_with(case.attempts);
             let call = harness.call("q");
-            let bundle = bundle_place(&harness);
+            let bundle = bundle_index(&harness);
             let order = harness.sends[bundle].relay.clone().expect("an order");
-            assert_eq!(order.attempts, case.lent);
-            if silent {
+            assert_eq!(order.attempts, case.allowance);
+            if is_unresponsive {
                 harness.pass(160);
-                assert_eq!(harness.cancels.len(), 1, "it is given up");
+                assert_eq!(harness.cancels.len(), 1, "the relay is abandoned");
             } else {
                 harness.end(bundle, AttemptEnd::Broken);
             }
             assert_eq!(harness.sends.len(), 3 + 4 * case.direct);
-            // Nothing more goes out when those fail as well.
+            // No more attempts are sent when the direct sends fail as well.
             for send in 3..harness.sends.len() {
                 harness.end(send, AttemptEnd::Broken);
             }
@@ -121,10 +127,10 @@
 }
 
 #[test]
-fn shards_left_out_of_a_bundle_are_missing() {
-    let mut harness = split_world();
+fn shards_omitted_from_a_bundle_are_missing() {
+    let mut harness = new_harness();
     let call = harness.call("q");
-    let bundle = bundle_place(&harness);
+    let bundle = bundle_index(&harness);
     harness.end_bundle(bundle, &["s2", "s4"], b"");
     for send in (0..3).filter(|send| *send != bundle) {
         harness.end_well(send, b"");
@@ -134,8 +140,8 @@
 }
 
 #[test]
-fn a_request_of_another_entry_is_answered_as_it_stands_in_time() {
-    let mut harness = split_world();
+fn a_relayed_request_is_answered_in_time_with_the_parts_received() {
+    let mut harness = new_harness();
     let order = RelayOrder {
         version: 3,
         answer_by: harness.now + Duration::from_millis(30),
@@ -160,8 +166,8 @@
 }
 
 #[test]
-fn a_request_of_an_entry_with_a_newer_table_is_refused() {
-    let mut harness = split_world();
+fn a_relay_under_a_newer_route_table_is_refused() {
+    let mut harness = new_harness();
     let order = RelayOrder {
         version: 4,
         answer_by: harness.now + Duration::from_millis(30),
@@ -177,26 +183,26 @@
 }
 
 #[test]
-fn an_entry_that_left_is_not_asked() {
-    let mut harness = split_world();
+fn an_entry_that_left_gets_no_relays() {
+    let mut harness = new_harness();
     harness.meet(&[]);
     harness.call("q");
     assert_eq!(harness.sends.len(), 6);
 }
 
 #[test]
-fn an_entry_that_was_silent_is_left_alone_for_seconds() {
-    let mut harness = split_world();
+fn an_unresponsive_entry_gets_no_relays_for_three_seconds() {
+    let mut harness = new_harness();
     harness.call("q");
-    let bundle = bundle_place(&harness);
+    let bundle = bundle_index(&harness);
     harness.pass(160);
-    assert_eq!(harness.cancels.len(), 1, "it is given up");
+    assert_eq!(harness.cancels.len(), 1, "the relay is abandoned");
     harness.end(bundle, AttemptEnd::Broken);
-    for (millis, is_asked) in [(1000, false), (1500, false), (1000, true)] {
+    for (millis, is_relayed) in [(1000, false), (1500, false), (1000, true)] {
         harness.pass(millis);
         let before = harness.sends.len();
         harness.call("q");
         let mut sends = harness.sends[before..].iter();
-        assert_eq!(sends.any(|order| order.relay.is_some()), is_asked);
+        assert_eq!(sends.any(|order| order.relay.is_some()), is_relayed);
     }
 }
--- a/crates/core/tests/forward/divided_shards.rs
+++ b/crates/core/tests/forward/divided_shards.rs
@@ -1,4 +1,4 @@
-//! Dividing many near shards among the entries of a domain.
+//! Dividing many near shards among the entries of a failure domain.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,12 +8,14 @@
 
 use crate::harness::{answer, route, shards, table, Harness};
 
-/// Shards of the route.
+/// Number of shards of the route.
 const SHARDS: usize = 60;
-/// Entries of the domain.
+/// Number of entries of the local failure domain.
 const ENTRIES: u16 = 6;
 
-fn world(number: u16) -> Harness {
+/// Creates the harness of one of the domain's entries, with a route over [`SHARDS`] near
+/// shards.
+fn new_harness(number: u16) -> Harness {
     let mut harness = Harness::at_home(number);
     harness.obey(table(3, vec![route("q", shards(SHARDS))]));
     for shard in 0..SHARDS {
@@ -23,9 +25,10 @@
     harness
 }
 
-/// Returns which entry was asked for each shard; this one by its own number.
-fn askers(harness: &Harness, own: u16) -> BTreeMap<String, String> {
-    let mut askers = BTreeMap::new();
+/// Returns the entry that queries each shard's server; this entry by the number
+/// `local_number`.
+fn shard_entries(harness: &Harness, local_number: u16) -> BTreeMap<String, String> {
+    let mut shard_entries = BTreeMap::new();
     for order in &harness.sends {
         let pairs = match &order.relay {
             Some(relay) => {
@@ -37,34 +40,37 @@
             }
             None => {
                 let (shard, _) = order.instance.split_once('-').expect("a server's id");
-                vec![(shard.to_string(), format!("home-{own}#7"))]
+                vec![(shard.to_string(), format!("home-{local_number}#7"))]
             }
         };
         for (shard, entry) in pairs {
-            assert!(askers.insert(shard, entry).is_none(), "asked for once");
+            assert!(
+                shard_entries.insert(shard, entry).is_none(),
+                "each shard is sent once"
+            );
         }
     }
-    askers
+    shard_entries
 }
 
 #[test]
-fn the_same_shards_fall_to_the_same_entry_whoever_asks() {
-    let mut seen: Option<BTreeMap<String, String>> = None;
+fn all_entries_assign_the_same_shards_to_the_same_entry() {
+    let mut first: Option<BTreeMap<String, String>> = None;
     for number in 0..ENTRIES {
-        let mut harness = world(number);
+        let mut harness = new_harness(number);
         harness.call("q");
         let bundles = harness.sends.iter().filter(|order| order.relay.is_some());
         assert!((2..=5).contains(&bundles.count()));
-        let askers = askers(&harness, number);
-        assert_eq!(askers.len(), SHARDS);
-        assert_eq!(*seen.get_or_insert(askers.clone()), askers);
+        let shard_entries = shard_entries(&harness, number);
+        assert_eq!(shard_entries.len(), SHARDS);
+        assert_eq!(*first.get_or_insert(shard_entries.clone()), shard_entries);
     }
 }
 
 #[test]
-fn a_share_is_not_divided_again() {
+fn a_divided_bundle_is_not_divided_again() {
     for (divides, want) in [(false, false), (true, true)] {
-        let mut harness = world(0);
+        let mut harness = new_harness(0);
         let order = RelayOrder {
             version: 3,
             answer_by: harness.now + Duration::from_millis(60),
@@ -88,38 +94,39 @@
 }
 
 #[test]
-fn a_refused_share_is_asked_for_here_and_may_be_repeated_here() {
-    let mut harness = world(0);
+fn a_refused_bundle_is_sent_and_retried_locally() {
+    let mut harness = new_harness(0);
     harness.call("q");
     let mut orders = harness.sends.iter();
     let bundle = orders.position(|order| order.relay.is_some());
     let bundle = bundle.expect("a bundle");
     let before = harness.sends.len();
-    let share = harness.sends[bundle].relay.clone().expect("an order");
+    let refused = harness.sends[bundle].relay.clone().expect("an order");
     harness.end(bundle, AttemptEnd::Unsent);
     let direct = &harness.sends[before..];
-    assert_eq!(direct.len(), share.shards.len());
-    // One request earns one repeat here: it counts where it is asked.
-    let lost = before;
-    harness.end(lost, AttemptEnd::Broken);
-    // Nothing says yet that the server did not end under the request.
-    assert_eq!(harness.sends.len(), before + share.shards.len());
-    harness.end_well(lost + 1, b"");
-    assert_eq!(harness.sends.len(), before + share.shards.len() + 1);
+    assert_eq!(direct.len(), refused.shards.len());
+    // The budget here allows one retry per request. It is credited by the entry that
+    // sends the shard to servers.
+    let failed = before;
+    harness.end(failed, AttemptEnd::Broken);
+    // The request may have crashed the server, so it is not retried yet.
+    assert_eq!(harness.sends.len(), before + refused.shards.len());
+    harness.end_well(failed + 1, b"");
+    assert_eq!(harness.sends.len(), before + refused.shards.len() + 1);
 }
 
 #[test]
-fn parts_that_another_asks_for_earn_no_repeats_here() {
-    let mut harness = world(0);
+fn relayed_parts_credit_no_retries_locally() {
+    let mut harness = new_harness(0);
     harness.call("q");
     let relayed = harness
         .sends
         .iter()
         .filter_map(|order| order.relay.as_ref());
     let relayed: Vec<Arc<str>> = relayed.flat_map(|relay| relay.shards.clone()).collect();
-    let rooms = harness.machine.services(harness.now);
-    let rooms: BTreeMap<String, f64> = rooms
-        .map(|(name, _, _, room)| (name.to_string(), room))
+    let budgets = harness.machine.services(harness.now);
+    let budgets: BTreeMap<String, f64> = budgets
+        .map(|(name, _, _, budget)| (name.to_string(), budget))
         .collect();
     for shard in 0..SHARDS {
         let name = format!("s{shard}");
@@ -128,7 +135,7 @@
         } else {
             1.0
         };
-        assert_eq!(rooms[&name], want, "{name}");
+        assert_eq!(budgets[&name], want, "{name}");
     }
 }
 
@@ -144,25 +151,25 @@
     assert_eq!(harness.sends.len(), 20);
 }
 
-/// Requests before another entry joins.
-const EARNING: usize = 40;
+/// Number of requests that credit the budget before another entry joins.
+const CREDITED: usize = 40;
 
 #[test]
-fn half_a_window_spends_half_once_an_entry_has_joined() {
+fn after_an_entry_joins_half_of_the_budget_may_be_spent_in_half_a_window() {
     for (joins, least, most) in [(false, 80, 80), (true, 40, 61)] {
         let mut harness = Harness::at_home(0);
         harness.obey(table(3, vec![route("q", shards(1))]));
         harness.serve("s0", 3);
         harness.meet_at_home(2);
-        for _ in 0..EARNING {
+        for _ in 0..CREDITED {
             harness.call("q");
             harness.end_well(harness.sends.len() - 1, b"");
         }
         if joins {
             harness.meet_at_home(3);
         }
-        // Each request earns one repeat by itself, and wants one.
-        for _ in 0..2 * EARNING {
+        // Each request credits the budget with one retry and needs one.
+        for _ in 0..2 * CREDITED {
             harness.call("q");
             let first = harness.sends.len() - 1;
             let rejected = ServerAnswer {
@@ -175,6 +182,6 @@
             }
         }
         let made = harness.machine.counters().retries;
-        assert!((least..=most).contains(&made), "{made} repeats");
+        assert!((least..=most).contains(&made), "{made} retries");
     }
 }
--- a/crates/core/tests/forward/parts.rs
+++ b/crates/core/tests/forward/parts.rs
@@ -1,4 +1,4 @@
-//! Gathering parts: coverage, the objective, merging.
+//! Gathering the answers of shards: required coverage, the soft deadline, and merging.
 
 use std::time::Duration;
 
@@ -12,59 +12,59 @@
 
 struct PartCase {
     name: &'static str,
-    /// Shards that answer at once, of four.
+    /// Number of shards, out of four, that answer at once.
     answered: usize,
-    /// Least coverage.
-    least: f64,
-    /// Time that passes after that, in milliseconds.
-    pass: u64,
-    /// Shards left out of the answer, if there is one.
+    /// Required coverage, as a fraction of the shards.
+    min_coverage: f64,
+    /// Time that passes after the shards have answered, in milliseconds.
+    pass_ms: u64,
+    /// Number of shards omitted from the answer; `None` if there is no answer yet.
     missing: Option<usize>,
 }
 
 #[test]
-fn a_partial_answer_goes_out_at_the_objective() {
+fn a_partial_answer_is_sent_at_the_soft_deadline() {
     let cases = [
         PartCase {
-            name: "all are in",
+            name: "all shards answered",
             answered: 4,
-            least: 1.0,
-            pass: 0,
+            min_coverage: 1.0,
+            pass_ms: 0,
             missing: Some(0),
         },
         PartCase {
-            name: "it waits before the objective",
+            name: "waits until the soft deadline",
             answered: 3,
-            least: 0.5,
-            pass: 50,
+            min_coverage: 0.5,
+            pass_ms: 50,
             missing: None,
         },
         PartCase {
-            name: "enough at the objective",
+            name: "enough shards at the soft deadline",
             answered: 3,
-            least: 0.75,
-            pass: 99,
+            min_coverage: 0.75,
+            pass_ms: 99,
             missing: Some(1),
         },
         PartCase {
-            name: "not enough at the objective",
+            name: "too few shards at the soft deadline",
             answered: 2,
-            least: 0.75,
-            pass: 99,
+            min_coverage: 0.75,
+            pass_ms: 99,
             missing: None,
         },
         PartCase {
-            name: "never enough",
+            name: "too few shards at the hard deadline",
             answered: 1,
-            least: 0.75,
-            pass: 990,
+            min_coverage: 0.75,
+            pass_ms: 990,
             missing: None,
         },
     ];
     for case in cases {
         let mut harness = Harness::new();
         let mut rule = route("q", shards(4));
-        rule.least_coverage = case.least;
+        rule.least_coverage = case.min_coverage;
         harness.obey(table(1, vec![rule]));
         for shard in 0..4 {
             harness.serve(&format!("s{shard}"), 1);
@@ -74,50 +74,53 @@
         for send in 0..case.answered {
             harness.end_well(send, b"");
         }
-        harness.pass(case.pass);
+        harness.pass(case.pass_ms);
         let missing = harness.gathered(call).map(|(_, missing)| missing);
         assert_eq!(missing, case.missing, "{}", case.name);
     }
 }
 
 #[test]
-fn a_repeat_of_the_caller_has_less_time_to_the_objective() {
+fn a_callers_retry_has_less_time_to_the_soft_deadline() {
     let mut harness = Harness::new();
     harness.obey(table(1, vec![route("q", shards(2))]));
     harness.serve("s0", 1);
     harness.serve("s1", 1);
-    let usual = Some(Duration::from_millis(1000));
-    harness.call_as("q", usual, None);
-    let spent = Some(Duration::from_millis(950));
-    let repeat = harness.call_as("q", spent, None);
+    let full_time = Some(Duration::from_millis(1000));
+    harness.call_as("q", full_time, None);
+    let time_left = Some(Duration::from_millis(950));
+    let retry = harness.call_as("q", time_left, None);
     harness.end_well(2, b"");
     harness.pass(45);
     assert!(
-        harness.gathered(repeat).is_some(),
-        "50 ms were gone already"
+        harness.gathered(retry).is_some(),
+        "50 ms of the objective were already spent"
     );
 }
 
 #[test]
-fn a_shard_without_servers_is_left_out_or_refused_at_once() {
-    for (least, served) in [(0.5, true), (1.0, false)] {
+fn a_shard_without_servers_is_omitted_or_the_request_refused_at_once() {
+    for (min_coverage, is_answered) in [(0.5, true), (1.0, false)] {
         let mut harness = Harness::new();
         let mut rule = route("q", shards(2));
-        rule.least_coverage = least;
+        rule.least_coverage = min_coverage;
         harness.obey(table(1, vec![rule]));
         harness.serve("s0", 1);
         let call = harness.call("q");
-        if served {
+        if is_answered {
             harness.end_well(0, b"");
             assert_eq!(harness.gathered(call), Some((vec!["s0-0"], 1)));
         } else {
-            assert!(harness.failure_of(call).is_some(), "nothing more can come");
+            assert!(
+                harness.failure_of(call).is_some(),
+                "the required coverage cannot be reached"
+            );
         }
     }
 }
 
 #[test]
-fn a_servers_failure_is_no_part() {
+fn a_failure_of_a_server_does_not_count_as_an_answered_part() {
     let mut harness = Harness::new();
     let mut rule = route("q", shards(1));
     rule.least_coverage = 1.0;
@@ -131,14 +134,18 @@
 }
 
 #[test]
-fn only_one_answer_of_a_shard_is_in() {
+fn only_one_answer_of_each_shard_is_used() {
     let mut harness = Harness::new();
     harness.obey(table(1, vec![route("q", shards(2))]));
     harness.serve("s0", 2);
     harness.serve("s1", 1);
     let call = harness.call("q");
     harness.pass(60);
-    assert_eq!(harness.sends.len(), 3, "the shard with two is hedged");
+    assert_eq!(
+        harness.sends.len(),
+        3,
+        "the shard with two servers is hedged"
+    );
     harness.end_well(2, b"");
     harness.end_well(0, b"");
     harness.end_well(1, b"");
@@ -147,7 +154,7 @@
 }
 
 #[test]
-fn the_merged_body_is_the_greatest_records() {
+fn the_merged_body_has_the_greatest_records_of_all_shards() {
     let mut harness = Harness::new();
     harness.obey(table(1, vec![route("q", shards(2))]));
     harness.serve("s0", 1);
@@ -163,7 +170,7 @@
 
 proptest! {
     #[test]
-    fn merging_is_sorting(parts in prop::collection::vec(prop::collection::vec(0u8..4, 0..200), 0..6), top in 0usize..20) {
+    fn merging_equals_sorting_and_truncating(parts in prop::collection::vec(prop::collection::vec(0u8..4, 0..200), 0..6), top in 0usize..20) {
         let mut merge = RecordMerge::new(top);
         let mut all: Vec<&[u8]> = Vec::new();
         for part in &parts {
--- a/crates/core/tests/forward/proximity.rs
+++ b/crates/core/tests/forward/proximity.rs
@@ -1,21 +1,25 @@
-//! Same failure domain, same region, elsewhere: whom an entry asks.
+//! Proximity of failure domains (same domain, same region, elsewhere), and the preference
+//! of nearer servers and entries.
 
 use wheelmast_core::process::forward::machine::ForwardOptions;
 use wheelmast_core::process::forward::place::{DomainProximity, RegionMap};
 
 use crate::harness::{route, shards, table, Harness, HOME};
 
-/// A failure domain of the same region.
+/// Another failure domain of the local region.
 const BESIDE: &str = "beside";
-/// One of another region.
+/// A failure domain of another region.
 const FAR: &str = "far";
 
+/// Maps the three failure domains to two regions.
 fn regions() -> RegionMap {
     let pairs = [(HOME, "west"), (BESIDE, "west"), (FAR, "east")];
     RegionMap::new(pairs.map(|(domain, region)| (domain.into(), region.into())))
 }
 
-fn world(count: usize, domains: &[&str]) -> Harness {
+/// Creates a harness with a route over `count` shards, each with a server in each of
+/// `domains`.
+fn new_harness(count: usize, domains: &[&str]) -> Harness {
     let mut harness = Harness::with_options(ForwardOptions {
         domain: HOME.into(),
         regions: regions(),
@@ -31,7 +35,7 @@
 }
 
 #[test]
-fn there_are_three_steps() {
+fn proximity_of_known_and_unknown_domains() {
     let cases = [
         (HOME, HOME, DomainProximity::Domain),
         (HOME, BESIDE, DomainProximity::Region),
@@ -40,38 +44,44 @@
         ("unknown", "unheard", DomainProximity::Elsewhere),
         ("unknown", "unknown", DomainProximity::Domain),
     ];
-    for (own, other, want) in cases {
-        assert_eq!(regions().proximity(own, other), want, "{own} to {other}");
+    for (local, other, want) in cases {
+        assert_eq!(
+            regions().proximity(local, other),
+            want,
+            "{local} to {other}"
+        );
     }
 }
 
-struct PlaceCase {
+struct ProximityCase {
     name: &'static str,
+    /// Failure domains with a server of each shard.
     domains: &'static [&'static str],
-    asked: &'static str,
+    /// Failure domain whose servers get all requests.
+    chosen: &'static str,
 }
 
 #[test]
-fn the_nearest_server_is_asked_also_where_no_way_is_known() {
+fn the_nearest_server_is_chosen_also_without_a_measured_round_trip() {
     let cases = [
-        PlaceCase {
-            name: "all three",
+        ProximityCase {
+            name: "servers in all three domains",
             domains: &[FAR, BESIDE, HOME],
-            asked: HOME,
+            chosen: HOME,
         },
-        PlaceCase {
-            name: "none here",
+        ProximityCase {
+            name: "no server in the local domain",
             domains: &[FAR, BESIDE],
-            asked: BESIDE,
+            chosen: BESIDE,
         },
-        PlaceCase {
-            name: "only far",
+        ProximityCase {
+            name: "servers only in another region",
             domains: &[FAR],
-            asked: FAR,
+            chosen: FAR,
         },
     ];
     for case in cases {
-        let mut harness = world(2, case.domains);
+        let mut harness = new_harness(2, case.domains);
         for _ in 0..4 {
             let first = harness.sends.len();
             harness.call("q");
@@ -80,19 +90,19 @@
             }
         }
         for order in &harness.sends {
-            assert!(order.instance.ends_with(case.asked), "{}", case.name);
+            assert!(order.instance.ends_with(case.chosen), "{}", case.name);
         }
     }
 }
 
 #[test]
-fn a_bundle_goes_to_the_own_region_also_where_no_way_is_known() {
-    let mut harness = world(6, &[FAR, BESIDE]);
+fn a_bundle_goes_to_the_local_region_also_without_a_measured_round_trip() {
+    let mut harness = new_harness(6, &[FAR, BESIDE]);
     harness.meet(&[FAR, BESIDE]);
     for _ in 0..4 {
         harness.call("q");
     }
     let bundles = harness.sends.iter().filter(|order| order.relay.is_some());
-    let asked: Vec<&str> = bundles.map(|order| &*order.instance).collect();
-    assert_eq!(asked, ["entry-beside#7"; 4]);
+    let receivers: Vec<&str> = bundles.map(|order| &*order.instance).collect();
+    assert_eq!(receivers, ["entry-beside#7"; 4]);
 }
--- a/crates/core/tests/forward/reroute.rs
+++ b/crates/core/tests/forward/reroute.rs
@@ -1,4 +1,5 @@
-//! Entries that are late with what they were asked for.
+//! Relays that another entry does not acknowledge or answer in time: rerouting, attempt
+//! allowances and backing off from unresponsive entries.
 
 use std::time::Duration;
 
@@ -7,11 +8,12 @@
 
 use crate::harness::{route, shards, table, Harness, HOME};
 
-/// Shards of the route, all of them elsewhere.
+/// Number of shards of the route; none has a server in the local failure domain.
 const FAR: usize = 4;
 
-/// Far shards with a server in each of two domains, and an entry in the nearer.
-fn world(shard_count: usize, domains: &[&str]) -> Harness {
+/// Creates a harness whose shards each have a server in the domains "there" and "beyond",
+/// and one other entry in each of `domains`.
+fn new_harness(shard_count: usize, domains: &[&str]) -> Harness {
     let mut harness = Harness::new();
     harness.obey(table(3, vec![route("q", shards(shard_count))]));
     for shard in 0..shard_count {
@@ -22,23 +24,28 @@
     harness
 }
 
+/// Returns the number of orders that are relays to other entries.
 fn relays(orders: &[AttemptOrder]) -> usize {
     orders.iter().filter(|order| order.relay.is_some()).count()
 }
 
 #[test]
-fn a_late_entry_is_asked_around_while_that_is_in_time() {
-    let mut harness = world(FAR, &["there"]);
+fn an_unacknowledged_relay_is_rerouted_in_time() {
+    let mut harness = new_harness(FAR, &["there"]);
     let call = harness.call("q");
     assert_eq!((harness.sends.len(), relays(&harness.sends)), (1, 1));
     harness.pass(20);
     assert_eq!(
         harness.sends.len(),
         1,
-        "it may still say that it is at work"
+        "the acknowledgement is not overdue yet"
     );
     harness.pass(25);
-    assert_eq!(harness.sends.len(), 1 + FAR, "its parts are asked for here");
+    assert_eq!(
+        harness.sends.len(),
+        1 + FAR,
+        "the parts are sent to servers directly"
+    );
     for send in 1..=FAR {
         harness.end_well(send, b"");
     }
@@ -48,8 +55,8 @@
 }
 
 #[test]
-fn an_entry_at_work_is_granted_what_is_left_and_not_asked_around() {
-    let mut harness = world(FAR, &["there"]);
+fn an_acknowledged_relay_gets_the_remaining_attempts_and_is_not_rerouted() {
+    let mut harness = new_harness(FAR, &["there"]);
     harness.call("q");
     let order = harness.sends[0].relay.clone().expect("an order");
     assert_eq!(order.attempts, 1);
@@ -57,17 +64,17 @@
     harness.hear_alive(0);
     assert_eq!(harness.grants, [(harness.sends[0].attempt, 2)]);
     harness.hear_alive(0);
-    assert_eq!(harness.grants.len(), 1, "granted once");
+    assert_eq!(harness.grants.len(), 1, "the allowance is raised only once");
     harness.pass(70);
     assert_eq!(harness.sends.len(), 1);
-    // What came without has run as often as it may.
+    // The omitted shards have used all attempts, so they are not sent again.
     harness.end_bundle(0, &["s0", "s2"], b"");
     assert_eq!(harness.sends.len(), 1);
 }
 
 #[test]
-fn an_entry_that_was_asked_around_is_granted_nothing() {
-    let mut harness = world(FAR, &["there"]);
+fn a_rerouted_relay_gets_no_further_attempts() {
+    let mut harness = new_harness(FAR, &["there"]);
     harness.call("q");
     harness.pass(45);
     assert_eq!(harness.sends.len(), 1 + FAR);
@@ -76,7 +83,7 @@
 }
 
 #[test]
-fn an_entry_repeats_no_more_than_it_was_lent_until_it_is_granted_more() {
+fn a_relayed_request_uses_only_its_allowance_until_that_is_raised() {
     let mut harness = Harness::new();
     harness.obey(table(3, vec![route("q", shards(2))]));
     for shard in ["s0", "s1"] {
@@ -97,14 +104,14 @@
     assert_eq!(harness.sends.len(), 2, "no hedges");
     harness.step(ForwardInput::Granted(call, 9));
     harness.pass(1);
-    assert_eq!(harness.sends.len(), 4, "one hedge for each");
+    assert_eq!(harness.sends.len(), 4, "one hedge for each shard");
     harness.pass(25);
-    assert_eq!(harness.sends.len(), 4, "the route allows no more");
+    assert_eq!(harness.sends.len(), 4, "the route allows no more attempts");
 }
 
 #[test]
-fn a_part_that_is_lost_before_the_grant_waits_for_it() {
-    for is_granted in [true, false] {
+fn a_part_that_fails_waits_for_a_raised_allowance() {
+    for is_raised in [true, false] {
         let mut harness = Harness::new();
         harness.obey(table(3, vec![route("q", shards(2))]));
         for shard in ["s0", "s1"] {
@@ -123,9 +130,13 @@
         harness.pass(2);
         harness.end(0, AttemptEnd::Broken);
         harness.end_well(1, b"");
-        assert_eq!(harness.sends.len(), 2, "it may have run once");
+        assert_eq!(
+            harness.sends.len(),
+            2,
+            "the failed attempt may have run and uses up the allowance"
+        );
         assert!(harness.answer_to(call).is_none());
-        if is_granted {
+        if is_raised {
             harness.step(ForwardInput::Granted(call, 2));
             harness.pass(2);
             assert_eq!(harness.sends.len(), 3);
@@ -134,15 +145,15 @@
             harness.pass(80);
         }
         let (stamps, missing) = harness.gathered(call).expect("an answer");
-        let want = if is_granted { (2, 0) } else { (1, 1) };
+        let want = if is_raised { (2, 0) } else { (1, 1) };
         assert_eq!((stamps.len(), missing), want);
     }
 }
 
 #[test]
-fn what_is_granted_is_passed_on_to_those_at_work() {
-    for is_heard_first in [true, false] {
-        let mut harness = world(30, &[]);
+fn a_raised_allowance_is_passed_on_to_acknowledged_relays() {
+    for is_acknowledged_first in [true, false] {
+        let mut harness = new_harness(30, &[]);
         harness.meet_in("there", 1);
         let order = RelayOrder {
             version: 3,
@@ -159,8 +170,8 @@
         }
         let call = harness.call_as("q", None, Some(order));
         let relay = harness.sends.iter().position(|order| order.relay.is_some());
-        let relay = relay.expect("a share for another entry");
-        if is_heard_first {
+        let relay = relay.expect("a bundle for another entry");
+        if is_acknowledged_first {
             harness.hear_alive(relay);
             assert!(harness.grants.is_empty());
             harness.step(ForwardInput::Granted(call, 2));
@@ -174,9 +185,9 @@
 }
 
 #[test]
-fn of_two_bundles_with_parts_in_common_the_larger_counts() {
+fn of_two_bundles_with_parts_in_common_the_larger_is_accepted() {
     for (first, second, want) in [(20, 25, 25), (25, 20, 25), (20, 20, 20)] {
-        let mut harness = world(30, &[]);
+        let mut harness = new_harness(30, &[]);
         harness.meet_in("there", 2);
         let call = harness.call("q");
         harness.pass(45);
@@ -192,24 +203,31 @@
 }
 
 #[test]
-fn ways_count_in_the_time_for_a_sign() {
-    // A connection that has to be opened, and an entry 12 ms away.
-    let way = Duration::from_millis(24);
-    let mut harness = world(FAR, &["there"]);
+fn the_acknowledgement_time_includes_round_trips() {
+    // The entry is 12 ms away, so the round trip for opening a connection takes 24 ms.
+    let round_trip = Duration::from_millis(24);
+    let mut harness = new_harness(FAR, &["there"]);
     harness.call("q");
     harness.end_bundle(0, &["s0", "s1", "s2", "s3"], b"");
     let server = harness.sends[0].server;
-    harness.step(ForwardInput::Connected { server, took: way });
+    harness.step(ForwardInput::Connected {
+        server,
+        took: round_trip,
+    });
     harness.call("q");
     harness.pass(60);
-    assert_eq!(harness.sends.len(), 2, "its word may still be on its way");
+    assert_eq!(
+        harness.sends.len(),
+        2,
+        "the acknowledgement may still be in transit"
+    );
     harness.pass(15);
     assert_eq!(harness.sends.len(), 2 + FAR);
 }
 
 #[test]
-fn a_late_answer_still_counts() {
-    let mut harness = world(FAR, &["there"]);
+fn a_late_answer_is_still_used() {
+    let mut harness = new_harness(FAR, &["there"]);
     let call = harness.call("q");
     harness.pass(70);
     assert_eq!(harness.sends.len(), 1 + FAR);
@@ -220,8 +238,8 @@
 }
 
 #[test]
-fn parts_that_came_without_are_asked_of_servers_elsewhere() {
-    let mut harness = world(FAR, &["there"]);
+fn omitted_parts_are_sent_to_servers_of_other_domains() {
+    let mut harness = new_harness(FAR, &["there"]);
     let call = harness.call("q");
     harness.end_bundle(0, &["s0", "s2"], b"");
     let direct: Vec<&str> = harness.sends[1..]
@@ -236,8 +254,8 @@
 }
 
 #[test]
-fn many_parts_go_through_another_entry() {
-    let mut harness = world(30, &[]);
+fn many_parts_are_rerouted_through_another_entry() {
+    let mut harness = new_harness(30, &[]);
     harness.meet_in("there", 2);
     harness.call("q");
     assert_eq!((harness.sends.len(), relays(&harness.sends)), (1, 1));
@@ -246,36 +264,39 @@
     assert_ne!(harness.sends[0].instance, harness.sends[1].instance);
     let order = harness.sends[1].relay.clone().expect("an order");
     assert_eq!((order.shards.len(), order.attempts), (30, 1));
-    assert!(!order.earns, "it may count with the first already");
+    assert!(
+        !order.earns,
+        "the first entry may have credited its budget already"
+    );
 }
 
-struct RestCase {
+struct BackoffCase {
     name: &'static str,
-    /// Whether it answers another request meanwhile.
-    answers: bool,
-    /// Whether it is asked for the next one.
-    is_asked: bool,
+    /// Whether the entry answers another request while the first relay is overdue.
+    answers_other: bool,
+    /// Whether the next request is relayed to the entry.
+    is_relayed: bool,
 }
 
 #[test]
-fn only_an_entry_that_answers_nothing_is_left_alone() {
+fn only_an_entry_that_answers_nothing_gets_no_relays_for_a_while() {
     let cases = [
-        RestCase {
-            name: "silent",
-            answers: false,
-            is_asked: false,
+        BackoffCase {
+            name: "unresponsive",
+            answers_other: false,
+            is_relayed: false,
         },
-        RestCase {
+        BackoffCase {
             name: "slow with one request",
-            answers: true,
-            is_asked: true,
+            answers_other: true,
+            is_relayed: true,
         },
     ];
     for case in cases {
-        let mut harness = world(FAR, &["there"]);
+        let mut harness = new_harness(FAR, &["there"]);
         harness.call("q");
         harness.pass(1);
-        if case.answers {
+        if case.answers_other {
             harness.call("q");
             harness.end_bundle(1, &["s0", "s1", "s2", "s3"], b"");
         }
@@ -284,20 +305,20 @@
         for send in first..harness.sends.len() {
             harness.end_well(send, b"");
         }
-        // What it was asked for is closed, and it is not still any more.
+        // The overdue relay is cancelled once the request is answered.
         harness.pass(1);
-        let closed = harness.sends[0].attempt;
-        assert_eq!(harness.cancels, [closed], "{}", case.name);
+        let cancelled = harness.sends[0].attempt;
+        assert_eq!(harness.cancels, [cancelled], "{}", case.name);
         harness.end(0, AttemptEnd::Broken);
         let before = harness.sends.len();
         harness.call("q");
-        let is_asked = relays(&harness.sends[before..]) > 0;
-        assert_eq!(is_asked, case.is_asked, "{}", case.name);
+        let is_relayed = relays(&harness.sends[before..]) > 0;
+        assert_eq!(is_relayed, case.is_relayed, "{}", case.name);
     }
 }
 
 #[test]
-fn an_entry_that_has_nothing_in_time_says_so() {
+fn a_relayed_request_without_any_answer_in_time_fails() {
     let mut harness = Harness::new();
     harness.obey(table(3, vec![route("q", shards(2))]));
     harness.serve_in("s0", HOME);
--- a/crates/core/tests/forward/shard_owners.rs
+++ b/crates/core/tests/forward/shard_owners.rs
@@ -1,5 +1,6 @@
-//! The constant allowance of repeats where shards are divided among the entries of
-//! a failure domain: it follows who asks, however many entries there are.
+//! The constant retry allowance (`slack`) of a shard whose group is owned by one entry of
+//! each failure domain. The owner sends most requests to the shard, so its part of the
+//! allowance must not shrink with the number of entries.
 
 use std::time::Duration;
 
@@ -15,35 +16,40 @@
     slack: 1040.0,
     window: Duration::from_secs(10),
 };
+/// Number of failure domains.
 const DOMAINS: u32 = 6;
-/// Least repeats in a window that a holder can make at any size.
-const LEAST_HELD: usize = 40;
+/// Minimum number of retries in a window that an owner can make, at any number of entries.
+const MIN_OWNER_RETRIES: usize = 40;
 
-/// Returns how many repeats an entry with this view can make at once.
-fn affordable(view: ExtraView) -> usize {
+/// Returns how many retries an entry with this view can make at once.
+fn available_retries(view: ExtraView) -> usize {
     let mut budget = ExtraBudget::default();
     let now = Duration::from_secs(60);
-    let repeats = (0..10_000).take_while(|_| budget.take(&BOUND, view, SpendPace::Any, now));
-    repeats.count()
+    let retries = (0..10_000).take_while(|_| budget.take(&BOUND, view, SpendPace::Any, now));
+    retries.count()
 }
 
 #[test]
-fn a_holder_s_part_does_not_shrink_with_the_entries_and_all_keep_the_bound() {
+fn an_owners_allowance_does_not_shrink_with_the_entries_and_all_keep_the_bound() {
     for entries in [6_u32, 30, 100, 300, 983, 2382] {
         let view = |holds| ExtraView {
             entries,
             domains: DOMAINS,
             holds: Some(holds),
         };
-        let (held, other) = (affordable(view(true)), affordable(view(false)));
-        assert!(held >= LEAST_HELD, "{entries} entries: {held}");
-        // Two views of the entries at once: each domain has two holders.
-        let holders = (DOMAINS * 2).min(entries) as usize;
-        let all = held * holders + other * (entries as usize - holders);
+        let (owner, other) = (
+            available_retries(view(true)),
+            available_retries(view(false)),
+        );
+        assert!(owner >= MIN_OWNER_RETRIES, "{entries} entries: {owner}");
+        // While entries disagree about the list of entries, each domain has two owners.
+        let owners = (DOMAINS * 2).min(entries) as usize;
+        let all = owner * owners + other * (entries as usize - owners);
         assert!(all as f64 <= BOUND.slack, "{entries} entries: {all}");
     }
 }
 
+/// Returns the entries of the local failure domain.
 fn peers(count: u16) -> Vec<EntryPeer> {
     let peer = |number: u16| EntryPeer {
         instance: format!("home-{number}").into(),
@@ -54,9 +60,9 @@
     (0..count).map(peer).collect()
 }
 
-/// Returns the services whose repeats this entry of many has more room for, after
-/// tables over so many shards each.
-fn held_by(number: usize, peers: &[EntryPeer], tables: &[usize]) -> Vec<String> {
+/// Returns the services for which entry `number` has more than an equal part of the
+/// allowance, after route tables with these numbers of shards.
+fn services_owned_by(number: usize, peers: &[EntryPeer], tables: &[usize]) -> Vec<String> {
     let regions = ["here", "beside", "far"].map(|domain| (domain.into(), "west".into()));
     let mut machine = ForwardMachine::new(ForwardOptions {
         domain: HOME.into(),
@@ -70,29 +76,30 @@
     let tables = (1..).zip(tables).map(|(version, count)| {
         ForwardInput::Table(table(version, vec![route("q", shards(*count))]))
     });
-    let known = [
+    let entry_inputs = [
         ForwardInput::Entries(peers.len() as u32),
         ForwardInput::Peers(peers.to_vec()),
     ];
-    for input in tables.chain(known) {
+    for input in tables.chain(entry_inputs) {
         machine.step(now, input, &mut out);
     }
-    let even = BOUND.slack / peers.len() as f64;
+    let equal_part = BOUND.slack / peers.len() as f64;
     let services = machine.services(now);
-    let held = services.filter(|(_, _, _, room)| *room > even);
-    held.map(|(name, _, _, _)| name.to_string()).collect()
+    let owned = services.filter(|(_, _, _, budget)| *budget > equal_part);
+    owned.map(|(name, _, _, _)| name.to_string()).collect()
 }
 
 #[test]
-fn each_shard_has_one_holder_among_the_entries_of_a_domain() {
+fn each_shard_has_one_owner_among_the_entries_of_a_domain() {
     let peers = peers(40);
-    let mut wanted: Vec<String> = (0..60).map(|shard| format!("s{shard}")).collect();
-    wanted.sort();
-    // Also while requests of an older table are at work.
+    let mut expected: Vec<String> = (0..60).map(|shard| format!("s{shard}")).collect();
+    expected.sort();
+    // Later tables with fewer shards keep the owners, as requests under an older table may
+    // still be in progress.
     for tables in [&[60][..], &[60, 30], &[60, 12]] {
-        let held = (0..peers.len()).flat_map(|number| held_by(number, &peers, tables));
-        let mut held: Vec<String> = held.collect();
-        held.sort();
-        assert_eq!(held, wanted, "{tables:?}");
+        let owned = (0..peers.len()).flat_map(|number| services_owned_by(number, &peers, tables));
+        let mut owned: Vec<String> = owned.collect();
+        owned.sort();
+        assert_eq!(owned, expected, "{tables:?}");
     }
 }
--- a/crates/core/tests/forward/splits.rs
+++ b/crates/core/tests/forward/splits.rs
@@ -1,4 +1,4 @@
-//! Routes that are split, over all entries together.
+//! Split routes: the requests of all entries together follow the weights of the route.
 
 use std::collections::HashMap;
 
@@ -7,15 +7,15 @@
 
 use crate::harness::{route, table, Harness, HOME};
 
-/// Most that a part's share of the requests may be off its weight's.
-const MOST_OFF: f64 = 0.1;
+/// Maximum difference between a service's share of the requests and its weight's share.
+const MAX_DEVIATION: f64 = 0.1;
 
 struct SplitCase {
-    /// Weights under which each entry has taken ten requests before.
-    before: &'static [f64],
+    /// Earlier weights, under which each entry has already received ten requests.
+    earlier_weights: &'static [f64],
     weights: &'static [f64],
     entries: u64,
-    /// Requests that each entry takes before it ends.
+    /// Number of requests that each entry receives under `weights`.
     requests: usize,
 }
 
@@ -33,82 +33,91 @@
     changed(&[50.0, 50.0], &[40.0, 30.0, 30.0]),
 ];
 
+/// Returns a case without earlier weights.
 const fn case(weights: &'static [f64], entries: u64, requests: usize) -> SplitCase {
     SplitCase {
-        before: &[],
+        earlier_weights: &[],
         weights,
         entries,
         requests,
     }
 }
 
-const fn changed(before: &'static [f64], weights: &'static [f64]) -> SplitCase {
+/// Returns a case in which the weights change once.
+const fn changed(earlier_weights: &'static [f64], weights: &'static [f64]) -> SplitCase {
     SplitCase {
-        before,
+        earlier_weights,
         ..case(weights, 294, 1)
     }
 }
 
-/// Puts a table in force by which the route has these weights.
-fn divide_by(entry: &mut Harness, version: u64, weights: &[f64]) {
-    let parts = weights.iter().enumerate();
-    let parts = parts.map(|(place, weight)| WeightedService {
-        service: format!("part{place}"),
+/// Applies a route table in which the route has these weights.
+fn set_weights(entry: &mut Harness, version: u64, weights: &[f64]) {
+    let services = weights.iter().enumerate();
+    let services = services.map(|(index, weight)| WeightedService {
+        service: format!("part{index}"),
         weight: *weight,
     });
-    let target = RouteTarget::Split(parts.collect());
+    let target = RouteTarget::Split(services.collect());
     entry.obey(table(version, vec![route("orders", target)]));
 }
 
-/// Returns how many requests each service gets of one entry.
-fn play_entry(case: &SplitCase, seed: u64) -> HashMap<String, usize> {
+/// Runs one entry and returns the number of requests that it sent to each service.
+fn run_entry(case: &SplitCase, seed: u64) -> HashMap<String, usize> {
     let mut entry = Harness::with_options(ForwardOptions {
         domain: HOME.into(),
         seed,
         ..ForwardOptions::default()
     });
-    for place in 0..case.weights.len() {
-        entry.serve(&format!("part{place}"), 1);
+    for index in 0..case.weights.len() {
+        entry.serve(&format!("part{index}"), 1);
     }
-    let earlier = if case.before.is_empty() { 0 } else { 10 };
+    let earlier = if case.earlier_weights.is_empty() {
+        0
+    } else {
+        10
+    };
     if earlier > 0 {
-        divide_by(&mut entry, 1, case.before);
+        set_weights(&mut entry, 1, case.earlier_weights);
     }
     for number in 0..earlier + case.requests {
         if number == earlier {
-            divide_by(&mut entry, 2, case.weights);
+            set_weights(&mut entry, 2, case.weights);
         }
         entry.call("orders");
         entry.end_well(number, b"");
     }
     let mut counts = HashMap::new();
     for send in &entry.sends[earlier..] {
-        let (service, _) = send.instance.split_once('-').expect("named by service");
+        let (service, _) = send
+            .instance
+            .split_once('-')
+            .expect("a server named after its service");
         *counts.entry(service.to_string()).or_default() += 1;
     }
     counts
 }
 
 #[test]
-fn a_split_route_keeps_its_weights_where_each_entry_sees_few_of_its_requests() {
+fn a_split_route_keeps_its_weights_when_each_entry_receives_few_requests() {
     for case in &CASES {
         let mut counts: HashMap<String, usize> = HashMap::new();
         for seed in 0..case.entries {
-            for (service, count) in play_entry(case, seed) {
+            for (service, count) in run_entry(case, seed) {
                 *counts.entry(service).or_default() += count;
             }
         }
         let all = case.entries as usize * case.requests;
         let sum: f64 = case.weights.iter().sum();
-        for (place, weight) in case.weights.iter().enumerate() {
-            let count = counts.get(&format!("part{place}")).copied();
+        for (index, weight) in case.weights.iter().enumerate() {
+            let count = counts.get(&format!("part{index}")).copied();
             let share = count.unwrap_or_default() as f64 / all as f64;
-            let off = (share - weight / sum).abs();
+            let deviation = (share - weight / sum).abs();
             assert!(
-                off <= MOST_OFF,
-                "{:?} after {:?}, {} entries with {} requests each: part {place} gets {share:.3}",
+                deviation <= MAX_DEVIATION,
+                "{:?} after {:?}, {} entries with {} requests each: part {index} gets {share:.3}",
                 case.weights,
-                case.before,
+                case.earlier_weights,
                 case.entries,
                 case.requests
             );
