--- a/crates/core/src/process/forward/send.rs
+++ b/crates/core/src/process/forward/send.rs
@@ -1,82 +1,88 @@
-//! Sending a part to a server, or letting it wait for one with room.
+//! Sends parts of requests to servers, and queues a part while all servers of its
+//! service are at capacity. A part is one shard's subquery of a request, or the whole of
+//! an unsharded request.
 
 use std::time::Duration;
 
 use crate::arena::{SlotKey, UpstreamKey};
 use crate::process::forward::answer::{AttemptCause, AttemptOrder, ForwardAction, ForwardDecision};
 use crate::process::forward::call::{CallState, ForwardAttempt, PartStatus, RelayStanding};
-use crate::process::forward::choose::{ExpectedTimes, NoChoice, ServerChoice};
+use crate::process::forward::choose::{SelectionCriteria, SelectionFailure, ServerChoice};
 use crate::process::forward::input::RelayOrder;
 use crate::process::forward::machine::ForwardMachine;
 use crate::process::forward::server::OutstandingAttempt;
 use crate::process::forward::suspect::book::SuspectStanding;
 use crate::process::forward::version::slow_after;
 
-/// Time kept for the way back when a server is told its time.
-const SEND_MARGIN: Duration = Duration::from_millis(3);
+/// Time reserved for returning the answer: a server's deadline is this much earlier than
+/// the caller's.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(3);
 
-/// An attempt that is to be sent.
+/// Everything needed to send one attempt to a server or to another entry.
 #[derive(Debug)]
-pub(super) struct AttemptSend {
-    /// Places of the parts in the request.
+pub(super) struct AttemptPlan {
+    /// Indexes of the parts in the request.
     pub(super) parts: Vec<usize>,
-    /// Why.
+    /// Why the attempt is sent.
     pub(super) cause: AttemptCause,
-    /// The server.
+    /// The server or entry that was chosen.
     pub(super) choice: ServerChoice,
-    /// Place of the timing that it counts for.
+    /// Index of the timing statistics that the attempt counts for.
     pub(super) timing: usize,
-    /// Time after which it is looked over.
-    pub(super) patience: Duration,
-    /// Servers of each part that it may run on.
+    /// Time after which an unanswered attempt is checked for a hedge or, if the attempt
+    /// is a relay, for its acknowledgement.
+    pub(super) check_after: Duration,
+    /// Number of servers that the attempt may run on, per part.
     pub(super) runs: u32,
-    /// What is asked, if the server is another entry.
+    /// The order for the other entry, if the attempt is a relay.
     pub(super) relay: Option<RelayOrder>,
 }
 
 impl ForwardMachine {
-    /// Sends a part to a server, if there is one with room.
-    pub(super) fn send(
+    /// Chooses a server for a part and sends the part there. Returns an error if no server
+    /// can be chosen.
+    pub(super) fn send_part(
         &mut self,
         call: SlotKey,
         part: usize,
         cause: AttemptCause,
         now: Duration,
         out: &mut Vec<ForwardAction>,
-    ) -> Result<(), NoChoice> {
-        let choice = self.choose_for(call, part, now)?;
-        self.send_to(call, part, cause, choice, now, out);
+    ) -> Result<(), SelectionFailure> {
+        let choice = self.choose_server_for(call, part, now)?;
+        self.send_part_to(call, part, cause, choice, now, out);
         Ok(())
     }
 
-    /// Chooses a server for a part out of those that were not asked for it.
-    pub(super) fn choose_for(
+    /// Chooses a server for a part, except those that were already tried for it.
+    pub(super) fn choose_server_for(
         &mut self,
         call: SlotKey,
         part: usize,
         now: Duration,
-    ) -> Result<ServerChoice, NoChoice> {
-        let state = self.calls.get(call).ok_or(NoChoice::NoServer)?;
+    ) -> Result<ServerChoice, SelectionFailure> {
+        let state = self.calls.get(call).ok_or(SelectionFailure::NoServer)?;
         let (upstream, tried) = (state.parts[part].upstream, state.parts[part].tried.clone());
-        let times = ExpectedTimes {
-            far_as_near: !state.gathers && !tried.is_empty(),
-            ..self.first_times(state)
+        let criteria = SelectionCriteria {
+            ignores_distance: !state.gathers && !tried.is_empty(),
+            ..self.first_attempt_criteria(state)
         };
-        self.choose(upstream, &tried, times, now)
+        self.choose_server(upstream, &tried, criteria, now)
     }
 
-    /// Returns what is expected of the first answers to a request.
-    pub(super) fn first_times(&self, state: &CallState) -> ExpectedTimes {
-        ExpectedTimes {
+    /// Returns the criteria by which servers are chosen for a request's first attempts.
+    pub(super) fn first_attempt_criteria(&self, state: &CallState) -> SelectionCriteria {
+        SelectionCriteria {
             typical: self.timings[state.timing].typical(state.rule()),
             objective: state.rule().objective(),
-            far_as_near: false,
-            repeats: state.rule().idempotent,
+            ignores_distance: false,
+            is_repeatable: state.rule().idempotent,
             homes: state.homes,
         }
     }
 
-    pub(super) fn send_to(
+    /// Sends a part to the chosen server and records that server as tried for the part.
+    pub(super) fn send_part_to(
         &mut self,
         call: SlotKey,
         part: usize,
@@ -89,58 +95,59 @@
             return;
         };
         let timing = state.timing;
-        let slow = self.timings[timing].slow(state.rule());
-        let send = AttemptSend {
+        let hedge_after = self.timings[timing].slow(state.rule());
+        let plan = AttemptPlan {
             parts: vec![part],
             cause,
             choice,
             timing,
-            patience: self.servers[choice.server.key()].way() + slow,
+            check_after: self.servers[choice.server.key()].way() + hedge_after,
             runs: 1,
             relay: None,
         };
-        self.send_attempt(call, send, now, out);
+        self.send_attempt(call, plan, now, out);
         if let Some(state) = self.calls.get_mut(call) {
             let _ = state.parts[part].tried.try_push(choice.server.key());
         }
     }
 
-    /// Sends one attempt, for one part or for several.
+    /// Sends one attempt for one part or several, and records it with the request, the
+    /// parts, the server and the counters.
     pub(super) fn send_attempt(
         &mut self,
         call: SlotKey,
-        send: AttemptSend,
+        plan: AttemptPlan,
         now: Duration,
         out: &mut Vec<ForwardAction>,
     ) {
         let Some(state) = self.calls.get_mut(call) else {
             return;
         };
-        let AttemptSend { cause, choice, .. } = send;
-        let is_known = self.suspects.standing(state.mark, now) != SuspectStanding::Clear;
-        let on_trial = state.is_doubted() || (is_known && !state.gathers);
-        let typical = self.timings[send.timing].typical(state.rule());
+        let AttemptPlan { cause, choice, .. } = plan;
+        let is_suspect = self.suspects.standing(state.mark, now) != SuspectStanding::Clear;
+        let on_trial = state.is_doubted() || (is_suspect && !state.gathers);
+        let typical = self.timings[plan.timing].typical(state.rule());
         let slow_after = slow_after(typical, state.rule().objective());
         let key = choice.server.key();
         let server = &mut self.servers[key];
         let attempt = self.attempts.insert(ForwardAttempt {
             call: Some(call),
             mark: state.mark,
-            parts: send.parts.clone(),
+            parts: plan.parts.clone(),
             server: key,
             upstream: server.upstream,
             sent_at: now,
             typical,
             slow_after,
-            basis: send
+            basis: plan
                 .relay
                 .is_none()
                 .then(|| server.basis(choice.expected, now)),
             cause,
-            timing: send.timing,
-            runs: send.runs,
-            due: if send.relay.is_some() {
-                now + send.patience
+            timing: plan.timing,
+            runs: plan.runs,
+            due: if plan.relay.is_some() {
+                now + plan.check_after
             } else {
                 Duration::MAX
             },
@@ -152,14 +159,14 @@
         state.sends += 1;
         let (tag, gathers) = (state.tag, state.gathers);
         let workspace = state.workspace.clone();
-        let until = state.plan.given_up.saturating_sub(SEND_MARGIN);
-        for part in &send.parts {
+        let until = state.plan.given_up.saturating_sub(RESPONSE_MARGIN);
+        for part in &plan.parts {
             let part = &mut state.parts[*part];
             part.attempts.push(attempt);
             part.arrivals += 1;
-            part.runs += send.runs;
-            part.hedge_at = now + send.patience;
-            part.bundled |= send.relay.is_some();
+            part.runs += plan.runs;
+            part.hedge_at = now + plan.check_after;
+            part.bundled |= plan.relay.is_some();
         }
         let counts = &mut self.upstreams[server.upstream].counts;
         counts.sends += 1;
@@ -167,7 +174,7 @@
             counts.extras += 1;
         }
         let outstanding = server.outstanding.len();
-        if send.relay.is_none() {
+        if plan.relay.is_none() {
             let work = server.work(typical, now);
             server.backlog.sent(work, server.slots, self.entries, now);
         }
@@ -209,36 +216,37 @@
             until,
             workspace,
             whole_head: !gathers,
-            relay: send.relay,
+            relay: plan.relay,
         }));
     }
 
-    /// Lets a part that was not sent wait for a server with room, or gives it
-    /// up if its service has none.
-    pub(super) fn wait_or_miss(
+    /// Handles a part for which no server was chosen: puts the part in its service's
+    /// queue if all servers are at capacity, or gives it up if there is no usable server
+    /// and the part has no other attempt.
+    pub(super) fn enqueue_or_give_up(
         &mut self,
         call: SlotKey,
         part: usize,
-        reason: NoChoice,
+        reason: SelectionFailure,
         out: &mut Vec<ForwardAction>,
     ) {
         let Some(state) = self.calls.get_mut(call) else {
             return;
         };
         let part_state = &mut state.parts[part];
-        if reason == NoChoice::Full {
+        if reason == SelectionFailure::Full {
             if !part_state.waits {
                 part_state.waits = true;
                 let upstream = part_state.upstream;
                 self.upstreams[upstream].waiting.push_back((call, part));
             }
         } else if part_state.attempts.is_empty() {
-            self.miss(call, part, out);
+            self.give_up_part(call, part, out);
         }
     }
 
-    /// Gives a part up whose service has no server left to ask.
-    fn miss(&mut self, call: SlotKey, part: usize, out: &mut Vec<ForwardAction>) {
+    /// Gives up a part whose service has no server left to try.
+    fn give_up_part(&mut self, call: SlotKey, part: usize, out: &mut Vec<ForwardAction>) {
         let Some(state) = self.calls.get_mut(call) else {
             return;
         };
@@ -250,8 +258,9 @@
         self.decide(tag, out, || ForwardDecision::NoServer { service, servers });
     }
 
-    /// Returns why a part is sent that was sent before, or was not.
-    pub(super) fn cause_for(&self, call: SlotKey, part: usize) -> AttemptCause {
+    /// Returns the cause of a part's next attempt: `First` if the part never reached a
+    /// server, otherwise `Retry`.
+    pub(super) fn attempt_cause(&self, call: SlotKey, part: usize) -> AttemptCause {
         let state = self.calls.get(call);
         let is_first = state.is_none_or(|state| state.parts[part].arrivals == 0);
         if is_first {
@@ -261,8 +270,8 @@
         }
     }
 
-    /// Gives the parts that wait for a service another try.
-    pub(super) fn serve_waiting(
+    /// Tries again to send the parts in a service's queue, each once.
+    pub(super) fn retry_waiting_parts(
         &mut self,
         upstream: UpstreamKey,
         now: Duration,
@@ -283,14 +292,14 @@
             if self.is_held(call, part) {
                 continue;
             }
-            let cause = self.cause_for(call, part);
-            match self.choose_for(call, part, now) {
+            let cause = self.attempt_cause(call, part);
+            match self.choose_server_for(call, part, now) {
                 Ok(choice) if self.afford(call, part, now, out) => {
-                    self.send_to(call, part, cause, choice, now, out);
+                    self.send_part_to(call, part, cause, choice, now, out);
                 }
                 Ok(_) => self.look_again(call, part, now, out),
                 Err(reason) => {
-                    self.wait_or_miss(call, part, reason, out);
+                    self.enqueue_or_give_up(call, part, reason, out);
                     self.check_end(call, now, out);
                 }
             }
--- /dev/null
+++ b/crates/core/tests/forward/proximity.rs
@@ -0,0 +1,108 @@
+//! Proximity of failure domains (same domain, same region, elsewhere), and the preference
+//! of nearer servers and entries.
+
+use wheelmast_core::process::forward::machine::ForwardOptions;
+use wheelmast_core::process::forward::place::{DomainProximity, RegionMap};
+
+use crate::harness::{route, shards, table, Harness, HOME};
+
+/// Another failure domain of the local region.
+const BESIDE: &str = "beside";
+/// A failure domain of another region.
+const FAR: &str = "far";
+
+/// Maps the three failure domains to two regions.
+fn regions() -> RegionMap {
+    let pairs = [(HOME, "west"), (BESIDE, "west"), (FAR, "east")];
+    RegionMap::new(pairs.map(|(domain, region)| (domain.into(), region.into())))
+}
+
+/// Creates a harness with a route over `count` shards, each with a server in each of
+/// `domains`.
+fn new_harness(count: usize, domains: &[&str]) -> Harness {
+    let mut harness = Harness::with_options(ForwardOptions {
+        domain: HOME.into(),
+        regions: regions(),
+        ..ForwardOptions::default()
+    });
+    harness.obey(table(3, vec![route("q", shards(count))]));
+    for shard in 0..count {
+        for domain in domains {
+            harness.serve_in(&format!("s{shard}"), domain);
+        }
+    }
+    harness
+}
+
+#[test]
+fn proximity_of_known_and_unknown_domains() {
+    let cases = [
+        (HOME, HOME, DomainProximity::Domain),
+        (HOME, BESIDE, DomainProximity::Region),
+        (HOME, FAR, DomainProximity::Elsewhere),
+        (HOME, "unknown", DomainProximity::Elsewhere),
+        ("unknown", "unheard", DomainProximity::Elsewhere),
+        ("unknown", "unknown", DomainProximity::Domain),
+    ];
+    for (local, other, want) in cases {
+        assert_eq!(
+            regions().proximity(local, other),
+            want,
+            "{local} to {other}"
+        );
+    }
+}
+
+struct ProximityCase {
+    name: &'static str,
+    /// Failure domains with a server of each shard.
+    domains: &'static [&'static str],
+    /// Failure domain whose servers get all requests.
+    chosen: &'static str,
+}
+
+#[test]
+fn the_nearest_server_is_chosen_also_without_a_measured_round_trip() {
+    let cases = [
+        ProximityCase {
+            name: "servers in all three domains",
+            domains: &[FAR, BESIDE, HOME],
+            chosen: HOME,
+        },
+        ProximityCase {
+            name: "no server in the local domain",
+            domains: &[FAR, BESIDE],
+            chosen: BESIDE,
+        },
+        ProximityCase {
+            name: "servers only in another region",
+            domains: &[FAR],
+            chosen: FAR,
+        },
+    ];
+    for case in cases {
+        let mut harness = new_harness(2, case.domains);
+        for _ in 0..4 {
+            let first = harness.sends.len();
+            harness.call("q");
+            for send in first..harness.sends.len() {
+                harness.end_well(send, b"");
+            }
+        }
+        for order in &harness.sends {
+            assert!(order.instance.ends_with(case.chosen), "{}", case.name);
+        }
+    }
+}
+
+#[test]
+fn a_bundle_goes_to_the_local_region_also_without_a_measured_round_trip() {
+    let mut harness = new_harness(6, &[FAR, BESIDE]);
+    harness.meet(&[FAR, BESIDE]);
+    for _ in 0..4 {
+        harness.call("q");
+    }
+    let bundles = harness.sends.iter().filter(|order| order.relay.is_some());
+    let receivers: Vec<&str> = bundles.map(|order| &*order.instance).collect();
+    assert_eq!(receivers, ["entry-beside#7"; 4]);
+}
