--- a/crates/core/tests/forward/versions.rs
+++ b/crates/core/tests/forward/versions.rs
@@ -2,18 +2,18 @@
 
 use wheelmast_core::process::control::rollout::RolloutState;
 use wheelmast_core::process::forward::directory::ServerNotice;
-use wheelmast_core::process::forward::input::{AttemptEnd, ForwardInput};
+use wheelmast_core::process::forward::input::{AttemptResult, ForwardInput};
 use wheelmast_core::process::forward::machine::ForwardOptions;
 use wheelmast_core::process::rollout::share::CanaryBound;
 use wheelmast_core::process::rollout::{RolloutView, VersionTally};
 use wheelmast_core::version::route_table::RouteTarget;
 
-use crate::harness::{answer, notice, route, table, Harness, HOME};
+use crate::harness::{answer, notice, route, table, Harness, LOCAL_DOMAIN};
 
-fn serve(harness: &mut Harness, id: &str, version: &str) {
+fn add_servers(harness: &mut Harness, id: &str, version: &str) {
     let port = 2000 + id.bytes().map(u16::from).sum::<u16>();
-    let plain = notice(id, "desk", HOME, port);
-    harness.step(ForwardInput::Notice(ServerNotice {
+    let plain = notice(id, "desk", LOCAL_DOMAIN, port);
+    harness.step(ForwardInput::Announcement(ServerNotice {
         version: version.into(),
         ..plain
     }));
@@ -31,20 +31,20 @@
 /// One old server and one of the new version, and as many tries as one likes.
 fn world() -> Harness {
     let mut harness = Harness::with_options(ForwardOptions {
-        domain: HOME.into(),
+        domain: LOCAL_DOMAIN.into(),
         canary_bound: CanaryBound {
             share: 0.4,
             slack: 20.0,
         },
         ..ForwardOptions::default()
     });
-    harness.obey(table(
+    harness.set_table(table(
         1,
         vec![route("q", RouteTarget::Service("desk".into()))],
     ));
-    serve(&mut harness, "old", "v1");
-    serve(&mut harness, "new", "v2");
-    harness.step(ForwardInput::Heard);
+    add_servers(&mut harness, "old", "v1");
+    add_servers(&mut harness, "new", "v2");
+    harness.step(ForwardInput::ControlContact);
     harness
 }
 
@@ -56,7 +56,7 @@
         let send = harness.sends.len();
         harness.call("q");
         new += usize::from(&*harness.sends[send].instance == "new");
-        harness.end_well(send, b"done");
+        harness.answer_ok(send, b"done");
     }
     new
 }
@@ -101,27 +101,27 @@
     let mut harness = world();
     harness.step(view(RolloutState::Trying, 1));
     assert!(requests(&mut harness, 100) > 0);
-    harness.pass(2500);
+    harness.advance(2500);
     assert_eq!(requests(&mut harness, 100), 0);
-    harness.step(ForwardInput::Heard);
+    harness.step(ForwardInput::ControlContact);
     assert!(requests(&mut harness, 100) > 0);
 }
 
 #[test]
 fn a_repeat_goes_to_the_old_version() {
     let mut harness = world();
-    serve(&mut harness, "old-two", "v1");
+    add_servers(&mut harness, "old-two", "v1");
     harness.step(view(RolloutState::Trying, 1));
     for _ in 0..100 {
         let send = harness.sends.len();
         harness.call("q");
-        harness.end(send, AttemptEnd::Answer(answer(500, "s", b"")));
+        harness.end(send, AttemptResult::Answer(answer(500, "s", b"")));
         if let Some(repeat) = harness.sends.get(send + 1) {
             assert_ne!(&*repeat.instance, "new");
-            harness.end_well(send + 1, b"done");
+            harness.answer_ok(send + 1, b"done");
         }
-        harness.pass(20);
-        harness.step(ForwardInput::Heard);
+        harness.advance(20);
+        harness.step(ForwardInput::ControlContact);
     }
 }
 
@@ -129,8 +129,8 @@
 fn a_server_of_a_rolled_back_version_that_comes_later_gets_nothing() {
     let mut harness = world();
     harness.step(view(RolloutState::RolledBack, 1));
-    serve(&mut harness, "new", "v2");
-    serve(&mut harness, "later", "v2");
+    add_servers(&mut harness, "new", "v2");
+    add_servers(&mut harness, "later", "v2");
     let before = harness.sends.len();
     requests(&mut harness, 50);
     let mut sent = harness.sends[before..].iter();
@@ -144,7 +144,7 @@
 fn servers_that_come_after_a_roll_out_are_asked_whatever_their_version() {
     let mut harness = world();
     harness.step(view(RolloutState::Completed, 1));
-    serve(&mut harness, "next", "v3");
+    add_servers(&mut harness, "next", "v3");
     let before = harness.sends.len();
     requests(&mut harness, 200);
     let asked = |id: &str| {
@@ -163,10 +163,10 @@
         let send = harness.sends.len();
         harness.call("q");
         // The route's usual time is not known yet: 15 ms are taken for it.
-        harness.pass(if number == 1 { 90 } else { 5 });
-        harness.end(send, AttemptEnd::Answer(answer(status, "s", b"")));
+        harness.advance(if number == 1 { 90 } else { 5 });
+        harness.end(send, AttemptResult::Answer(answer(status, "s", b"")));
         for repeat in send + 1..harness.sends.len() {
-            harness.end_well(repeat, b"done");
+            harness.answer_ok(repeat, b"done");
         }
     }
     let tallies = harness.machine.take_tallies();
@@ -186,16 +186,16 @@
     for _ in 0..200 {
         let send = harness.sends.len();
         harness.call("q");
-        harness.pass(1);
-        harness.end_well(send, b"done");
+        harness.advance(1);
+        harness.answer_ok(send, b"done");
     }
-    harness.step(ForwardInput::Heard);
+    harness.step(ForwardInput::ControlContact);
     harness.step(view(RolloutState::Moving, 1));
     for _ in 0..20 {
         let send = harness.sends.len();
         harness.call("q");
-        harness.pass(8);
-        harness.end_well(send, b"done");
+        harness.advance(8);
+        harness.answer_ok(send, b"done");
     }
     let tallies = harness.machine.take_tallies();
     let bad: u32 = tallies.iter().map(|tally| tally.bad).sum();
--- a/crates/fake/src/model/deadly.rs
+++ b/crates/fake/src/model/deadly.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 use wheelmast_core::process::forward::answer::ForwardFailure;
 use wheelmast_core::process::forward::directory::ServerNotice;
-use wheelmast_core::process::forward::input::{AttemptEnd, EntryPeer, ForwardInput};
+use wheelmast_core::process::forward::input::{AttemptResult, EntryPeer, ForwardInput};
 use wheelmast_core::process::forward::roll::view_of;
 use wheelmast_core::process::forward::suspect::record::SuspectRecord;
 use wheelmast_core::request::mark::{CallerMark, ContentMark, RequestMark};
@@ -135,7 +135,7 @@
             self.jobs[other].is_over = true;
             if !self.jobs[other].is_closed {
                 let back = self.jobs[other].way;
-                self.plan_end(other, back, AttemptEnd::Broken);
+                self.plan_end(other, back, AttemptResult::Broken);
             }
         }
         self.servers[place].queue.clear();
@@ -152,8 +152,8 @@
         self.server_places.insert(id, server);
         let notice = notice_of(server, &self.servers[server], self.spec.slots);
         for entry in 0..self.entries.len() {
-            self.step(entry, ForwardInput::Notice(former.clone()));
-            self.step(entry, ForwardInput::Notice(notice.clone()));
+            self.step(entry, ForwardInput::Announcement(former.clone()));
+            self.step(entry, ForwardInput::Announcement(notice.clone()));
         }
     }
 
@@ -196,7 +196,7 @@
     pub(super) fn note_barred(&mut self, caller: usize, failure: ForwardFailure) {
         let state = &self.callers[caller];
         let is_last = state.tries_left == 0;
-        if state.deadly.is_none() && failure.is_barred() && is_last {
+        if state.deadly.is_none() && failure.is_suspect_refusal() && is_last {
             self.tally.mistaken += 1;
         }
     }
--- a/crates/fake/src/model/entry.rs
+++ b/crates/fake/src/model/entry.rs
@@ -36,12 +36,12 @@
     pub(super) fn new(spec: &PlaySpec, peer: &EntryPeer, domain: usize, seed: u64) -> ModelEntry {
         let options = ForwardOptions {
             domain: peer.domain.clone(),
-            own: peer.id(),
+            local_id: peer.id(),
             extra: spec.extra.with_reserve(),
             seed,
             pauses: spec.pause_way,
             canary: spec.canary,
-            records: false,
+            records_decisions: false,
             ..ForwardOptions::default()
         };
         ModelEntry {
@@ -63,7 +63,7 @@
 
     pub(super) fn obey(&mut self, table: Arc<RouteTable>, entries: u32) {
         let _ = self.step(Duration::ZERO, ForwardInput::Table(table));
-        let _ = self.step(Duration::ZERO, ForwardInput::Entries(entries));
+        let _ = self.step(Duration::ZERO, ForwardInput::EntryCount(entries));
     }
 
     /// Tells whether it is cut off.
@@ -77,7 +77,7 @@
         let idle = self.idle.entry(server).or_default();
         *idle += 1;
         let idle = *idle;
-        let _ = self.step(now, ForwardInput::Idle { server, idle });
+        let _ = self.step(now, ForwardInput::IdleConnections { server, idle });
     }
 
     /// Takes an idle connection, if there is one.
--- a/crates/fake/src/model/event.rs
+++ b/crates/fake/src/model/event.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use wheelmast_core::arena::SlotKey;
-use wheelmast_core::process::forward::input::AttemptEnd;
+use wheelmast_core::process::forward::input::AttemptResult;
 use wheelmast_core::process::forward::suspect::record::SuspectRecord;
 use wheelmast_core::process::input::CallTag;
 
@@ -42,14 +42,17 @@
     /// Leave for more attempts reaches the entry that was asked.
     RelayGrant { tag: CallTag, attempts: u32 },
     /// What another entry was asked for ends at the one that asked.
-    RelayEnd { tag: CallTag, end: Box<AttemptEnd> },
+    RelayEnd {
+        tag: CallTag,
+        end: Box<AttemptResult>,
+    },
     /// The end of a connection reaches the entry that was asked.
     RelayLeft { tag: CallTag },
     /// An attempt ends at its entry.
     End {
         entry: usize,
         attempt: SlotKey,
-        end: Box<AttemptEnd>,
+        end: Box<AttemptResult>,
         job: JobKey,
     },
 }
--- a/crates/fake/src/model/play.rs
+++ b/crates/fake/src/model/play.rs
@@ -9,7 +9,7 @@
 use rand_distr::{Distribution, Exp};
 use wheelmast_core::arena::SlotKey;
 use wheelmast_core::process::forward::answer::{AttemptOrder, ForwardAction, ForwardAnswer};
-use wheelmast_core::process::forward::input::{AttemptEnd, ForwardCall, ForwardInput};
+use wheelmast_core::process::forward::input::{AttemptResult, ForwardCall, ForwardInput};
 use wheelmast_core::process::forward::roll::view_of;
 use wheelmast_core::process::input::CallTag;
 
@@ -125,7 +125,7 @@
             let _ = entry.step(Duration::ZERO, ForwardInput::Peers(known));
             for (place, server) in servers.iter().enumerate() {
                 let notice = notice_of(place, server, spec.slots);
-                let _ = entry.step(Duration::ZERO, ForwardInput::Notice(notice));
+                let _ = entry.step(Duration::ZERO, ForwardInput::Announcement(notice));
             }
             entry
         });
@@ -237,7 +237,7 @@
             path: format!("/{name}/x").into(),
             mark,
             key: None,
-            arrived: self.now,
+            arrived_at: self.now,
             time_left: Some(left),
             relayed: None,
         };
@@ -257,14 +257,16 @@
         for action in actions {
             match action {
                 ForwardAction::Send(order) => self.send(entry, &order),
-                ForwardAction::Grant(attempt, attempts) => self.grant(entry, attempt, attempts),
+                ForwardAction::RaiseAllowance(attempt, attempts) => {
+                    self.grant(entry, attempt, attempts)
+                }
                 ForwardAction::Cancel(attempt) => self.cancel(entry, attempt),
                 ForwardAction::Answer { call, answer } => self.answered(entry, call, &answer),
-                ForwardAction::Close(server) => {
+                ForwardAction::CloseIdle(server) => {
                     self.entries[entry].idle.remove(&server);
                 }
-                ForwardAction::Suspect(record) => self.tell_suspect(entry, record),
-                ForwardAction::Decide(_) => {}
+                ForwardAction::PublishSuspect(record) => self.tell_suspect(entry, record),
+                ForwardAction::RecordDecision(_) => {}
             }
         }
         let state = &mut self.entries[entry];
@@ -310,11 +312,11 @@
             .insert(order.attempt, (job, order.server));
         let server = &self.servers[place];
         if server.is_down(self.now) || *server.id != *order.instance {
-            return self.plan_end(job, there_and_back, AttemptEnd::Unsent);
+            return self.plan_end(job, there_and_back, AttemptResult::Unsent);
         }
         let is_cut = self.entries[entry].is_cut(self.now);
         if !has_idle && (is_cut || self.servers[place].is_dark(self.now)) {
-            return self.plan_end(job, OPEN_TIME, AttemptEnd::Unsent);
+            return self.plan_end(job, OPEN_TIME, AttemptResult::Unsent);
         }
         let mut takes = there_and_back / 2;
         if !has_idle {
@@ -328,7 +330,7 @@
         self.events.push(self.now + takes, PlayEvent::Reach { job });
     }
 
-    pub(super) fn plan_end(&mut self, job: JobKey, after: Duration, end: AttemptEnd) {
+    pub(super) fn plan_end(&mut self, job: JobKey, after: Duration, end: AttemptResult) {
         let state = &self.jobs[job];
         let event = PlayEvent::End {
             entry: state.entry,
@@ -339,18 +341,18 @@
         self.events.push(self.now + after, event);
     }
 
-    fn end_attempt(&mut self, entry: usize, attempt: SlotKey, end: AttemptEnd, job: JobKey) {
+    fn end_attempt(&mut self, entry: usize, attempt: SlotKey, end: AttemptResult, job: JobKey) {
         let state = &mut self.entries[entry];
-        if state.is_cut(self.now) && matches!(end, AttemptEnd::Answer(_)) {
+        if state.is_cut(self.now) && matches!(end, AttemptResult::Answer(_)) {
             return;
         }
         let Some((_, server)) = state.jobs.remove(&attempt) else {
             return;
         };
-        if matches!(end, AttemptEnd::Answer(_)) && !self.jobs[job].is_closed {
+        if matches!(end, AttemptResult::Answer(_)) && !self.jobs[job].is_closed {
             state.keep_idle(server, self.now);
         }
-        self.step(entry, ForwardInput::Ended { attempt, end });
+        self.step(entry, ForwardInput::AttemptEnded { attempt, end });
     }
 
     fn answered(&mut self, entry: usize, call: CallTag, answer: &ForwardAnswer) {
@@ -377,7 +379,7 @@
             ForwardAnswer::Failure {
                 failure,
                 retry_after,
-            } if failure.is_unrun() => {
+            } if failure.is_known_unrun() => {
                 self.tally.false_refusals += u32::from(ran);
                 (CallerEnd::Refused, *retry_after)
             }
--- a/crates/fake/src/model/relay.rs
+++ b/crates/fake/src/model/relay.rs
@@ -5,7 +5,7 @@
 use wheelmast_core::arena::{ServerKey, SlotKey};
 use wheelmast_core::process::forward::answer::{AttemptOrder, ForwardAnswer};
 use wheelmast_core::process::forward::input::{
-    AttemptEnd, BundleAnswer, ForwardCall, ForwardInput, RelayOrder,
+    AttemptResult, BundleAnswer, ForwardCall, ForwardInput, RelayOrder,
 };
 use wheelmast_core::process::input::CallTag;
 
@@ -60,7 +60,7 @@
             return;
         }
         if is_cut {
-            let end = Box::new(AttemptEnd::Unsent);
+            let end = Box::new(AttemptResult::Unsent);
             let event = PlayEvent::RelayEnd { tag, end };
             return self.events.push(self.now + OPEN_TIME, event);
         }
@@ -103,7 +103,7 @@
             path: format!("/{name}/x").into(),
             mark,
             key: None,
-            arrived: self.now,
+            arrived_at: self.now,
             time_left: None,
             relayed: Some(order),
         };
@@ -118,7 +118,7 @@
             return;
         }
         let (asker, attempt) = (call.asker, call.attempt);
-        self.step(asker, ForwardInput::Alive(attempt));
+        self.step(asker, ForwardInput::RelayAcknowledged(attempt));
     }
 
     pub(super) fn grant(&mut self, asker: usize, attempt: SlotKey, attempts: u32) {
@@ -139,7 +139,7 @@
         };
         if !self.is_cut_between(call.asker, call.asked) {
             let asked = call.asked;
-            self.step(asked, ForwardInput::Granted(tag, attempts));
+            self.step(asked, ForwardInput::AllowanceRaised(tag, attempts));
         }
     }
 
@@ -155,15 +155,17 @@
         let end = match answer {
             ForwardAnswer::Gathered { stamps, shards, .. } => {
                 let parts = shards.iter().zip(stamps);
-                AttemptEnd::Bundle(BundleAnswer {
+                AttemptResult::Bundle(BundleAnswer {
                     parts: parts
                         .map(|(shard, stamp)| ((**shard).into(), stamp.clone()))
                         .collect(),
                     body: bytes::Bytes::new(),
                 })
             }
-            ForwardAnswer::Failure { failure, .. } if failure.is_unrun() => AttemptEnd::Unsent,
-            ForwardAnswer::Failure { .. } | ForwardAnswer::Server(_) => AttemptEnd::Broken,
+            ForwardAnswer::Failure { failure, .. } if failure.is_known_unrun() => {
+                AttemptResult::Unsent
+            }
+            ForwardAnswer::Failure { .. } | ForwardAnswer::Server(_) => AttemptResult::Broken,
         };
         let event = PlayEvent::RelayEnd {
             tag,
@@ -173,7 +175,7 @@
         true
     }
 
-    pub(super) fn relay_ended(&mut self, tag: CallTag, end: AttemptEnd) {
+    pub(super) fn relay_ended(&mut self, tag: CallTag, end: AttemptResult) {
         let Some(call) = self.relayed.remove(&tag) else {
             return;
         };
@@ -181,11 +183,11 @@
         if entry.relays.remove(&call.attempt).is_none() {
             return;
         }
-        if matches!(end, AttemptEnd::Bundle(_)) {
+        if matches!(end, AttemptResult::Bundle(_)) {
             entry.keep_idle(call.server, self.now);
         }
         let attempt = call.attempt;
-        self.step(call.asker, ForwardInput::Ended { attempt, end });
+        self.step(call.asker, ForwardInput::AttemptEnded { attempt, end });
     }
 
     /// Closes the connection on which another entry was asked.
@@ -197,8 +199,8 @@
             self.events
                 .push(self.now + call.way, PlayEvent::RelayLeft { tag });
         }
-        let end = AttemptEnd::Broken;
-        self.step(asker, ForwardInput::Ended { attempt, end });
+        let end = AttemptResult::Broken;
+        self.step(asker, ForwardInput::AttemptEnded { attempt, end });
     }
 
     pub(super) fn relay_left(&mut self, tag: CallTag) {
--- a/crates/fake/src/model/told.rs
+++ b/crates/fake/src/model/told.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use wheelmast_core::process::forward::directory::{ServerNotice, ServerStanding};
-use wheelmast_core::process::forward::input::{AttemptEnd, EntryPeer, LoadReport, ServerAnswer};
+use wheelmast_core::process::forward::input::{AttemptResult, EntryPeer, LoadReport, ServerAnswer};
 use wheelmast_core::request::mark::{CallerMark, ContentMark, RequestMark};
 use wheelmast_core::version::route_table::{
     CallerLimits, RouteDraft, RouteRule, RouteTable, RouteTarget, ServiceRule,
@@ -83,7 +83,7 @@
     let count = spec.entries * DOMAINS.len() + spec.outlying;
     let peers = (0..count).map(|number| EntryPeer {
         instance: format!("entry-{number}").into(),
-        lifetime: 1,
+        incarnation: 1,
         domain: DOMAINS
             .get(domain_of(spec, number))
             .copied()
@@ -110,8 +110,8 @@
     }
 }
 
-pub(super) fn rejection(load: LoadReport) -> AttemptEnd {
-    AttemptEnd::Answer(ServerAnswer {
+pub(super) fn rejection(load: LoadReport) -> AttemptResult {
+    AttemptResult::Answer(ServerAnswer {
         status: 503,
         stamp: None,
         not_run: true,
@@ -121,8 +121,8 @@
     })
 }
 
-pub(super) fn success(id: &str, load: LoadReport) -> AttemptEnd {
-    AttemptEnd::Answer(ServerAnswer {
+pub(super) fn success(id: &str, load: LoadReport) -> AttemptResult {
+    AttemptResult::Answer(ServerAnswer {
         status: 200,
         stamp: Some(id.into()),
         not_run: false,
--- a/crates/fake/src/model/work.rs
+++ b/crates/fake/src/model/work.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 use rand_distr::{Distribution, LogNormal};
 use wheelmast_core::arena::SlotKey;
-use wheelmast_core::process::forward::input::AttemptEnd;
+use wheelmast_core::process::forward::input::AttemptResult;
 
 use crate::model::event::PlayEvent;
 use crate::model::play::PlayState;
@@ -19,7 +19,7 @@
         if self.servers[place].is_down(self.now) {
             self.jobs[job].is_over = true;
             let back = self.jobs[job].way;
-            return self.plan_end(job, back, AttemptEnd::Broken);
+            return self.plan_end(job, back, AttemptResult::Broken);
         }
         let is_cut = self.entries[self.jobs[job].entry].is_cut(self.now);
         if is_cut || self.jobs[job].is_closed || self.servers[place].is_dark(self.now) {
@@ -124,6 +124,6 @@
             let place = self.jobs[job].server;
             self.next_job(place);
         }
-        self.plan_end(job, Duration::ZERO, AttemptEnd::Broken);
+        self.plan_end(job, Duration::ZERO, AttemptResult::Broken);
     }
 }
--- a/crates/node/src/process/forward/callers.rs
+++ b/crates/node/src/process/forward/callers.rs
@@ -84,7 +84,7 @@
             let source = CallSource {
                 caller,
                 limits,
-                arrived: mark.take(),
+                arrived_at: mark.take(),
                 mark: mark.clone(),
             };
             let response = handle(entry, request, source).await;
@@ -113,7 +113,7 @@
     caller: CallerMark,
     limits: CallerLimits,
     /// When the request may have come at the earliest.
-    arrived: Duration,
+    arrived_at: Duration,
     mark: Rc<ArrivalMark>,
 }
 
@@ -159,13 +159,13 @@
     let CallSource {
         caller,
         limits,
-        arrived,
+        arrived_at,
         mark: arrival,
     } = source;
     if entry.phase() == EntryPhase::Learning {
         return failure_response(ForwardFailure::NoTable, Some(Duration::from_millis(200)));
     }
-    let unread = entry.clock.elapsed().saturating_sub(arrived);
+    let unread = entry.clock.elapsed().saturating_sub(arrived_at);
     let (mut parts, body) = request.into_parts();
     let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok());
     let host: Box<str> = host.or_else(|| parts.uri.host()).unwrap_or_default().into();
@@ -175,7 +175,7 @@
     // What no clock can hold is no time.
     let time_left =
         time_left.and_then(|millis| Duration::try_from_secs_f64(millis.max(0.0) / 1000.0).ok());
-    let Ok(relayed) = relay_order(entry, &parts.headers, arrived) else {
+    let Ok(relayed) = relay_order(entry, &parts.headers, arrived_at) else {
         // An entry of another version, or one that means another lifetime of
         // this entry: it asks the shards itself.
         return failure_response(ForwardFailure::NoServer, None);
@@ -218,7 +218,7 @@
         path: parts.uri.path().into(),
         mark,
         key: caller_key::<D>(&parts.headers),
-        arrived,
+        arrived_at,
         time_left,
         relayed,
     };
@@ -260,12 +260,14 @@
     let answer = receiver.await;
     drop(guard);
     if let (Some(workspace), Ok(ForwardAnswer::Failure { failure, .. })) = (&capped, &answer) {
-        if failure.is_unrun() {
+        if failure.is_known_unrun() {
             entry.caps.give_back(workspace);
         }
     }
     match answer {
-        Ok(ForwardAnswer::Failure { failure, .. }) if is_passed_on && failure.is_barred() => {
+        Ok(ForwardAnswer::Failure { failure, .. })
+            if is_passed_on && failure.is_suspect_refusal() =>
+        {
             barred_response(entry, failure, mark)
         }
         Ok(answer) => respond::<D>(answer, &id),
@@ -302,7 +304,7 @@
 fn relay_order<D: ForwardDialect>(
     entry: &EntryDuty<D>,
     headers: &HeaderMap,
-    arrived: Duration,
+    arrived_at: Duration,
 ) -> anyhow::Result<Option<RelayOrder>> {
     let Some(value) = headers.get(RELAY_HEADER) else {
         return Ok(None);
@@ -312,7 +314,7 @@
     anyhow::ensure!(is_meant, "could not tell who passed the request on");
     let workspace = text(D::HEADERS.workspace);
     let order = value.to_str().ok();
-    let order = order.and_then(|order| read_order(order, workspace, arrived));
+    let order = order.and_then(|order| read_order(order, workspace, arrived_at));
     Ok(Some(
         order.context("could not read what an entry asks for")?,
     ))
@@ -359,13 +361,13 @@
 fn failure_response(failure: ForwardFailure, retry_after: Option<Duration>) -> FullResponse {
     let status = match failure {
         ForwardFailure::NoRoute => StatusCode::NOT_FOUND,
-        ForwardFailure::NoKey | ForwardFailure::KeyGone => StatusCode::UNAUTHORIZED,
+        ForwardFailure::NoKey | ForwardFailure::KeyRevoked => StatusCode::UNAUTHORIZED,
         ForwardFailure::CapReached => StatusCode::TOO_MANY_REQUESTS,
-        ForwardFailure::Late => StatusCode::GATEWAY_TIMEOUT,
+        ForwardFailure::TimedOut => StatusCode::GATEWAY_TIMEOUT,
         ForwardFailure::Failed => StatusCode::BAD_GATEWAY,
         _ => StatusCode::SERVICE_UNAVAILABLE,
     };
-    let mut response = typed_response(status, PLAIN_TYPE, failure.word());
+    let mut response = typed_response(status, PLAIN_TYPE, failure.label());
     if let Some(after) = retry_after {
         say_retry_after(&mut response, after);
     }
--- a/crates/node/src/process/forward/entry.rs
+++ b/crates/node/src/process/forward/entry.rs
@@ -110,7 +110,7 @@
 
     /// Tells whether `identity` is that of this lifetime of the entry.
     pub fn is_named(&self, identity: &str) -> bool {
-        *self.machine.borrow().own() == *identity
+        *self.machine.borrow().local_id() == *identity
     }
 
     /// Returns how far the entry is.
@@ -170,7 +170,7 @@
                     },
                 );
             }
-            ForwardAction::Grant(attempt, attempts) => {
+            ForwardAction::RaiseAllowance(attempt, attempts) => {
                 if let Some(grant) = self.grants.borrow_mut().remove(&attempt) {
                     // The attempt may have ended just now.
                     let _ = grant.send(attempts);
@@ -188,15 +188,15 @@
                     let _ = call.answer.send(answer);
                 }
             }
-            ForwardAction::Close(server) => self.pool.close(server),
-            ForwardAction::Suspect(record) => {
+            ForwardAction::CloseIdle(server) => self.pool.close(server),
+            ForwardAction::PublishSuspect(record) => {
                 let mut news = self.suspects.borrow_mut();
                 news.retain(|known| known.mark != record.mark);
                 news.push(record);
                 drop(news);
                 self.suspects_changed.notify_one();
             }
-            ForwardAction::Decide(event) => self.stories.borrow_mut().take(event),
+            ForwardAction::RecordDecision(event) => self.stories.borrow_mut().take(event),
         }
     }
 
--- a/crates/node/src/process/forward/feed.rs
+++ b/crates/node/src/process/forward/feed.rs
@@ -227,7 +227,7 @@
         match message {
             GroupMessage::Notices(notices) => {
                 for notice in notices {
-                    self.entry.step(ForwardInput::Notice(notice));
+                    self.entry.step(ForwardInput::Announcement(notice));
                 }
             }
             GroupMessage::Silent(servers) => {
@@ -248,7 +248,7 @@
                 joined,
                 left,
             } if self.is_source(address) => {
-                self.entry.step(ForwardInput::Entries(entries));
+                self.entry.step(ForwardInput::EntryCount(entries));
                 self.take_peers(joined, &left);
             }
             GroupMessage::Control(sites) => self.take_sites(sites),
@@ -269,7 +269,7 @@
                     version,
                 };
                 if settled && self.is_source(address) {
-                    self.entry.step(ForwardInput::Heard);
+                    self.entry.step(ForwardInput::ControlContact);
                 }
                 if self.lines.borrow_mut().take_state(address, state) {
                     self.reconsider();
@@ -431,7 +431,7 @@
         }
         self.evacuations.set(revision);
         tracing::info!(target: "entry", revision, ?domains, "evacuation: obeyed");
-        self.entry.step(ForwardInput::Evacuated(domains));
+        self.entry.step(ForwardInput::EvacuatedDomains(domains));
     }
 
     /// Takes over the roll-outs, unless they are older than what is known.
--- a/crates/node/src/process/forward/grant.rs
+++ b/crates/node/src/process/forward/grant.rs
@@ -63,7 +63,7 @@
             }
         }
         if let Some(attempts) = read_grant(&self.spare) {
-            entry.step(ForwardInput::Granted(tag, attempts));
+            entry.step(ForwardInput::AllowanceRaised(tag, attempts));
         }
     }
 }
--- a/crates/node/src/process/forward/image.rs
+++ b/crates/node/src/process/forward/image.rs
@@ -151,10 +151,10 @@
 fn render_order(order: &RelayOrder, now: Duration) -> String {
     let millis = order.answer_by.saturating_sub(now).as_millis();
     let attempts = order.attempts;
-    let (earns, divides) = (u8::from(order.earns), u8::from(order.divides));
+    let (credits_budget, may_divide) = (u8::from(order.credits_budget), u8::from(order.may_divide));
     let shards = order.shards.join(",");
     format!(
-        "{};{millis};{attempts};{earns};{divides};{shards}",
+        "{};{millis};{attempts};{credits_budget};{may_divide};{shards}",
         order.version
     )
 }
@@ -181,15 +181,15 @@
     let version = fields.next()?.parse().ok()?;
     let millis = Duration::from_millis(fields.next()?.parse().ok()?);
     let attempts = fields.next()?.parse().ok()?;
-    let earns = fields.next()? == "1";
-    let divides = fields.next()? == "1";
+    let credits_budget = fields.next()? == "1";
+    let may_divide = fields.next()? == "1";
     let shards = fields.next()?.split(',').map(Into::into).collect();
     Some(RelayOrder {
         version,
         answer_by: arrived + millis,
         attempts,
-        earns,
-        divides,
+        credits_budget,
+        may_divide,
         workspace: workspace.map(Into::into),
         shards,
     })
--- a/crates/node/src/process/forward/measure.rs
+++ b/crates/node/src/process/forward/measure.rs
@@ -92,8 +92,14 @@
         ("wheelmast_forward_retries_total", counts.retries),
         ("wheelmast_forward_hedges_total", counts.hedges),
         ("wheelmast_forward_relays_total", counts.relays),
-        ("wheelmast_forward_asked_around_total", counts.asked_around),
-        ("wheelmast_forward_unaffordable_total", counts.unaffordable),
+        (
+            "wheelmast_forward_asked_around_total",
+            counts.rerouted_relays,
+        ),
+        (
+            "wheelmast_forward_unaffordable_total",
+            counts.denied_repeats,
+        ),
         ("wheelmast_forward_cancels_total", counts.cancels),
         ("wheelmast_forward_broken_total", counts.broken),
         ("wheelmast_forward_sent_late_total", driver.sent_late),
--- a/crates/node/src/process/forward/pool.rs
+++ b/crates/node/src/process/forward/pool.rs
@@ -12,7 +12,7 @@
 use wheelmast_core::arena::ServerKey;
 use wheelmast_core::process::forward::answer::AttemptOrder;
 use wheelmast_core::process::forward::input::{
-    AttemptEnd, BundleAnswer, ForwardInput, LoadReport, ServerAnswer,
+    AttemptResult, BundleAnswer, ForwardInput, LoadReport, ServerAnswer,
 };
 use wheelmast_wire::dialect::ForwardDialect;
 
@@ -114,7 +114,7 @@
         });
         let idle_count = links.unwrap_or(0) as u32;
         drop(idle);
-        entry.step(ForwardInput::Idle {
+        entry.step(ForwardInput::IdleConnections {
             server,
             idle: idle_count,
         });
@@ -149,7 +149,7 @@
         connected = tokio::time::timeout(CONNECT_TIME, connect) => connected.ok(),
     };
     let Some(Ok(mut stream)) = connected else {
-        return finish(&entry, &order.order, AttemptEnd::Unsent);
+        return finish(&entry, &order.order, AttemptResult::Unsent);
     };
     // Without it small writes wait for each other; nothing else changes.
     let _ = stream.set_nodelay(true);
@@ -161,7 +161,7 @@
     loop {
         let now = entry.clock.elapsed();
         if is_withdrawn(&entry, &mut order, now) {
-            finish(&entry, &order.order, AttemptEnd::Withdrawn);
+            finish(&entry, &order.order, AttemptResult::Withdrawn);
         } else {
             last = order.image.id.clone();
             let Some(keep) = serve(&entry, &mut stream, &mut buffer, order, now).await else {
@@ -223,7 +223,7 @@
     let granted = order.relay.as_ref().map(|_| entry.await_grant(attempt));
     let is_told = &is_whole;
     let rest = || async move {
-        entry.step(ForwardInput::Alive(attempt));
+        entry.step(ForwardInput::RelayAcknowledged(attempt));
         match granted {
             Some(granted) => match granted.await {
                 Ok(attempts) => {
@@ -242,20 +242,20 @@
     };
     let (end, keep) = match result {
         Ok(answer) if order.relay.is_some() => read_bundle::<D>(answer, &image),
-        Ok(answer) => read_end::<D>(answer, &image, order.whole_head),
-        Err(ExchangeFailure::Unsent) => (AttemptEnd::Unsent, None),
-        Err(ExchangeFailure::Broken) => (AttemptEnd::Broken, None),
+        Ok(answer) => read_end::<D>(answer, &image, order.forward_headers),
+        Err(ExchangeFailure::Unsent) => (AttemptResult::Unsent, None),
+        Err(ExchangeFailure::Broken) => (AttemptResult::Broken, None),
     };
     finish(entry, &order, end);
     // The other entry may still wait for what it was not granted.
     keep.filter(|_| is_whole.get())
 }
 
-fn finish<D: ForwardDialect>(entry: &Rc<EntryDuty<D>>, order: &AttemptOrder, end: AttemptEnd) {
+fn finish<D: ForwardDialect>(entry: &Rc<EntryDuty<D>>, order: &AttemptOrder, end: AttemptResult) {
     let attempt = order.attempt;
     entry.cancels.borrow_mut().remove(&attempt);
     entry.drop_grant(attempt);
-    entry.step(ForwardInput::Ended { attempt, end });
+    entry.step(ForwardInput::AttemptEnded { attempt, end });
 }
 
 /// Reads what a whole answer says. One that bears another request's id, or
@@ -263,12 +263,12 @@
 fn read_end<D: ForwardDialect>(
     answer: WholeAnswer,
     image: &RequestImage,
-    whole_head: bool,
-) -> (AttemptEnd, Option<Duration>) {
+    forward_headers: bool,
+) -> (AttemptResult, Option<Duration>) {
     let names = D::HEADERS;
     let id = find(&answer.headers, names.request);
     if id != Some(image.id.as_bytes()) {
-        return (AttemptEnd::Broken, None);
+        return (AttemptResult::Broken, None);
     }
     let load = find(&answer.headers, names.load).and_then(read_load);
     let stamp =
@@ -278,28 +278,28 @@
         stamp: stamp.map(Into::into),
         not_run: find(&answer.headers, names.not_run).is_some(),
         load,
-        headers: if whole_head {
+        headers: if forward_headers {
             answer.headers.into_iter().filter(passes::<D>).collect()
         } else {
             Vec::new()
         },
         body: answer.body,
     };
-    (AttemptEnd::Answer(end), answer.keep)
+    (AttemptResult::Answer(end), answer.keep)
 }
 
 /// Reads the parts that another entry gathered.
 fn read_bundle<D: ForwardDialect>(
     answer: WholeAnswer,
     image: &RequestImage,
-) -> (AttemptEnd, Option<Duration>) {
+) -> (AttemptResult, Option<Duration>) {
     let record = find(&answer.headers, SUSPECT_HEADER).and_then(read_suspect);
     if let Some(record) = record {
-        return (AttemptEnd::Barred(record), answer.keep);
+        return (AttemptResult::RefusedAsSuspect(record), answer.keep);
     }
     if answer.status == StatusCode::SERVICE_UNAVAILABLE.as_u16() {
         // It has not asked any shard, and will not.
-        return (AttemptEnd::Unsent, answer.keep);
+        return (AttemptResult::Unsent, answer.keep);
     }
     let id = find(&answer.headers, D::HEADERS.request);
     let stamps = list(&answer.headers, D::HEADERS.parts);
@@ -308,13 +308,13 @@
         && id == Some(image.id.as_bytes())
         && stamps.len() == shards.len();
     if !is_bundle {
-        return (AttemptEnd::Broken, None);
+        return (AttemptResult::Broken, None);
     }
     let bundle = BundleAnswer {
         parts: shards.into_iter().zip(stamps).collect(),
         body: answer.body,
     };
-    (AttemptEnd::Bundle(bundle), answer.keep)
+    (AttemptResult::Bundle(bundle), answer.keep)
 }
 
 fn list(headers: &[(Box<str>, Box<[u8]>)], name: &str) -> Vec<Box<str>> {
--- a/crates/node/src/process/forward/run.rs
+++ b/crates/node/src/process/forward/run.rs
@@ -52,14 +52,14 @@
     let ready = listen(ready).await?;
     let peer = EntryPeer {
         instance: settings.instance.as_str().into(),
-        lifetime: rand::random(),
+        incarnation: rand::random(),
         domain: settings.domain.as_str().into(),
         address: callers.local_addr()?,
     };
     let options = ForwardOptions {
         domain: settings.domain.as_str().into(),
         regions: settings.regions.clone(),
-        own: peer.id(),
+        local_id: peer.id(),
         extra: settings.extra.with_reserve(),
         cold: settings.cold,
         canary_bound: settings.canary,
--- a/crates/node/src/process/forward/story.rs
+++ b/crates/node/src/process/forward/story.rs
@@ -59,7 +59,7 @@
                 ForwardDecision::End { left_out, .. } => subject.left_out.clone_from(left_out),
                 ForwardDecision::Slow { service, .. }
                 | ForwardDecision::Lost { service, .. }
-                | ForwardDecision::AskAround { service, .. }
+                | ForwardDecision::Reroute { service, .. }
                 | ForwardDecision::Abandon { service, .. } => {
                     subject.services.push(service.clone());
                 }
@@ -145,7 +145,7 @@
 
     /// Takes a decision.
     pub fn take(&mut self, event: ForwardEvent) {
-        if matches!(event.decision, ForwardDecision::BrokenOff { .. }) {
+        if matches!(event.decision, ForwardDecision::ServerBrokeOff { .. }) {
             return self.tell_broken(&event);
         }
         let Some(story) = self.stories.get_mut(&event.call) else {
@@ -273,11 +273,11 @@
         }
         ForwardDecision::Slow { .. } | ForwardDecision::Abandon { .. } => true,
         ForwardDecision::Lost { .. }
-        | ForwardDecision::BrokenOff { .. }
-        | ForwardDecision::LeaveOut { .. }
-        | ForwardDecision::AskAround { .. }
+        | ForwardDecision::ServerBrokeOff { .. }
+        | ForwardDecision::OmitShards { .. }
+        | ForwardDecision::Reroute { .. }
         | ForwardDecision::NoServer { .. }
-        | ForwardDecision::NoBudget { .. } => false,
+        | ForwardDecision::BudgetSpent { .. } => false,
     }
 }
 
@@ -315,7 +315,7 @@
             let after_ms = millis(*after);
             tracing::info!(target: "entry", request, at_ms, %service, server = %instance, reason, after_ms, "route: attempt lost");
         }
-        ForwardDecision::BrokenOff {
+        ForwardDecision::ServerBrokeOff {
             mark,
             service,
             instance,
@@ -325,11 +325,11 @@
             let after_ms = millis(*after);
             tracing::warn!(target: "entry", request, %mark, %service, server = %instance, after_ms, beside, "route: server broke off");
         }
-        ForwardDecision::LeaveOut { services } => {
+        ForwardDecision::OmitShards { services } => {
             let services = services.join(", ");
             tracing::info!(target: "entry", request, at_ms, services, "route: shards not asked");
         }
-        ForwardDecision::AskAround {
+        ForwardDecision::Reroute {
             service,
             instance,
             after,
@@ -341,7 +341,7 @@
         ForwardDecision::NoServer { service, servers } => {
             tracing::info!(target: "entry", request, at_ms, %service, servers, "route: no server to ask");
         }
-        ForwardDecision::NoBudget { service } => {
+        ForwardDecision::BudgetSpent { service } => {
             tracing::info!(target: "entry", request, at_ms, %service, "route: repeat not affordable");
         }
         ForwardDecision::End {
--- a/crates/node/src/process/group/followers.rs
+++ b/crates/node/src/process/group/followers.rs
@@ -99,7 +99,7 @@
         let others = others.filter(|(address, _)| in_contact(address));
         let others = others.flat_map(|(_, followers)| followers.values());
         for (peer, takes) in self.own.values().chain(others) {
-            let key = (&*peer.instance, peer.lifetime);
+            let key = (&*peer.instance, peer.incarnation);
             let known = all.entry(key).or_insert_with(|| (peer.clone(), *takes));
             known.1 &= takes;
         }
--- a/crates/node/tests/feed.rs
+++ b/crates/node/tests/feed.rs
@@ -130,7 +130,7 @@
     ));
     let peer = EntryPeer {
         instance: "entry".into(),
-        lifetime: 1,
+        incarnation: 1,
         domain: "here".into(),
         address: ([127, 0, 0, 1], 9).into(),
     };
--- a/crates/node/tests/forward/news.rs
+++ b/crates/node/tests/forward/news.rs
@@ -39,7 +39,7 @@
     let mut stream = stream.expect("a connection");
     let peer = EntryPeer {
         instance: name.into(),
-        lifetime: 1,
+        incarnation: 1,
         domain: "here".into(),
         address: ([127, 0, 0, 1], 9).into(),
     };
--- a/crates/node/tests/forward/soak.rs
+++ b/crates/node/tests/forward/soak.rs
@@ -286,8 +286,8 @@
     fn check_once(&mut self, id: &str, reply: Option<&Reply>) {
         let runs = self.shards.iter().flat_map(FakeShard::seen);
         let count = runs.filter(|seen| seen == id).count();
-        let is_unrun = reply.is_some_and(|reply| reply.status == 503);
-        if count > 1 || (is_unrun && count > 0) {
+        let is_known_unrun = reply.is_some_and(|reply| reply.status == 503);
+        if count > 1 || (is_known_unrun && count > 0) {
             let status = reply.map(|reply| reply.status);
             let finding = format!("{id}: ran {count} times, answered {status:?}");
             self.ledger.broken.push(finding);
--- a/crates/node/tests/held_up/stage.rs
+++ b/crates/node/tests/held_up/stage.rs
@@ -57,7 +57,7 @@
     async fn build(server: FakeShard, far: FakeShard) -> Stage {
         let options = ForwardOptions {
             domain: "here".into(),
-            own: "own#1".into(),
+            local_id: "own#1".into(),
             ..ForwardOptions::default()
         };
         let entry: Entry = Rc::new(EntryDuty::new(options, 1));
@@ -77,7 +77,7 @@
         }
         entry.step(ForwardInput::Peers(vec![EntryPeer {
             instance: "other".into(),
-            lifetime: 1,
+            incarnation: 1,
             domain: "there".into(),
             address: far.address,
         }]));
@@ -127,7 +127,7 @@
                 caller: CallerMark::of(b"caller"),
             },
             key: None,
-            arrived: self.entry.clock.elapsed(),
+            arrived_at: self.entry.clock.elapsed(),
             time_left: Some(PATIENCE),
             relayed: None,
         }));
@@ -161,7 +161,7 @@
 }
 
 fn notice(id: &str, service: &str, address: SocketAddr, domain: &str) -> ForwardInput {
-    ForwardInput::Notice(ServerNotice {
+    ForwardInput::Announcement(ServerNotice {
         id: id.into(),
         service: service.into(),
         address: Some(address),
--- a/crates/node/tests/stories.rs
+++ b/crates/node/tests/stories.rs
@@ -11,7 +11,7 @@
 use wheelmast_core::process::forward::answer::{ForwardAction, ForwardDecision, ForwardEvent};
 use wheelmast_core::process::forward::directory::{ServerNotice, ServerStanding};
 use wheelmast_core::process::forward::input::{
-    AttemptEnd, ForwardCall, ForwardInput, LoadReport, ServerAnswer,
+    AttemptResult, ForwardCall, ForwardInput, LoadReport, ServerAnswer,
 };
 use wheelmast_core::process::forward::machine::{ForwardMachine, ForwardOptions};
 use wheelmast_core::process::input::CallTag;
@@ -95,7 +95,7 @@
         let table = RouteTable::check(draft).expect("a table");
         teller.step(ForwardInput::Table(Arc::new(table)));
         for (port, service) in [(1, "s0"), (2, "s1"), (3, "s1"), (4, "orders")] {
-            teller.step(ForwardInput::Notice(ServerNotice {
+            teller.step(ForwardInput::Announcement(ServerNotice {
                 id: format!("{service}-{port}").into(),
                 service: service.into(),
                 address: Some(([127, 0, 0, 1], port).into()),
@@ -116,7 +116,7 @@
         self.machine.step(self.now, input, &mut out);
         for action in out {
             match action {
-                ForwardAction::Decide(event) => self.book.take(event),
+                ForwardAction::RecordDecision(event) => self.book.take(event),
                 ForwardAction::Send(order) => self.sends.push(order.attempt),
                 _ => {}
             }
@@ -135,15 +135,15 @@
                 caller: CallerMark::of(b"caller"),
             },
             key: None,
-            arrived: self.now,
+            arrived_at: self.now,
             time_left: Some(Duration::from_millis(900)),
             relayed: None,
         }));
     }
 
-    fn end(&mut self, send: usize, end: AttemptEnd) {
+    fn end(&mut self, send: usize, end: AttemptResult) {
         let attempt = self.sends[send];
-        self.step(ForwardInput::Ended { attempt, end });
+        self.step(ForwardInput::AttemptEnded { attempt, end });
     }
 
     fn pass(&mut self, millis: u64) {
@@ -157,8 +157,8 @@
     }
 }
 
-fn good() -> AttemptEnd {
-    AttemptEnd::Answer(ServerAnswer {
+fn good() -> AttemptResult {
+    AttemptResult::Answer(ServerAnswer {
         status: 200,
         stamp: Some("stamp".into()),
         not_run: false,
@@ -168,11 +168,11 @@
     })
 }
 
-fn good_under_load() -> AttemptEnd {
-    let AttemptEnd::Answer(answer) = good() else {
+fn good_under_load() -> AttemptResult {
+    let AttemptResult::Answer(answer) = good() else {
         unreachable!("it is an answer");
     };
-    AttemptEnd::Answer(ServerAnswer {
+    AttemptResult::Answer(ServerAnswer {
         load: Some(LoadReport {
             running: 2,
             waiting: 7,
@@ -246,7 +246,7 @@
             play: |teller| {
                 teller.call("/o/x", "request-unknown");
                 teller.pass(20);
-                teller.end(0, AttemptEnd::Broken);
+                teller.end(0, AttemptResult::Broken);
             },
             says: &[
                 "route: server broke off",
@@ -309,7 +309,7 @@
                         late: false,
                     }
                 } else {
-                    ForwardDecision::NoBudget {
+                    ForwardDecision::BudgetSpent {
                         service: "s".into(),
                     }
                 };
--- a/crates/node/tests/suspended.rs
+++ b/crates/node/tests/suspended.rs
@@ -67,7 +67,7 @@
     let draft: RouteDraft = serde_json::from_str(TABLE).expect("a draft");
     let table = RouteTable::check(draft).expect("a table");
     entry.step(ForwardInput::Table(table.into()));
-    entry.step(ForwardInput::Notice(ServerNotice {
+    entry.step(ForwardInput::Announcement(ServerNotice {
         id: "desk-1".into(),
         service: "desk".into(),
         address: Some(server),
@@ -97,7 +97,7 @@
             caller: CallerMark::of(b"caller"),
         },
         key: None,
-        arrived: entry.clock.elapsed(),
+        arrived_at: entry.clock.elapsed(),
         time_left: Some(CALLER_TIME),
         relayed: None,
     }));
@@ -119,7 +119,7 @@
             ForwardAnswer::Failure { failure, .. } => failure,
             other => panic!("{other:?}"),
         };
-        assert_eq!(failure, ForwardFailure::Late);
+        assert_eq!(failure, ForwardFailure::TimedOut);
     });
 }
 
@@ -171,7 +171,7 @@
         let entry = entry_for(([127, 0, 0, 1], 9).into());
         let peer = EntryPeer {
             instance: "entry".into(),
-            lifetime: 1,
+            incarnation: 1,
             domain: "here".into(),
             address: ([127, 0, 0, 1], 9).into(),
         };
