--- a/crates/core/src/process/forward/bundle.rs
+++ b/crates/core/src/process/forward/bundle.rs
@@ -46,7 +46,7 @@
     /// Indexes of the parts in the request.
     pub(super) parts: Vec<usize>,
     /// Whether the receiving entry may divide the parts among the entries of its domain.
-    pub(super) divides: bool,
+    pub(super) may_divide: bool,
 }
 
 impl ForwardMachine {
@@ -61,20 +61,23 @@
         let Some(state) = self.calls.get(call) else {
             return;
         };
-        if !state.gathers || self.peer_domains.is_empty() || state.plan.aim <= now {
+        if !state.is_scatter_gather || self.peer_domains.is_empty() || state.plan.aim <= now {
             return;
         }
-        let (relayed, divides, regions) = (state.relayed, state.divides, state.homes);
+        let (is_relayed, may_divide, regions) =
+            (state.is_relayed, state.may_divide, state.allowed_regions);
         let domain = self.options.domain.clone();
         let (near, mut far): (Vec<usize>, Vec<usize>) = (0..state.parts.len())
             .filter(|part| state.parts[*part].is_open() && state.parts[*part].arrivals == 0)
             .partition(|part| self.has_server_in(state.parts[*part].upstream, &domain, regions));
         let mut plans = Vec::new();
-        if divides && near.len() > MAX_UNDIVIDED_SHARDS {
+        if may_divide && near.len() > MAX_UNDIVIDED_SHARDS {
             plans.extend(self.plan_near_bundles(call, &near, now));
         }
         for _ in 0..MAX_BUNDLES {
-            let plan = self.plan_far_bundle(call, &far, now).filter(|_| !relayed);
+            let plan = self
+                .plan_far_bundle(call, &far, now)
+                .filter(|_| !is_relayed);
             let Some(plan) = plan else {
                 break;
             };
@@ -96,7 +99,7 @@
         let Some((_, entries)) = domains.find(|(name, _)| *name == self.options.domain) else {
             return Vec::new();
         };
-        let names = state.gathered();
+        let names = state.gathered_services();
         let mut groups = vec![Vec::new(); names.len().div_ceil(SHARD_GROUP_SIZE)];
         // The parts are in the order of the route's services.
         let mut service_index = 0;
@@ -112,11 +115,11 @@
         let groups = groups.into_iter().enumerate();
         let plans = groups.filter_map(|(index, parts)| {
             let key = &names[index * SHARD_GROUP_SIZE];
-            let choice = self.select_entry(*entries, key, true, state.homes, &[], now)?;
+            let choice = self.select_entry(*entries, key, true, state.allowed_regions, &[], now)?;
             (!parts.is_empty()).then_some(BundlePlan {
                 choice,
                 parts,
-                divides: false,
+                may_divide: false,
             })
         });
         plans.collect()
@@ -142,10 +145,13 @@
             let parts: Vec<usize> = far
                 .iter()
                 .copied()
-                .filter(|part| self.has_server_in(state.parts[*part].upstream, domain, state.homes))
+                .filter(|part| {
+                    self.has_server_in(state.parts[*part].upstream, domain, state.allowed_regions)
+                })
                 .collect();
-            let local_id = &self.options.own;
-            let choice = self.select_entry(*entries, local_id, false, state.homes, &[], now);
+            let local_id = &self.options.local_id;
+            let choice =
+                self.select_entry(*entries, local_id, false, state.allowed_regions, &[], now);
             let Some(choice) = choice else {
                 continue;
             };
@@ -164,7 +170,7 @@
                 let plan = BundlePlan {
                     choice,
                     parts,
-                    divides: true,
+                    may_divide: true,
                 };
                 best = Some((rank, plan));
             }
@@ -199,7 +205,7 @@
         });
         let best = available.max_by_key(|server| rank(&self.servers[**server].id))?;
         let state = &self.servers[*best];
-        if includes_self && rank(&self.options.own) > rank(&state.id) {
+        if includes_self && rank(&self.options.local_id) > rank(&state.id) {
             return None;
         }
         Some(ServerChoice {
--- a/crates/core/src/process/forward/choose.rs
+++ b/crates/core/src/process/forward/choose.rs
@@ -64,7 +64,7 @@
     /// Whether the request may be repeated, as its route is idempotent.
     pub(super) is_repeatable: bool,
     /// Regions in which the request may be served.
-    pub(super) homes: RegionSet,
+    pub(super) allowed_regions: RegionSet,
 }
 
 /// The server that was chosen for an attempt.
@@ -133,7 +133,7 @@
             if target.is_some_and(|target| target != self.is_target(*server)) {
                 continue;
             }
-            let Some(permitted) = criteria.homes.permit(*server, state) else {
+            let Some(permitted) = criteria.allowed_regions.permit(*server, state) else {
                 continue;
             };
             // A cold server at its limit does not count as full: the part would be queued,
@@ -229,7 +229,7 @@
         if state.place != DomainProximity::Domain {
             return equal_share.max(1);
         }
-        let domain_share = (used / f64::from(self.near_entries)) as usize;
+        let domain_share = (used / f64::from(self.domain_entry_count)) as usize;
         let slot_limit = state.slots as usize * REQUESTS_PER_SLOT;
         equal_share.max(domain_share.min(slot_limit)).max(1)
     }
@@ -262,7 +262,7 @@
     if state.silent || now < state.rest_until {
         penalty += UNAVAILABLE_COST;
     }
-    if state.outstanding.iter().any(|attempt| attempt.on_trial) {
+    if state.outstanding.iter().any(|attempt| attempt.is_canary) {
         // The server may crash under a canary attempt and fail all its other requests.
         penalty += criteria.objective;
     }
--- a/crates/core/src/process/forward/end.rs
+++ b/crates/core/src/process/forward/end.rs
@@ -1,4 +1,6 @@
-//! Ending a request: whole, partial, with a server's answer, or refused.
+//! End of a request: with all parts merged, with some parts omitted, with one
+//! server's answer, or with a failure. Attempts that are still outstanding then
+//! become orphans and are cancelled after a grace period.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,82 +17,104 @@
 use crate::process::input::CallTag;
 use crate::request::records::RecordMerge;
 
-/// Least time after which a refused caller should come back.
-const LEAST_RETRY: Duration = Duration::from_millis(60);
-/// By how much that time is spread.
+/// Minimum time after which a refused caller should retry.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(60);
+/// Range of the random time added to [`MIN_RETRY_AFTER`] and [`CANARY_RETRY_AFTER`],
+/// so that refused callers do not retry all at once.
 const RETRY_SPREAD: Duration = Duration::from_millis(120);
-/// The same for a caller that came before this entry had its table: after a
-/// start that takes 0.2 to 0.6 s, and a caller that comes back sooner is
-/// refused again.
-const LEARNING_RETRY: Duration = Duration::from_millis(350);
-/// By how much that time is spread.
-const LEARNING_SPREAD: Duration = Duration::from_millis(250);
-/// The same for one that is on trial at another entry: the work of one request
-/// and two ways to a control instance and back.
-const TRIAL_RETRY: Duration = Duration::from_millis(100);
-/// Time that an attempt goes on after its request was answered.
-const ORPHAN_TIME: Duration = Duration::from_millis(400);
-/// Time that an attempt goes on after its caller left.
-const LEFT_TIME: Duration = Duration::from_millis(250);
+/// Minimum time after which a caller should retry if this entry has no route table
+/// yet. After a start the table takes 0.2 to 0.6 s to arrive, and a caller that
+/// retries sooner is refused again.
+const NO_TABLE_RETRY_AFTER: Duration = Duration::from_millis(350);
+/// Range of the random time added to [`NO_TABLE_RETRY_AFTER`].
+const NO_TABLE_RETRY_SPREAD: Duration = Duration::from_millis(250);
+/// Minimum time after which a caller should retry while another entry runs the
+/// canary attempt of the same request: the work time of one request and two round
+/// trips to a control instance.
+const CANARY_RETRY_AFTER: Duration = Duration::from_millis(100);
+/// Time after which an outstanding attempt is cancelled when its request
+/// ended.
+const ORPHAN_GRACE: Duration = Duration::from_millis(400);
+/// Time after which an outstanding attempt is cancelled when its caller left.
+const CALLER_LEFT_GRACE: Duration = Duration::from_millis(250);
 
 impl ForwardMachine {
-    /// Ends a request if nothing more can come of it, or all is in.
+    /// Ends a request if all its parts are answered or given up, if its required
+    /// coverage can no longer be reached, or if its soft deadline has passed and the
+    /// coverage suffices. A request relayed by another entry always ends at its soft
+    /// deadline.
     pub(super) fn check_end(&mut self, call: SlotKey, now: Duration, out: &mut Vec<ForwardAction>) {
         let Some(state) = self.calls.get(call) else {
             return;
         };
-        if !state.gathers {
+        if !state.is_scatter_gather {
             if state.open() == 0 {
                 self.end_unanswered(call, now, out);
             }
             return;
         }
-        let is_late = now >= state.plan.aim;
+        let is_past_soft_deadline = now >= state.plan.aim;
         if state.open() == 0 {
-            if state.is_covered() {
+            if state.has_required_coverage() {
                 return self.end_gathered(call, now, out);
             }
             return self.end_unanswered(call, now, out);
         }
-        if !state.is_coverable() {
+        if !state.can_reach_coverage() {
             return self.end_unanswered(call, now, out);
         }
-        if is_late && state.is_covered() {
+        if is_past_soft_deadline && state.has_required_coverage() {
             return self.end_gathered(call, now, out);
         }
-        if is_late && state.relayed {
-            // The entry that asks can still ask elsewhere, and waits for this.
+        if is_past_soft_deadline && state.is_relayed {
+            // The entry that relayed the request waits for this answer and can still
+            // send the parts elsewhere.
             self.end_unanswered(call, now, out);
         }
     }
 
-    pub(super) fn aim_due(&mut self, call: SlotKey, now: Duration, out: &mut Vec<ForwardAction>) {
+    /// Handles the soft deadline of a request: ends the request if what is answered
+    /// suffices.
+    pub(super) fn soft_deadline_due(
+        &mut self,
+        call: SlotKey,
+        now: Duration,
+        out: &mut Vec<ForwardAction>,
+    ) {
         self.check_end(call, now, out);
     }
 
-    /// Tells whether a request has no time for an answer any more.
-    pub(super) fn is_over(&self, call: SlotKey, now: Duration) -> bool {
-        let call = self.calls.get(call);
-        call.is_some_and(|state| now >= state.plan.limit)
+    /// Returns whether a request has passed its hard deadline.
+    pub(super) fn is_past_hard_deadline(&self, call: SlotKey, now: Duration) -> bool {
+        let state = self.calls.get(call);
+        state.is_some_and(|state| now >= state.plan.limit)
     }
 
-    pub(super) fn limit_due(&mut self, call: SlotKey, now: Duration, out: &mut Vec<ForwardAction>) {
+    /// Handles the hard deadline of a request: answers with the parts that came, if
+    /// they suffice, or else fails the request as timed out.
+    pub(super) fn hard_deadline_due(
+        &mut self,
+        call: SlotKey,
+        now: Duration,
+        out: &mut Vec<ForwardAction>,
+    ) {
         let Some(state) = self.calls.get(call) else {
             return;
         };
-        if state.gathers && state.is_covered() {
+        if state.is_scatter_gather && state.has_required_coverage() {
             return self.end_gathered(call, now, out);
         }
         let failure = if state.may_have_run() {
-            ForwardFailure::Late
+            ForwardFailure::TimedOut
         } else {
-            ForwardFailure::LateUnrun
+            ForwardFailure::TimedOutUnrun
         };
         self.end_failed(call, failure, now, out);
     }
 
+    /// Ends a request with the merged records of its answered parts.
     fn end_gathered(&mut self, call: SlotKey, now: Duration, out: &mut Vec<ForwardAction>) {
-        let Some(state) = self.take_call(call, ORPHAN_TIME, now, out) else {
+        let Some(state) = self.remove_call(call, ORPHAN_GRACE, now, out) else {
             return;
         };
         let mut merge = RecordMerge::new(state.rule().top);
@@ -108,8 +132,8 @@
             self.counters.partial += 1;
         }
         let outcome = if missing == 0 { "whole" } else { "partial" };
-        self.decide_end(&state, outcome, now, out);
-        let shards = if state.relayed {
+        self.record_end(&state, outcome, now, out);
+        let shards = if state.is_relayed {
             self.shard_names(&state, true)
         } else {
             Vec::new()
@@ -126,18 +150,19 @@
         });
     }
 
-    /// Names the shards that are in, or those that are not.
-    fn shard_names(&self, state: &CallState, answered: bool) -> Vec<Arc<str>> {
-        let named = state
+    /// Returns the services of the answered parts, or of the others if `is_answered`
+    /// is false.
+    fn shard_names(&self, state: &CallState, is_answered: bool) -> Vec<Arc<str>> {
+        let selected = state
             .parts
             .iter()
-            .filter(|part| matches!(part.status, PartStatus::Answered { .. }) == answered);
-        named
+            .filter(|part| matches!(part.status, PartStatus::Answered { .. }) == is_answered);
+        selected
             .map(|part| self.upstreams[part.upstream].name.clone())
             .collect()
     }
 
-    /// Ends a request with a server's own answer.
+    /// Ends a request with the unchanged answer of one server.
     pub(super) fn end_served(
         &mut self,
         call: SlotKey,
@@ -145,18 +170,20 @@
         now: Duration,
         out: &mut Vec<ForwardAction>,
     ) {
-        let Some(mut state) = self.take_call(call, ORPHAN_TIME, now, out) else {
+        let Some(mut state) = self.remove_call(call, ORPHAN_GRACE, now, out) else {
             return;
         };
         state.answered = 1;
         self.counters.whole += 1;
-        self.decide_end(&state, "served", now, out);
+        self.record_end(&state, "served", now, out);
         out.push(ForwardAction::Answer {
             call: state.tag,
             answer: ForwardAnswer::Server(answer),
         });
     }
 
+    /// Ends a request for which no further answer can come: with a server's error
+    /// answer if there was one, or else with a failure.
     pub(super) fn end_unanswered(
         &mut self,
         call: SlotKey,
@@ -166,19 +193,20 @@
         let Some(state) = self.calls.get_mut(call) else {
             return;
         };
-        if let Some(answer) = state.failure.take() {
+        if let Some(answer) = state.failed_answer.take() {
             return self.end_served(call, answer, now, out);
         }
         let failure = if state.may_have_run() {
             ForwardFailure::Failed
         } else if state.parts.iter().any(|part| part.arrivals > 0) {
-            ForwardFailure::TurnedAway
+            ForwardFailure::RejectedByServers
         } else {
             ForwardFailure::NoServer
         };
         self.end_failed(call, failure, now, out);
     }
 
+    /// Ends a request with a failure.
     pub(super) fn end_failed(
         &mut self,
         call: SlotKey,
@@ -186,22 +214,22 @@
         now: Duration,
         out: &mut Vec<ForwardAction>,
     ) {
-        let Some(state) = self.take_call(call, ORPHAN_TIME, now, out) else {
+        let Some(state) = self.remove_call(call, ORPHAN_GRACE, now, out) else {
             return;
         };
-        self.decide_end(&state, failure.word(), now, out);
+        self.record_end(&state, failure.label(), now, out);
         self.refuse(state.tag, failure, out);
     }
 
-    /// Refuses a request that was not let in.
-    pub(super) fn turn_away(
+    /// Refuses a request that was not admitted.
+    pub(super) fn reject_request(
         &mut self,
         call: CallTag,
         failure: ForwardFailure,
         out: &mut Vec<ForwardAction>,
     ) {
-        self.decide(call, out, || ForwardDecision::End {
-            outcome: failure.word(),
+        self.record_decision(call, out, || ForwardDecision::End {
+            outcome: failure.label(),
             parts: 0,
             missing: 0,
             left_out: Vec::new(),
@@ -212,21 +240,22 @@
         self.refuse(call, failure, out);
     }
 
+    /// Sends a failure answer, with a time to retry after if a retry can succeed.
     fn refuse(&mut self, call: CallTag, failure: ForwardFailure, out: &mut Vec<ForwardAction>) {
         self.counters.failed += 1;
-        // Who comes back with what is kept from all is refused again.
-        let is_vain = matches!(
+        // For these failures a retry would be refused again.
+        let is_permanent = matches!(
             failure,
             ForwardFailure::NoRoute | ForwardFailure::Quarantined | ForwardFailure::NoKey
         );
-        let is_worth = failure.is_unrun() && !is_vain;
-        let retry_after = is_worth.then(|| {
-            let (least, spread) = match failure {
-                ForwardFailure::NoTable => (LEARNING_RETRY, LEARNING_SPREAD),
-                ForwardFailure::Doubted => (TRIAL_RETRY, RETRY_SPREAD),
-                _ => (LEAST_RETRY, RETRY_SPREAD),
+        let may_retry = failure.is_known_unrun() && !is_permanent;
+        let retry_after = may_retry.then(|| {
+            let (min, spread) = match failure {
+                ForwardFailure::NoTable => (NO_TABLE_RETRY_AFTER, NO_TABLE_RETRY_SPREAD),
+                ForwardFailure::AwaitingCanary => (CANARY_RETRY_AFTER, RETRY_SPREAD),
+                _ => (MIN_RETRY_AFTER, RETRY_SPREAD),
             };
-            least + spread.mul_f64(self.rng.random())
+            min + spread.mul_f64(self.rng.random())
         });
         out.push(ForwardAction::Answer {
             call,
@@ -237,53 +266,55 @@
         });
     }
 
+    /// Ends a request whose caller closed the connection before the answer.
     pub(super) fn caller_left(
         &mut self,
         tag: CallTag,
         now: Duration,
         out: &mut Vec<ForwardAction>,
     ) {
-        let Some(call) = self.tags.get(&tag).copied() else {
+        let Some(call) = self.calls_by_tag.get(&tag).copied() else {
             return;
         };
         self.counters.left += 1;
-        if let Some(state) = self.take_call(call, LEFT_TIME, now, out) {
-            self.decide_end(&state, "caller_left", now, out);
+        if let Some(state) = self.remove_call(call, CALLER_LEFT_GRACE, now, out) {
+            self.record_end(&state, "caller_left", now, out);
         }
     }
 
-    /// Takes a request out; attempts still outstanding go on for `patience` at
-    /// most.
-    fn take_call(
+    /// Removes a request and schedules the cancellation of its outstanding attempts
+    /// after `grace`.
+    fn remove_call(
         &mut self,
         call: SlotKey,
-        patience: Duration,
+        grace: Duration,
         now: Duration,
         out: &mut Vec<ForwardAction>,
     ) -> Option<CallState> {
         let state = self.calls.remove(call)?;
-        self.tags.remove(&state.tag);
+        self.calls_by_tag.remove(&state.tag);
         self.count_bundled(&state, now);
         for attempt in state.parts.iter().flat_map(|part| &part.attempts) {
             let Some(orphan) = self.attempts.get_mut(*attempt) else {
                 continue;
             };
             if orphan.call.take().is_none() {
-                // It stands for several parts.
+                // The attempt has several parts and was handled with an earlier one.
                 continue;
             }
             orphan.has_run = state.doubt.has_run;
-            // Another entry has patience of its own.
-            // A server that has not begun what others ended under is spared it.
-            let is_urgent = orphan.is_relay() || state.is_doubted();
-            let closes_in = if is_urgent { Duration::ZERO } else { patience };
+            // A relay is cancelled at once, because the other entry applies the grace
+            // period to its own attempts. A request that may crash servers is also
+            // cancelled at once, before further servers start to process it.
+            let is_immediate = orphan.is_relay() || state.is_doubted();
+            let closes_in = if is_immediate { Duration::ZERO } else { grace };
             let (server, sent_at) = (orphan.server, orphan.sent_at);
-            if now >= orphan.due {
+            if now >= orphan.ack_due_at {
                 self.back_off_if_unresponsive(server, sent_at, now);
             }
             self.timers
                 .set(now + closes_in, ForwardTimer::Orphan(*attempt));
-            self.decide(state.tag, out, || {
+            self.record_decision(state.tag, out, || {
                 let (service, instance) = self.names(server);
                 ForwardDecision::Abandon {
                     service,
@@ -296,6 +327,7 @@
         Some(state)
     }
 
+    /// Cancels an orphan attempt whose grace period is over.
     pub(super) fn orphan_due(&mut self, attempt: SlotKey, out: &mut Vec<ForwardAction>) {
         let Some(state) = self.attempts.get_mut(attempt) else {
             return;
@@ -303,44 +335,45 @@
         if state.call.is_some() {
             return;
         }
-        state.cancelled = true;
+        state.is_cancelled = true;
         let (server, sent_at) = (state.server, state.sent_at);
         self.counters.cancels += 1;
         out.push(ForwardAction::Cancel(attempt));
-        self.close_if_silent(server, sent_at, out);
+        self.close_if_unresponsive(server, sent_at, out);
     }
 
     /// Closes the idle connections to a server that has answered nothing since
-    /// `sent_at`: they may have gone silent for good, without a reset, while
-    /// new ones work.
-    pub(super) fn close_if_silent(
+    /// `sent_at`. They may have been lost without a reset, while new connections
+    /// still work.
+    pub(super) fn close_if_unresponsive(
         &self,
         server: ServerKey,
         sent_at: Duration,
         out: &mut Vec<ForwardAction>,
     ) {
         if self.servers[server].answered_at < sent_at {
-            out.push(ForwardAction::Close(server));
+            out.push(ForwardAction::CloseIdle(server));
         }
     }
 
-    fn decide_end(
+    /// Records the end of a request for the log.
+    fn record_end(
         &self,
         state: &CallState,
         outcome: &'static str,
         now: Duration,
         out: &mut Vec<ForwardAction>,
     ) {
-        self.decide(state.tag, out, || ForwardDecision::End {
+        self.record_decision(state.tag, out, || ForwardDecision::End {
             outcome,
             parts: state.answered,
-            left_out: if state.gathers && state.answered > 0 {
+            left_out: if state.is_scatter_gather && state.answered > 0 {
                 self.shard_names(state, false)
             } else {
                 Vec::new()
             },
             missing: state.parts.len() - state.answered,
-            after: now - state.arrived,
+            after: now - state.arrived_at,
             sends: state.sends,
             late: now > state.plan.objective,
         });
--- a/crates/core/src/process/forward/relay.rs
+++ b/crates/core/src/process/forward/relay.rs
@@ -39,21 +39,21 @@
             .iter()
             .filter(|peer| peer.domain == self.options.domain);
         self.knows_peers = true;
-        self.near_entries = (near_peers.count() as u32).max(1);
+        self.domain_entry_count = (near_peers.count() as u32).max(1);
         let known_domains = self.peer_domains.iter();
         let known_domains: Vec<UpstreamKey> =
             known_domains.map(|(_, upstream)| *upstream).collect();
         let mut current_ids = HashSet::with_capacity(peers.len());
         for peer in &peers {
             let id = peer.id();
-            if id == self.options.own {
+            if id == self.options.local_id {
                 continue;
             }
-            if !self.server_ids.contains_key(&id) {
+            if !self.servers_by_id.contains_key(&id) {
                 self.add_peer(peer, id.clone());
                 if !known_domains.is_empty() {
                     // The new entry takes over requests that other entries received before.
-                    self.shifts_until = now + self.options.extra.window;
+                    self.load_shifts_until = now + self.options.extra.window;
                 }
             }
             current_ids.insert(id);
@@ -62,7 +62,7 @@
             for server in self.upstreams[upstream].servers.clone() {
                 let id = self.servers[server].id.clone();
                 if !current_ids.contains(&*id) {
-                    self.server_ids.remove(&*id);
+                    self.servers_by_id.remove(&*id);
                     self.end_watch.note_lost_entry(now);
                     self.set_standing(server, ServerStanding::Gone, out);
                 }
@@ -80,7 +80,7 @@
         state.region = self.options.regions.region_of(&peer.domain);
         state.slots = 1024;
         let server = self.servers.push(state);
-        self.server_ids.insert(id, server);
+        self.servers_by_id.insert(id, server);
         self.upstreams[upstream].servers.push(server);
     }
 
@@ -112,7 +112,7 @@
         let BundlePlan {
             choice,
             parts,
-            divides,
+            may_divide,
         } = plan;
         let entry = &self.servers[choice.server.key()];
         let round_trip = entry.way();
@@ -129,8 +129,9 @@
             version: state.table.version(),
             answer_by: state.plan.aim.saturating_sub(round_trip + RETURN_MARGIN),
             attempts: allowance.attempts,
-            earns: state.earns && parts.iter().all(|part| state.parts[*part].arrivals == 0),
-            divides,
+            credits_budget: state.credits_budget
+                && parts.iter().all(|part| state.parts[*part].arrivals == 0),
+            may_divide,
             workspace: state.workspace.clone(),
             shards: shards.collect(),
         };
@@ -169,7 +170,7 @@
             stamped_parts.extend(index.map(|index| (index, stamp)));
         }
         let indexes: Vec<usize> = stamped_parts.iter().map(|(index, _)| *index).collect();
-        if !state.make_way(&indexes) {
+        if !state.displace_bundles(&indexes) {
             return;
         }
         let mut body = bundle.body.clone();
--- a/crates/core/src/process/forward/reroute.rs
+++ b/crates/core/src/process/forward/reroute.rs
@@ -17,7 +17,7 @@
 use crate::process::forward::answer::{ForwardAction, ForwardDecision};
 use crate::process::forward::bundle::{BundlePlan, MAX_UNDIVIDED_SHARDS};
 use crate::process::forward::call::{
-    CallState, ForwardAttempt, PartState, PartStatus, RelayStanding,
+    CallState, ForwardAttempt, PartState, PartStatus, RelayStatus,
 };
 use crate::process::forward::machine::ForwardMachine;
 use crate::process::forward::relay::UNRESPONSIVE_BACKOFF;
@@ -83,8 +83,8 @@
             return;
         };
         self.servers[relay.server].answered_at = now;
-        if relay.relay == RelayStanding::Unheard {
-            relay.relay = RelayStanding::AtWork;
+        if relay.relay == RelayStatus::Unacknowledged {
+            relay.relay = RelayStatus::Acknowledged;
             self.raise_allowance(attempt, out);
         }
     }
@@ -96,7 +96,7 @@
             return;
         };
         let call = relay.call.and_then(|call| self.calls.get_mut(call));
-        let Some(state) = call.filter(|_| relay.relay == RelayStanding::AtWork) else {
+        let Some(state) = call.filter(|_| relay.relay == RelayStatus::Acknowledged) else {
             return;
         };
         let remaining = remaining_attempts(state, &relay.parts);
@@ -107,7 +107,7 @@
         for part in &relay.parts {
             state.parts[*part].runs += remaining;
         }
-        out.push(ForwardAction::Grant(attempt, relay.runs));
+        out.push(ForwardAction::RaiseAllowance(attempt, relay.runs));
     }
 
     /// Handles a message of the entry that relayed this request: it raises the number
@@ -120,21 +120,21 @@
         now: Duration,
         out: &mut Vec<ForwardAction>,
     ) {
-        let Some(call) = self.tags.get(&tag).copied() else {
+        let Some(call) = self.calls_by_tag.get(&tag).copied() else {
             return;
         };
         let Some(state) = self.calls.get_mut(call) else {
             return;
         };
         let max_attempts = state.rule().attempts;
-        if !state.relayed || attempts.min(max_attempts) <= state.attempts {
+        if !state.is_relayed || attempts.min(max_attempts) <= state.attempts {
             return;
         }
         state.attempts = attempts.min(max_attempts);
         for part in state.parts.iter_mut().filter(|part| part.is_open()) {
             // Parts whose attempts all failed, or that were no longer checked for a
             // hedge, may be sent again under the raised allowance.
-            let is_lost = part.attempts.is_empty() && !part.waits;
+            let is_lost = part.attempts.is_empty() && !part.is_queued;
             if is_lost || part.hedge_at == Duration::MAX {
                 part.hedge_at = now;
             }
@@ -157,8 +157,8 @@
             let Some(state) = self.attempts.get_mut(attempt) else {
                 continue;
             };
-            if state.relay == RelayStanding::Unheard && now >= state.due {
-                state.relay = RelayStanding::Late;
+            if state.relay == RelayStatus::Unacknowledged && now >= state.ack_due_at {
+                state.relay = RelayStatus::Overdue;
                 self.reroute_relay(call, attempt, now, out);
             }
             let is_past_deadline = self
@@ -184,7 +184,7 @@
     pub(super) fn has_active_relay(&self, part: &PartState) -> bool {
         let attempts = part.attempts.iter();
         let mut attempts = attempts.filter_map(|attempt| self.attempts.get(*attempt));
-        attempts.any(|attempt| attempt.is_relay() && attempt.relay != RelayStanding::Late)
+        attempts.any(|attempt| attempt.is_relay() && attempt.relay != RelayStatus::Overdue)
     }
 
     /// Returns whether all attempts of a part are relays with a late acknowledgement.
@@ -192,7 +192,7 @@
     pub(super) fn has_only_overdue_relays(&self, part: &PartState) -> bool {
         let attempts = part.attempts.iter();
         let mut attempts = attempts.filter_map(|attempt| self.attempts.get(*attempt));
-        !part.attempts.is_empty() && attempts.all(|attempt| attempt.relay == RelayStanding::Late)
+        !part.attempts.is_empty() && attempts.all(|attempt| attempt.relay == RelayStatus::Overdue)
     }
 
     /// Returns whether an attempt is a relay to another entry, not a send to a server.
@@ -241,10 +241,10 @@
             return;
         }
         let count = open_parts.len();
-        self.counters.asked_around += 1;
-        self.decide(tag, out, || {
+        self.counters.rerouted_relays += 1;
+        self.record_decision(tag, out, || {
             let (service, instance) = self.names(server);
-            ForwardDecision::AskAround {
+            ForwardDecision::Reroute {
                 service,
                 instance,
                 after: now - sent_at,
@@ -255,8 +255,8 @@
             return;
         }
         let entries = self.servers[server].upstream;
-        let local_id = self.options.own.clone();
-        let regions = state.homes;
+        let local_id = self.options.local_id.clone();
+        let regions = state.allowed_regions;
         let Some(choice) = self.select_entry(entries, &local_id, false, regions, &[server], now)
         else {
             return;
@@ -266,7 +266,7 @@
         let plan = BundlePlan {
             choice,
             parts: parts.collect(),
-            divides: true,
+            may_divide: true,
         };
         if !plan.parts.is_empty() {
             self.send_bundle(call, plan, now, out);
@@ -287,7 +287,7 @@
             return;
         };
         relay.call = None;
-        relay.cancelled = true;
+        relay.is_cancelled = true;
         let (server, sent_at, parts) = (relay.server, relay.sent_at, relay.parts.clone());
         self.servers[server].rest_at_least(UNRESPONSIVE_BACKOFF, now);
         let Some(state) = self.calls.get_mut(call) else {
@@ -296,13 +296,13 @@
         for part in parts {
             let part = &mut state.parts[part];
             part.attempts.retain(|other| *other != attempt);
-            if part.is_open() && part.attempts.is_empty() && !part.waits {
+            if part.is_open() && part.attempts.is_empty() && !part.is_queued {
                 part.status = PartStatus::Missing;
                 state.missing += 1;
             }
         }
         out.push(ForwardAction::Cancel(attempt));
-        self.close_if_silent(server, sent_at, out);
+        self.close_if_unresponsive(server, sent_at, out);
     }
 
     /// Sends an entry no relays for [`UNRESPONSIVE_BACKOFF`] if that entry has answered
--- a/crates/core/src/process/forward/send.rs
+++ b/crates/core/src/process/forward/send.rs
@@ -6,7 +6,7 @@
 
 use crate::arena::{SlotKey, UpstreamKey};
 use crate::process::forward::answer::{AttemptCause, AttemptOrder, ForwardAction, ForwardDecision};
-use crate::process::forward::call::{CallState, ForwardAttempt, PartStatus, RelayStanding};
+use crate::process::forward::call::{CallState, ForwardAttempt, PartStatus, RelayStatus};
 use crate::process::forward::choose::{SelectionCriteria, SelectionFailure, ServerChoice};
 use crate::process::forward::input::RelayOrder;
 use crate::process::forward::machine::ForwardMachine;
@@ -64,7 +64,7 @@
         let state = self.calls.get(call).ok_or(SelectionFailure::NoServer)?;
         let (upstream, tried) = (state.parts[part].upstream, state.parts[part].tried.clone());
         let criteria = SelectionCriteria {
-            ignores_distance: !state.gathers && !tried.is_empty(),
+            ignores_distance: !state.is_scatter_gather && !tried.is_empty(),
             ..self.first_attempt_criteria(state)
         };
         self.choose_server(upstream, &tried, criteria, now)
@@ -77,7 +77,7 @@
             objective: state.rule().objective(),
             ignores_distance: false,
             is_repeatable: state.rule().idempotent,
-            homes: state.homes,
+            allowed_regions: state.allowed_regions,
         }
     }
 
@@ -125,7 +125,7 @@
         };
         let AttemptPlan { cause, choice, .. } = plan;
         let is_suspect = self.suspects.standing(state.mark, now) != SuspectStanding::Clear;
-        let on_trial = state.is_doubted() || (is_suspect && !state.gathers);
+        let is_canary = state.is_doubted() || (is_suspect && !state.is_scatter_gather);
         let typical = self.timings[plan.timing].typical(state.rule());
         let slow_after = slow_after(typical, state.rule().objective());
         let key = choice.server.key();
@@ -146,18 +146,18 @@
             cause,
             timing: plan.timing,
             runs: plan.runs,
-            due: if plan.relay.is_some() {
+            ack_due_at: if plan.relay.is_some() {
                 now + plan.check_after
             } else {
                 Duration::MAX
             },
-            relay: RelayStanding::Unheard,
-            cancelled: false,
-            on_trial,
+            relay: RelayStatus::Unacknowledged,
+            is_cancelled: false,
+            is_canary,
             has_run: false,
         });
         state.sends += 1;
-        let (tag, gathers) = (state.tag, state.gathers);
+        let (tag, is_scatter_gather) = (state.tag, state.is_scatter_gather);
         let workspace = state.workspace.clone();
         let until = state.plan.given_up.saturating_sub(RESPONSE_MARGIN);
         for part in &plan.parts {
@@ -166,7 +166,7 @@
             part.arrivals += 1;
             part.runs += plan.runs;
             part.hedge_at = now + plan.check_after;
-            part.bundled |= plan.relay.is_some();
+            part.was_bundled |= plan.relay.is_some();
         }
         let counts = &mut self.upstreams[server.upstream].counts;
         counts.sends += 1;
@@ -184,7 +184,7 @@
         server.outstanding.push(OutstandingAttempt {
             attempt,
             sent_at: now,
-            on_trial,
+            is_canary,
         });
         server.idle = server.idle.saturating_sub(1);
         let (address, instance) = (server.address, server.id.clone());
@@ -195,7 +195,7 @@
             AttemptCause::Hedge => self.counters.hedges += 1,
             AttemptCause::Relay => self.counters.relays += 1,
         }
-        self.decide(tag, out, || {
+        self.record_decision(tag, out, || {
             let (service, instance) = self.names(key);
             ForwardDecision::Send {
                 service,
@@ -215,7 +215,7 @@
             instance,
             until,
             workspace,
-            whole_head: !gathers,
+            forward_headers: !is_scatter_gather,
             relay: plan.relay,
         }));
     }
@@ -235,8 +235,8 @@
         };
         let part_state = &mut state.parts[part];
         if reason == SelectionFailure::Full {
-            if !part_state.waits {
-                part_state.waits = true;
+            if !part_state.is_queued {
+                part_state.is_queued = true;
                 let upstream = part_state.upstream;
                 self.upstreams[upstream].waiting.push_back((call, part));
             }
@@ -255,7 +255,7 @@
         let (tag, upstream) = (state.tag, state.parts[part].upstream);
         let servers = self.upstreams[upstream].servers.len();
         let service = self.upstreams[upstream].name.clone();
-        self.decide(tag, out, || ForwardDecision::NoServer { service, servers });
+        self.record_decision(tag, out, || ForwardDecision::NoServer { service, servers });
     }
 
     /// Returns the cause of a part's next attempt: `First` if the part never reached a
@@ -288,7 +288,7 @@
             if !state.parts[part].is_open() {
                 continue;
             }
-            state.parts[part].waits = false;
+            state.parts[part].is_queued = false;
             if self.is_held(call, part) {
                 continue;
             }
--- a/crates/core/src/process/forward/shard_owner.rs
+++ b/crates/core/src/process/forward/shard_owner.rs
@@ -49,7 +49,7 @@
         }
         for (_, upstream) in self.upstreams.iter_mut() {
             let key = upstream.share_key.as_ref();
-            upstream.holds = key.is_some_and(|key| owned_keys.get(key) == Some(&true));
+            upstream.owns_shard = key.is_some_and(|key| owned_keys.get(key) == Some(&true));
         }
     }
 
@@ -60,7 +60,7 @@
         if !self.knows_peers {
             return false;
         }
-        let local_rank = rank(key, &self.options.own);
+        let local_rank = rank(key, &self.options.local_id);
         let mut domains = self.peer_domains.iter();
         let Some((_, entries)) = domains.find(|(name, _)| *name == self.options.domain) else {
             return true;
@@ -78,7 +78,7 @@
         ExtraView {
             entries: self.entries,
             domains: domains as u32,
-            holds: is_divided.then_some(state.holds),
+            owns_shard: is_divided.then_some(state.owns_shard),
         }
     }
 }
--- a/crates/core/tests/forward/allowed_regions.rs
+++ b/crates/core/tests/forward/allowed_regions.rs
@@ -1,13 +1,13 @@
 //! Allowed regions of a route (`homes`): none of its requests is sent outside of them.
 
 use wheelmast_core::process::forward::answer::{AttemptOrder, ForwardAnswer, ForwardFailure};
-use wheelmast_core::process::forward::input::AttemptEnd;
+use wheelmast_core::process::forward::input::AttemptResult;
 use wheelmast_core::process::forward::machine::ForwardOptions;
 use wheelmast_core::process::forward::place::RegionMap;
 use wheelmast_core::process::forward::region_set::{RegionKey, RegionSet};
 use wheelmast_core::version::route_table::{RouteRule, RouteTarget};
 
-use crate::harness::{route, shards, table, Harness, HOME};
+use crate::harness::{route, shards, table, Harness, LOCAL_DOMAIN};
 
 /// Another failure domain of the local region.
 const BESIDE: &str = "beside";
@@ -19,7 +19,7 @@
 /// Maps the four failure domains to three regions.
 fn regions() -> RegionMap {
     let pairs = [
-        (HOME, "west"),
+        (LOCAL_DOMAIN, "west"),
         (BESIDE, "west"),
         (FAR, "east"),
         (FARTHER, "south"),
@@ -31,7 +31,7 @@
 /// server in each of `domains`; there is another entry in each of `peers`.
 fn new_harness(target: RouteTarget, homes: &[&str], domains: &[&str], peers: &[&str]) -> Harness {
     let mut harness = Harness::with_options(ForwardOptions {
-        domain: HOME.into(),
+        domain: LOCAL_DOMAIN.into(),
         regions: regions(),
         ..ForwardOptions::default()
     });
@@ -40,14 +40,14 @@
         ..route("q", target)
     };
     let services: Vec<String> = rule.services().map(str::to_string).collect();
-    harness.obey(table(3, vec![rule]));
+    harness.set_table(table(3, vec![rule]));
     for service in services {
         for domain in domains {
-            harness.serve_in(&service, domain);
+            harness.add_server_in(&service, domain);
         }
     }
     if !peers.is_empty() {
-        harness.meet(peers);
+        harness.add_entries(peers);
     }
     harness
 }
@@ -65,28 +65,28 @@
     RegionCase {
         name: "the local region",
         homes: &["west"],
-        domains: &[HOME, BESIDE, FAR, FARTHER],
+        domains: &[LOCAL_DOMAIN, BESIDE, FAR, FARTHER],
         peers: &[BESIDE, FAR, FARTHER],
-        allowed: &[HOME, BESIDE],
+        allowed: &[LOCAL_DOMAIN, BESIDE],
     },
     RegionCase {
         name: "another region",
         homes: &["east"],
-        domains: &[HOME, BESIDE, FAR, FARTHER],
-        peers: &[HOME, BESIDE, FAR, FARTHER],
+        domains: &[LOCAL_DOMAIN, BESIDE, FAR, FARTHER],
+        peers: &[LOCAL_DOMAIN, BESIDE, FAR, FARTHER],
         allowed: &[FAR],
     },
     RegionCase {
         name: "two other regions",
         homes: &["east", "south"],
-        domains: &[HOME, FAR, FARTHER],
+        domains: &[LOCAL_DOMAIN, FAR, FARTHER],
         peers: &[FAR, FARTHER, BESIDE],
         allowed: &[FAR, FARTHER],
     },
     RegionCase {
         name: "no entry in the allowed region",
         homes: &["east"],
-        domains: &[HOME, FAR],
+        domains: &[LOCAL_DOMAIN, FAR],
         peers: &[BESIDE, FARTHER],
         allowed: &[FAR],
     },
@@ -123,10 +123,10 @@
                 harness.call("q");
                 if round % 2 == 0 {
                     for send in first..harness.sends.len() {
-                        harness.end(send, AttemptEnd::Broken);
+                        harness.end(send, AttemptResult::Broken);
                     }
                 }
-                harness.pass(90);
+                harness.advance(90);
             }
             check_domains(case.name, case.allowed, &harness.sends);
         }
@@ -138,7 +138,7 @@
     for homes in [&["east"][..], &["nowhere"][..]] {
         let one = RouteTarget::Service("one".to_string());
         for target in [one, shards(6)] {
-            let mut harness = new_harness(target, homes, &[HOME, FARTHER], &[BESIDE, FAR]);
+            let mut harness = new_harness(target, homes, &[LOCAL_DOMAIN, FARTHER], &[BESIDE, FAR]);
             harness.call("q");
             assert_eq!(harness.sends.len(), 0, "{homes:?}");
             let answers = harness.answers.iter();
@@ -158,7 +158,7 @@
     let map = regions();
     let east = map.homes(&["east".to_string()]);
     assert!(east.contains(map.region_of(FAR)));
-    assert!(!east.contains(map.region_of(HOME)));
+    assert!(!east.contains(map.region_of(LOCAL_DOMAIN)));
     assert!(!east.contains(map.region_of("unheard")));
     assert!(!east.contains(RegionKey::UNKNOWN));
     assert!(map.homes(&[]).contains(RegionKey::UNKNOWN));
--- a/crates/core/tests/forward/bundles.rs
+++ b/crates/core/tests/forward/bundles.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use wheelmast_core::process::forward::answer::{ForwardAnswer, ForwardFailure};
-use wheelmast_core::process::forward::input::{AttemptEnd, RelayOrder};
+use wheelmast_core::process::forward::input::{AttemptResult, RelayOrder};
 use wheelmast_core::version::route_table::RouteRule;
 
-use crate::harness::{route, shards, table, Harness, HOME};
+use crate::harness::{route, shards, table, Harness, LOCAL_DOMAIN};
 
 /// Creates a harness with servers of two shards in the local domain, servers of four in
 /// the domain "there", and another entry in "there".
@@ -21,12 +21,12 @@
         attempts,
         ..route("q", shards(6))
     };
-    harness.obey(table(3, vec![rule]));
+    harness.set_table(table(3, vec![rule]));
     for shard in 0..6 {
-        let domain = if shard < 2 { HOME } else { "there" };
-        harness.serve_in(&format!("s{shard}"), domain);
+        let domain = if shard < 2 { LOCAL_DOMAIN } else { "there" };
+        harness.add_server_in(&format!("s{shard}"), domain);
     }
-    harness.meet(&["there"]);
+    harness.add_entries(&["there"]);
     harness
 }
 
@@ -50,7 +50,7 @@
     assert!(order.answer_by < harness.now + Duration::from_millis(100));
     harness.end_bundle(bundle, &["s2", "s3", "s4", "s5"], b"");
     for send in (0..3).filter(|send| *send != bundle) {
-        harness.end_well(send, b"");
+        harness.answer_ok(send, b"");
     }
     let (stamps, missing) = harness.gathered(call).expect("an answer");
     assert_eq!((stamps.len(), missing), (6, 0));
@@ -61,7 +61,7 @@
     let mut harness = new_harness();
     harness.call("q");
     let bundle = bundle_index(&harness);
-    harness.end(bundle, AttemptEnd::Unsent);
+    harness.end(bundle, AttemptResult::Unsent);
     assert_eq!(
         harness.sends.len(),
         7,
@@ -105,17 +105,17 @@
             let order = harness.sends[bundle].relay.clone().expect("an order");
             assert_eq!(order.attempts, case.allowance);
             if is_unresponsive {
-                harness.pass(160);
+                harness.advance(160);
                 assert_eq!(harness.cancels.len(), 1, "the relay is abandoned");
             } else {
-                harness.end(bundle, AttemptEnd::Broken);
+                harness.end(bundle, AttemptResult::Broken);
             }
             assert_eq!(harness.sends.len(), 3 + 4 * case.direct);
             // No more attempts are sent when the direct sends fail as well.
             for send in 3..harness.sends.len() {
-                harness.end(send, AttemptEnd::Broken);
+                harness.end(send, AttemptResult::Broken);
             }
-            harness.pass(200);
+            harness.advance(200);
             assert_eq!(harness.sends.len(), 3 + 4 * case.direct);
             assert_eq!(harness.failure_of(call), Some(ForwardFailure::Failed));
             let before = harness.sends.len();
@@ -133,7 +133,7 @@
     let bundle = bundle_index(&harness);
     harness.end_bundle(bundle, &["s2", "s4"], b"");
     for send in (0..3).filter(|send| *send != bundle) {
-        harness.end_well(send, b"");
+        harness.answer_ok(send, b"");
     }
     let (stamps, missing) = harness.gathered(call).expect("an answer");
     assert_eq!((stamps.len(), missing), (4, 2));
@@ -146,15 +146,15 @@
         version: 3,
         answer_by: harness.now + Duration::from_millis(30),
         attempts: 1,
-        earns: true,
-        divides: true,
+        credits_budget: true,
+        may_divide: true,
         workspace: None,
         shards: vec!["s0".into(), "s1".into()],
     };
-    let call = harness.call_as("q", None, Some(order));
+    let call = harness.call_with("q", None, Some(order));
     assert!(harness.sends.iter().all(|order| order.relay.is_none()));
-    harness.end_well(1, b"");
-    harness.pass(31);
+    harness.answer_ok(1, b"");
+    harness.advance(31);
     let Some(ForwardAnswer::Gathered {
         shards, missing, ..
     }) = harness.answer_to(call)
@@ -172,12 +172,12 @@
         version: 4,
         answer_by: harness.now + Duration::from_millis(30),
         attempts: 1,
-        earns: true,
-        divides: true,
+        credits_budget: true,
+        may_divide: true,
         workspace: None,
         shards: vec!["s0".into()],
     };
-    let call = harness.call_as("q", None, Some(order));
+    let call = harness.call_with("q", None, Some(order));
     assert_eq!(harness.failure_of(call), Some(ForwardFailure::NoTable));
     assert!(harness.sends.is_empty());
 }
@@ -185,7 +185,7 @@
 #[test]
 fn an_entry_that_left_gets_no_relays() {
     let mut harness = new_harness();
-    harness.meet(&[]);
+    harness.add_entries(&[]);
     harness.call("q");
     assert_eq!(harness.sends.len(), 6);
 }
@@ -195,11 +195,11 @@
     let mut harness = new_harness();
     harness.call("q");
     let bundle = bundle_index(&harness);
-    harness.pass(160);
+    harness.advance(160);
     assert_eq!(harness.cancels.len(), 1, "the relay is abandoned");
-    harness.end(bundle, AttemptEnd::Broken);
+    harness.end(bundle, AttemptResult::Broken);
     for (millis, is_relayed) in [(1000, false), (1500, false), (1000, true)] {
-        harness.pass(millis);
+        harness.advance(millis);
         let before = harness.sends.len();
         harness.call("q");
         let mut sends = harness.sends[before..].iter();
--- a/crates/core/tests/forward/divided_shards.rs
+++ b/crates/core/tests/forward/divided_shards.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use wheelmast_core::process::forward::input::{AttemptEnd, RelayOrder, ServerAnswer};
+use wheelmast_core::process::forward::input::{AttemptResult, RelayOrder, ServerAnswer};
 
 use crate::harness::{answer, route, shards, table, Harness};
 
@@ -16,12 +16,12 @@
 /// Creates the harness of one of the domain's entries, with a route over [`SHARDS`] near
 /// shards.
 fn new_harness(number: u16) -> Harness {
-    let mut harness = Harness::at_home(number);
-    harness.obey(table(3, vec![route("q", shards(SHARDS))]));
+    let mut harness = Harness::in_local_domain(number);
+    harness.set_table(table(3, vec![route("q", shards(SHARDS))]));
     for shard in 0..SHARDS {
-        harness.serve(&format!("s{shard}"), 2);
+        harness.add_servers(&format!("s{shard}"), 2);
     }
-    harness.meet_at_home(ENTRIES);
+    harness.add_local_entries(ENTRIES);
     harness
 }
 
@@ -69,27 +69,27 @@
 
 #[test]
 fn a_divided_bundle_is_not_divided_again() {
-    for (divides, want) in [(false, false), (true, true)] {
+    for (may_divide, want) in [(false, false), (true, true)] {
         let mut harness = new_harness(0);
         let order = RelayOrder {
             version: 3,
             answer_by: harness.now + Duration::from_millis(60),
             attempts: 1,
-            earns: true,
-            divides,
+            credits_budget: true,
+            may_divide,
             workspace: None,
             shards: (0..SHARDS)
                 .map(|shard| format!("s{shard}").into())
                 .collect(),
         };
-        harness.call_as("q", None, Some(order));
+        harness.call_with("q", None, Some(order));
         let has_bundles = harness.sends.iter().any(|order| order.relay.is_some());
         assert_eq!(has_bundles, want);
         let mut bundles = harness
             .sends
             .iter()
             .filter_map(|order| order.relay.as_ref());
-        assert!(bundles.all(|relay| !relay.divides));
+        assert!(bundles.all(|relay| !relay.may_divide));
     }
 }
 
@@ -102,16 +102,16 @@
     let bundle = bundle.expect("a bundle");
     let before = harness.sends.len();
     let refused = harness.sends[bundle].relay.clone().expect("an order");
-    harness.end(bundle, AttemptEnd::Unsent);
+    harness.end(bundle, AttemptResult::Unsent);
     let direct = &harness.sends[before..];
     assert_eq!(direct.len(), refused.shards.len());
     // The budget here allows one retry per request. It is credited by the entry that
     // sends the shard to servers.
     let failed = before;
-    harness.end(failed, AttemptEnd::Broken);
+    harness.end(failed, AttemptResult::Broken);
     // The request may have crashed the server, so it is not retried yet.
     assert_eq!(harness.sends.len(), before + refused.shards.len());
-    harness.end_well(failed + 1, b"");
+    harness.answer_ok(failed + 1, b"");
     assert_eq!(harness.sends.len(), before + refused.shards.len() + 1);
 }
 
@@ -141,12 +141,12 @@
 
 #[test]
 fn a_few_shards_are_not_divided() {
-    let mut harness = Harness::at_home(0);
-    harness.obey(table(3, vec![route("q", shards(20))]));
+    let mut harness = Harness::in_local_domain(0);
+    harness.set_table(table(3, vec![route("q", shards(20))]));
     for shard in 0..20 {
-        harness.serve(&format!("s{shard}"), 2);
+        harness.add_servers(&format!("s{shard}"), 2);
     }
-    harness.meet_at_home(ENTRIES);
+    harness.add_local_entries(ENTRIES);
     harness.call("q");
     assert_eq!(harness.sends.len(), 20);
 }
@@ -157,16 +157,16 @@
 #[test]
 fn after_an_entry_joins_half_of_the_budget_may_be_spent_in_half_a_window() {
     for (joins, least, most) in [(false, 80, 80), (true, 40, 61)] {
-        let mut harness = Harness::at_home(0);
-        harness.obey(table(3, vec![route("q", shards(1))]));
-        harness.serve("s0", 3);
-        harness.meet_at_home(2);
+        let mut harness = Harness::in_local_domain(0);
+        harness.set_table(table(3, vec![route("q", shards(1))]));
+        harness.add_servers("s0", 3);
+        harness.add_local_entries(2);
         for _ in 0..CREDITED {
             harness.call("q");
-            harness.end_well(harness.sends.len() - 1, b"");
+            harness.answer_ok(harness.sends.len() - 1, b"");
         }
         if joins {
-            harness.meet_at_home(3);
+            harness.add_local_entries(3);
         }
         // Each request credits the budget with one retry and needs one.
         for _ in 0..2 * CREDITED {
@@ -176,9 +176,9 @@
                 not_run: true,
                 ..answer(503, "s", b"")
             };
-            harness.end(first, AttemptEnd::Answer(rejected));
+            harness.end(first, AttemptResult::Answer(rejected));
             if harness.sends.len() > first + 1 {
-                harness.end_well(first + 1, b"");
+                harness.answer_ok(first + 1, b"");
             }
         }
         let made = harness.machine.counters().retries;
--- a/crates/core/tests/forward/ends.rs
+++ b/crates/core/tests/forward/ends.rs
@@ -1,17 +1,19 @@
-//! How requests to one service end, and what is sent again.
+//! Outcomes of requests to a single service: retries, hedges, time-outs, refusals,
+//! and the servers that may get a request.
 
 use std::time::Duration;
 
 use wheelmast_core::process::forward::answer::{ForwardAnswer, ForwardFailure};
 use wheelmast_core::process::forward::directory::ServerNotice;
 use wheelmast_core::process::forward::extra::ExtraBound;
-use wheelmast_core::process::forward::input::{AttemptEnd, ForwardInput, ServerAnswer};
+use wheelmast_core::process::forward::input::{AttemptResult, ForwardInput, ServerAnswer};
 use wheelmast_core::version::route_table::RouteTarget;
 
-use crate::harness::{answer, notice, route, table, Harness, HOME};
+use crate::harness::{answer, notice, route, table, Harness, LOCAL_DOMAIN};
 
-fn not_run(status: u16) -> AttemptEnd {
-    AttemptEnd::Answer(ServerAnswer {
+/// Returns an answer by which the server states that it did not run the request.
+fn not_run(status: u16) -> AttemptResult {
+    AttemptResult::Answer(ServerAnswer {
         not_run: true,
         ..answer(status, "s", b"")
     })
@@ -20,34 +22,35 @@
 struct EndCase {
     name: &'static str,
     idempotent: bool,
-    end: AttemptEnd,
-    /// Sends in all after the end.
+    end: AttemptResult,
+    /// Number of attempts after the first has this result.
     sends: usize,
-    /// How the request ends if the second send ends the same way.
+    /// Failure of the request if a second attempt has the same result; `None` if
+    /// the request gets a server's answer.
     failure: Option<ForwardFailure>,
 }
 
 #[test]
-fn a_request_is_sent_again_only_where_that_is_safe() {
+fn a_request_is_retried_only_if_that_is_safe() {
     let cases = [
         EndCase {
-            name: "idempotent, broken",
+            name: "idempotent, connection broken",
             idempotent: true,
-            end: AttemptEnd::Broken,
+            end: AttemptResult::Broken,
             sends: 2,
             failure: Some(ForwardFailure::Failed),
         },
         EndCase {
-            name: "not idempotent, broken",
+            name: "not idempotent, connection broken",
             idempotent: false,
-            end: AttemptEnd::Broken,
+            end: AttemptResult::Broken,
             sends: 1,
             failure: Some(ForwardFailure::Failed),
         },
         EndCase {
-            name: "not idempotent, unsent",
+            name: "not idempotent, not sent",
             idempotent: false,
-            end: AttemptEnd::Unsent,
+            end: AttemptResult::Unsent,
             sends: 2,
             failure: Some(ForwardFailure::NoServer),
         },
@@ -56,26 +59,26 @@
             idempotent: false,
             end: not_run(503),
             sends: 2,
-            failure: Some(ForwardFailure::TurnedAway),
+            failure: Some(ForwardFailure::RejectedByServers),
         },
         EndCase {
             name: "not idempotent, the server failed",
             idempotent: false,
-            end: AttemptEnd::Answer(answer(500, "s", b"no")),
+            end: AttemptResult::Answer(answer(500, "s", b"no")),
             sends: 1,
             failure: None,
         },
         EndCase {
             name: "idempotent, the server failed",
             idempotent: true,
-            end: AttemptEnd::Answer(answer(500, "s", b"no")),
+            end: AttemptResult::Answer(answer(500, "s", b"no")),
             sends: 2,
             failure: None,
         },
         EndCase {
-            name: "a client's mistake is an answer",
+            name: "a client error is an answer",
             idempotent: true,
-            end: AttemptEnd::Answer(answer(404, "s", b"")),
+            end: AttemptResult::Answer(answer(404, "s", b"")),
             sends: 1,
             failure: None,
         },
@@ -84,8 +87,8 @@
         let mut harness = Harness::new();
         let mut rule = route("a", RouteTarget::Service("desk".into()));
         rule.idempotent = case.idempotent;
-        harness.obey(table(1, vec![rule]));
-        harness.serve("desk", 2);
+        harness.set_table(table(1, vec![rule]));
+        harness.add_servers("desk", 2);
         let call = harness.call("a");
         harness.end(0, case.end.clone());
         assert_eq!(harness.sends.len(), case.sends, "{}", case.name);
@@ -99,9 +102,9 @@
 }
 
 #[test]
-fn a_request_that_was_given_up_is_answered_at_once() {
+fn a_request_without_servers_is_refused_at_once() {
     let mut harness = Harness::new();
-    harness.obey(table(
+    harness.set_table(table(
         1,
         vec![route("a", RouteTarget::Service("desk".into()))],
     ));
@@ -111,38 +114,50 @@
         retry_after,
     }) = harness.answer_to(call)
     else {
-        panic!("it is refused");
+        panic!("the request was not refused");
     };
     assert_eq!(*failure, ForwardFailure::NoServer);
-    assert!(retry_after.is_some(), "it is told when to come back");
+    assert!(
+        retry_after.is_some(),
+        "the caller is told when to come back"
+    );
 }
 
 #[test]
-fn unknown_is_not_absent() {
+fn a_missing_table_and_a_missing_route_are_different_failures() {
     let mut harness = Harness::new();
-    let early = harness.call("a");
-    assert_eq!(harness.failure_of(early), Some(ForwardFailure::NoTable));
-    harness.obey(table(
+    let without_table = harness.call("a");
+    assert_eq!(
+        harness.failure_of(without_table),
+        Some(ForwardFailure::NoTable)
+    );
+    harness.set_table(table(
         1,
         vec![route("a", RouteTarget::Service("desk".into()))],
     ));
-    let other = harness.call("b");
-    assert_eq!(harness.failure_of(other), Some(ForwardFailure::NoRoute));
+    let without_route = harness.call("b");
+    assert_eq!(
+        harness.failure_of(without_route),
+        Some(ForwardFailure::NoRoute)
+    );
 }
 
 #[test]
-fn the_time_limit_is_kept_and_told_truly() {
+fn a_request_times_out_at_its_limit_and_its_attempt_is_cancelled() {
     let mut harness = Harness::new();
-    harness.obey(table(
+    harness.set_table(table(
         1,
         vec![route("a", RouteTarget::Service("desk".into()))],
     ));
-    harness.serve("desk", 1);
-    let ran = harness.call("a");
-    harness.pass(1000);
-    assert_eq!(harness.failure_of(ran), Some(ForwardFailure::Late));
-    harness.pass(500);
-    assert_eq!(harness.cancels.len(), 1, "nobody waits for it any more");
+    harness.add_servers("desk", 1);
+    let unanswered = harness.call("a");
+    harness.advance(1000);
+    assert_eq!(
+        harness.failure_of(unanswered),
+        Some(ForwardFailure::TimedOut)
+    );
+    harness.advance(500);
+    assert_eq!(harness.cancels.len(), 1, "the orphan attempt is cancelled");
 }
 
 #[test]
@@ -153,113 +168,123 @@
             slack,
             window: Duration::from_secs(10),
         });
-        harness.obey(table(
+        harness.set_table(table(
             1,
             vec![route("a", RouteTarget::Service("desk".into()))],
         ));
-        harness.serve("desk", 2);
+        harness.add_servers("desk", 2);
         harness.call("a");
-        harness.pass(90);
+        harness.advance(90);
         assert_eq!(harness.sends.len(), sends, "slack {slack}");
     }
 }
 
 #[test]
-fn what_is_not_idempotent_is_never_hedged() {
+fn a_request_that_is_not_idempotent_is_never_hedged() {
     let mut harness = Harness::new();
     let mut rule = route("a", RouteTarget::Service("desk".into()));
     rule.idempotent = false;
-    harness.obey(table(1, vec![rule]));
-    harness.serve("desk", 2);
+    harness.set_table(table(1, vec![rule]));
+    harness.add_servers("desk", 2);
     harness.call("a");
-    harness.pass(900);
+    harness.advance(900);
     assert_eq!(harness.sends.len(), 1);
 }
 
 #[test]
-fn a_leaving_server_gets_no_new_work_and_old_news_undo_nothing() {
+fn a_server_that_left_gets_no_requests_even_after_an_outdated_announcement() {
     let mut harness = Harness::new();
-    harness.obey(table(
+    harness.set_table(table(
         1,
         vec![route("a", RouteTarget::Service("desk".into()))],
     ));
-    harness.serve("desk", 1);
-    harness.step(ForwardInput::Notice(ServerNotice::gone("desk-0", 0)));
-    let late = ServerNotice {
+    harness.add_servers("desk", 1);
+    harness.step(ForwardInput::Announcement(ServerNotice::gone("desk-0", 0)));
+    let outdated = ServerNotice {
         sequence: 50,
-        ..notice("desk-0", "desk", HOME, 1000)
+        ..notice("desk-0", "desk", LOCAL_DOMAIN, 1000)
     };
-    harness.step(ForwardInput::Notice(late));
+    harness.step(ForwardInput::Announcement(outdated));
     let call = harness.call("a");
     assert_eq!(harness.failure_of(call), Some(ForwardFailure::NoServer));
 }
 
 #[test]
-fn an_address_that_changed_hands_is_not_used_for_the_former_service() {
+fn an_address_taken_over_by_another_service_is_not_used_for_the_former_one() {
     let mut harness = Harness::new();
-    harness.obey(table(
+    harness.set_table(table(
         1,
         vec![route("a", RouteTarget::Service("desk".into()))],
     ));
-    harness.step(ForwardInput::Notice(notice("old", "desk", HOME, 1000)));
-    harness.step(ForwardInput::Notice(notice("new", "other", HOME, 1000)));
+    harness.step(ForwardInput::Announcement(notice(
+        "old",
+        "desk",
+        LOCAL_DOMAIN,
+        1000,
+    )));
+    harness.step(ForwardInput::Announcement(notice(
+        "new",
+        "other",
+        LOCAL_DOMAIN,
+        1000,
+    )));
     let call = harness.call("a");
     assert_eq!(harness.failure_of(call), Some(ForwardFailure::NoServer));
 }
 
 #[test]
-fn a_server_that_is_another_one_is_not_asked_again() {
+fn a_server_that_answers_misdirected_gets_no_further_requests() {
     let mut harness = Harness::new();
-    harness.obey(table(
+    harness.set_table(table(
         1,
         vec![route("a", RouteTarget::Service("desk".into()))],
     ));
-    harness.serve("desk", 1);
+    harness.add_servers("desk", 1);
     harness.call("a");
-    harness.end(0, AttemptEnd::Answer(answer(421, "s", b"")));
+    harness.end(0, AttemptResult::Answer(answer(421, "s", b"")));
     let call = harness.call("a");
     assert_eq!(harness.failure_of(call), Some(ForwardFailure::NoServer));
 }
 
 #[test]
-fn a_request_ends_with_the_table_it_began_with() {
+fn a_request_keeps_the_table_it_was_admitted_with() {
     let mut harness = Harness::new();
-    harness.obey(table(
+    harness.set_table(table(
         1,
         vec![route("a", RouteTarget::Service("desk".into()))],
     ));
-    harness.serve("desk", 2);
-    harness.serve("shelf", 1);
+    harness.add_servers("desk", 2);
+    harness.add_servers("shelf", 1);
     let call = harness.call("a");
-    harness.obey(table(
+    harness.set_table(table(
         2,
         vec![route("a", RouteTarget::Service("shelf".into()))],
     ));
-    harness.obey(table(
+    harness.set_table(table(
         1,
         vec![route("a", RouteTarget::Service("desk".into()))],
     ));
-    harness.end(0, AttemptEnd::Broken);
+    harness.end(0, AttemptResult::Broken);
     assert!(harness.sends[1].instance.starts_with("desk"));
-    harness.end_well(1, b"");
+    harness.answer_ok(1, b"");
     assert!(harness.failure_of(call).is_none());
     harness.call("a");
     assert!(harness.sends[2].instance.starts_with("shelf"));
 }
 
 #[test]
-fn connections_to_a_server_are_divided_over_the_entries() {
+fn the_connections_to_a_server_are_divided_among_the_entries() {
     let mut harness = Harness::new();
-    harness.obey(table(
+    harness.set_table(table(
         1,
         vec![route("a", RouteTarget::Service("desk".into()))],
     ));
-    harness.serve("desk", 1);
-    harness.step(ForwardInput::Entries(40));
+    harness.add_servers("desk", 1);
+    harness.step(ForwardInput::EntryCount(40));
     for _ in 0..5 {
         harness.call("a");
     }
     assert_eq!(harness.sends.len(), 2, "100 connections, 40 entries");
-    harness.end_well(0, b"");
-    assert_eq!(harness.sends.len(), 3, "a request that waited goes next");
+    harness.answer_ok(0, b"");
+    assert_eq!(harness.sends.len(), 3, "a queued request goes next");
 }
--- a/crates/core/tests/forward/parts.rs
+++ b/crates/core/tests/forward/parts.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use proptest::prelude::*;
 use wheelmast_core::process::forward::answer::{ForwardAnswer, ForwardFailure};
-use wheelmast_core::process::forward::input::AttemptEnd;
+use wheelmast_core::process::forward::input::AttemptResult;
 use wheelmast_core::request::records::{RecordMerge, RECORD_BYTES};
 
 use crate::harness::{route, shards, table, Harness};
@@ -65,16 +65,16 @@
         let mut harness = Harness::new();
         let mut rule = route("q", shards(4));
         rule.least_coverage = case.min_coverage;
-        harness.obey(table(1, vec![rule]));
+        harness.set_table(table(1, vec![rule]));
         for shard in 0..4 {
-            harness.serve(&format!("s{shard}"), 1);
+            harness.add_servers(&format!("s{shard}"), 1);
         }
         let call = harness.call("q");
         assert_eq!(harness.sends.len(), 4);
         for send in 0..case.answered {
-            harness.end_well(send, b"");
+            harness.answer_ok(send, b"");
         }
-        harness.pass(case.pass_ms);
+        harness.advance(case.pass_ms);
         let missing = harness.gathered(call).map(|(_, missing)| missing);
         assert_eq!(missing, case.missing, "{}", case.name);
     }
@@ -83,15 +83,15 @@
 #[test]
 fn a_callers_retry_has_less_time_to_the_soft_deadline() {
     let mut harness = Harness::new();
-    harness.obey(table(1, vec![route("q", shards(2))]));
-    harness.serve("s0", 1);
-    harness.serve("s1", 1);
+    harness.set_table(table(1, vec![route("q", shards(2))]));
+    harness.add_servers("s0", 1);
+    harness.add_servers("s1", 1);
     let full_time = Some(Duration::from_millis(1000));
-    harness.call_as("q", full_time, None);
+    harness.call_with("q", full_time, None);
     let time_left = Some(Duration::from_millis(950));
-    let retry = harness.call_as("q", time_left, None);
-    harness.end_well(2, b"");
-    harness.pass(45);
+    let retry = harness.call_with("q", time_left, None);
+    harness.answer_ok(2, b"");
+    harness.advance(45);
     assert!(
         harness.gathered(retry).is_some(),
         "50 ms of the objective were already spent"
@@ -104,11 +104,11 @@
         let mut harness = Harness::new();
         let mut rule = route("q", shards(2));
         rule.least_coverage = min_coverage;
-        harness.obey(table(1, vec![rule]));
-        harness.serve("s0", 1);
+        harness.set_table(table(1, vec![rule]));
+        harness.add_servers("s0", 1);
         let call = harness.call("q");
         if is_answered {
-            harness.end_well(0, b"");
+            harness.answer_ok(0, b"");
             assert_eq!(harness.gathered(call), Some((vec!["s0-0"], 1)));
         } else {
             assert!(
@@ -124,31 +124,31 @@
     let mut harness = Harness::new();
     let mut rule = route("q", shards(1));
     rule.least_coverage = 1.0;
-    harness.obey(table(1, vec![rule]));
-    harness.serve("s0", 2);
+    harness.set_table(table(1, vec![rule]));
+    harness.add_servers("s0", 2);
     let call = harness.call("q");
     let failed = crate::harness::answer(500, "bad", b"");
-    harness.end(0, AttemptEnd::Answer(failed.clone()));
-    harness.end(1, AttemptEnd::Answer(failed));
+    harness.end(0, AttemptResult::Answer(failed.clone()));
+    harness.end(1, AttemptResult::Answer(failed));
     assert_eq!(harness.failure_of(call), Some(ForwardFailure::Failed));
 }
 
 #[test]
 fn only_one_answer_of_each_shard_is_used() {
     let mut harness = Harness::new();
-    harness.obey(table(1, vec![route("q", shards(2))]));
-    harness.serve("s0", 2);
-    harness.serve("s1", 1);
+    harness.set_table(table(1, vec![route("q", shards(2))]));
+    harness.add_servers("s0", 2);
+    harness.add_servers("s1", 1);
     let call = harness.call("q");
-    harness.pass(60);
+    harness.advance(60);
     assert_eq!(
         harness.sends.len(),
         3,
         "the shard with two servers is hedged"
     );
-    harness.end_well(2, b"");
-    harness.end_well(0, b"");
-    harness.end_well(1, b"");
+    harness.answer_ok(2, b"");
+    harness.answer_ok(0, b"");
+    harness.answer_ok(1, b"");
     let (stamps, missing) = harness.gathered(call).expect("an answer");
     assert_eq!((stamps.len(), missing), (2, 0));
 }
@@ -156,12 +156,12 @@
 #[test]
 fn the_merged_body_has_the_greatest_records_of_all_shards() {
     let mut harness = Harness::new();
-    harness.obey(table(1, vec![route("q", shards(2))]));
-    harness.serve("s0", 1);
-    harness.serve("s1", 1);
+    harness.set_table(table(1, vec![route("q", shards(2))]));
+    harness.add_servers("s0", 1);
+    harness.add_servers("s1", 1);
     let call = harness.call("q");
-    harness.end_well(0, b"aaaaaaaaaaaaaaaaccccccccccccccccbb");
-    harness.end_well(1, b"ddddddddddddddddbbbbbbbbbbbbbbbb");
+    harness.answer_ok(0, b"aaaaaaaaaaaaaaaaccccccccccccccccbb");
+    harness.answer_ok(1, b"ddddddddddddddddbbbbbbbbbbbbbbbb");
     let Some(ForwardAnswer::Gathered { body, .. }) = harness.answer_to(call) else {
         panic!("an answer");
     };
--- a/crates/core/tests/forward/proximity.rs
+++ b/crates/core/tests/forward/proximity.rs
@@ -4,7 +4,7 @@
 use wheelmast_core::process::forward::machine::ForwardOptions;
 use wheelmast_core::process::forward::place::{DomainProximity, RegionMap};
 
-use crate::harness::{route, shards, table, Harness, HOME};
+use crate::harness::{route, shards, table, Harness, LOCAL_DOMAIN};
 
 /// Another failure domain of the local region.
 const BESIDE: &str = "beside";
@@ -13,7 +13,7 @@
 
 /// Maps the three failure domains to two regions.
 fn regions() -> RegionMap {
-    let pairs = [(HOME, "west"), (BESIDE, "west"), (FAR, "east")];
+    let pairs = [(LOCAL_DOMAIN, "west"), (BESIDE, "west"), (FAR, "east")];
     RegionMap::new(pairs.map(|(domain, region)| (domain.into(), region.into())))
 }
 
@@ -21,14 +21,14 @@
 /// `domains`.
 fn new_harness(count: usize, domains: &[&str]) -> Harness {
     let mut harness = Harness::with_options(ForwardOptions {
-        domain: HOME.into(),
+        domain: LOCAL_DOMAIN.into(),
         regions: regions(),
         ..ForwardOptions::default()
     });
-    harness.obey(table(3, vec![route("q", shards(count))]));
+    harness.set_table(table(3, vec![route("q", shards(count))]));
     for shard in 0..count {
         for domain in domains {
-            harness.serve_in(&format!("s{shard}"), domain);
+            harness.add_server_in(&format!("s{shard}"), domain);
         }
     }
     harness
@@ -37,10 +37,10 @@
 #[test]
 fn proximity_of_known_and_unknown_domains() {
     let cases = [
-        (HOME, HOME, DomainProximity::Domain),
-        (HOME, BESIDE, DomainProximity::Region),
-        (HOME, FAR, DomainProximity::Elsewhere),
-        (HOME, "unknown", DomainProximity::Elsewhere),
+        (LOCAL_DOMAIN, LOCAL_DOMAIN, DomainProximity::Domain),
+        (LOCAL_DOMAIN, BESIDE, DomainProximity::Region),
+        (LOCAL_DOMAIN, FAR, DomainProximity::Elsewhere),
+        (LOCAL_DOMAIN, "unknown", DomainProximity::Elsewhere),
         ("unknown", "unheard", DomainProximity::Elsewhere),
         ("unknown", "unknown", DomainProximity::Domain),
     ];
@@ -66,8 +66,8 @@
     let cases = [
         ProximityCase {
             name: "servers in all three domains",
-            domains: &[FAR, BESIDE, HOME],
-            chosen: HOME,
+            domains: &[FAR, BESIDE, LOCAL_DOMAIN],
+            chosen: LOCAL_DOMAIN,
         },
         ProximityCase {
             name: "no server in the local domain",
@@ -86,7 +86,7 @@
             let first = harness.sends.len();
             harness.call("q");
             for send in first..harness.sends.len() {
-                harness.end_well(send, b"");
+                harness.answer_ok(send, b"");
             }
         }
         for order in &harness.sends {
@@ -98,7 +98,7 @@
 #[test]
 fn a_bundle_goes_to_the_local_region_also_without_a_measured_round_trip() {
     let mut harness = new_harness(6, &[FAR, BESIDE]);
-    harness.meet(&[FAR, BESIDE]);
+    harness.add_entries(&[FAR, BESIDE]);
     for _ in 0..4 {
         harness.call("q");
     }
--- a/crates/core/tests/forward/splits.rs
+++ b/crates/core/tests/forward/splits.rs
@@ -5,7 +5,7 @@
 use wheelmast_core::process::forward::machine::ForwardOptions;
 use wheelmast_core::version::route_table::{RouteTarget, WeightedService};
 
-use crate::harness::{route, table, Harness, HOME};
+use crate::harness::{route, table, Harness, LOCAL_DOMAIN};
 
 /// Maximum difference between a service's share of the requests and its weight's share.
 const MAX_DEVIATION: f64 = 0.1;
@@ -59,18 +59,18 @@
         weight: *weight,
     });
     let target = RouteTarget::Split(services.collect());
-    entry.obey(table(version, vec![route("orders", target)]));
+    entry.set_table(table(version, vec![route("orders", target)]));
 }
 
 /// Runs one entry and returns the number of requests that it sent to each service.
 fn run_entry(case: &SplitCase, seed: u64) -> HashMap<String, usize> {
     let mut entry = Harness::with_options(ForwardOptions {
-        domain: HOME.into(),
+        domain: LOCAL_DOMAIN.into(),
         seed,
         ..ForwardOptions::default()
     });
     for index in 0..case.weights.len() {
-        entry.serve(&format!("part{index}"), 1);
+        entry.add_servers(&format!("part{index}"), 1);
     }
     let earlier = if case.earlier_weights.is_empty() {
         0
@@ -85,7 +85,7 @@
             set_weights(&mut entry, 2, case.weights);
         }
         entry.call("orders");
-        entry.end_well(number, b"");
+        entry.answer_ok(number, b"");
     }
     let mut counts = HashMap::new();
     for send in &entry.sends[earlier..] {
