--- a/crates/cli/src/measure/fleet.rs
+++ b/crates/cli/src/measure/fleet.rs
@@ -8,11 +8,11 @@
 use wheelmast_core::process::control::log::LogPlace;
 use wheelmast_core::process::control::message::ReplicaMessage;
 use wheelmast_core::process::control::state::MemberRecord;
-use wheelmast_core::process::forward::directory::{ServerNotice, ServerStanding};
+use wheelmast_core::process::forward::directory::{ServerAnnouncement, ServerLifecycle};
 use wheelmast_core::process::forward::input::EntryPeer;
 use wheelmast_core::process::forward::place::{PlaceStep, RegionMap};
-use wheelmast_core::process::forward::roll::view_of;
-use wheelmast_core::process::forward::source::{choose_lines, LineCandidate};
+use wheelmast_core::process::forward::roll::select_known_peers;
+use wheelmast_core::process::forward::source::{choose_control_connections, ControlCandidate};
 use wheelmast_wire::group::GroupMessage;
 use wheelmast_wire::peer::encode;
 
@@ -85,13 +85,13 @@
             .collect();
         let entries: Vec<EntryPeer> = (0..size.entries).map(entry).collect();
         let lines = entries.iter().map(|entry| {
-            let candidates = control.iter().map(|(address, domain)| LineCandidate {
+            let candidates = control.iter().map(|(address, domain)| ControlCandidate {
                 address: *address,
                 place: Some((*domain, regions.step(&entry.domain, domain))),
-                doubted: None,
+                last_failed_at: None,
             });
             let candidates: Vec<_> = candidates.collect();
-            let chosen = choose_lines(&entry.id(), &candidates);
+            let chosen = choose_control_connections(&entry.id(), &candidates);
             let place = |chosen| control.iter().position(|(address, _)| *address == chosen);
             chosen.into_iter().filter_map(place).collect()
         });
@@ -160,12 +160,12 @@
     /// Fails if a message can't be encoded.
     pub fn server_leaves(&self) -> anyhow::Result<EventCounts> {
         let mut counts = EventCounts::new();
-        let notice = ServerNotice {
-            standing: ServerStanding::Draining,
+        let notice = ServerAnnouncement {
+            standing: ServerLifecycle::Draining,
             ..server(1)
         };
-        let urgent = GroupMessage::Notices(vec![notice.urgent()]);
-        self.to_entries(&mut counts, &urgent, 1.0)?;
+        let lifecycle_only = GroupMessage::Notices(vec![notice.lifecycle_only()]);
+        self.to_entries(&mut counts, &lifecycle_only, 1.0)?;
         let keep = GroupMessage::Keep {
             tag: 400,
             notice: Box::new(notice),
@@ -185,7 +185,7 @@
         let notice = server(1);
         let renewal = GroupMessage::Renewals {
             whole: false,
-            servers: vec![(notice.id.clone(), notice.mark())],
+            servers: vec![(notice.id.clone(), notice.position())],
         };
         let notices = GroupMessage::Notices(vec![notice]);
         for (entry, lines) in self.entries.iter().zip(&self.lines) {
@@ -212,7 +212,7 @@
             left: Vec::new(),
         };
         let notices = (0..self.size.servers).map(server).collect();
-        let view = view_of(joined, &self.entries);
+        let view = select_known_peers(joined, &self.entries);
         let whole = [
             members(view.into_iter().cloned().collect()),
             GroupMessage::Notices(notices),
@@ -223,7 +223,7 @@
         // The others of its failure domain are told of it; of other domains some.
         let news = members(vec![joined.clone()]);
         for (entry, lines) in self.entries.iter().zip(&self.lines).skip(1) {
-            let hears = view_of(entry, &self.entries).contains(&joined);
+            let hears = select_known_peers(entry, &self.entries).contains(&joined);
             if hears || entry.domain == joined.domain {
                 self.count(&mut counts, &news, &entry.domain, lines.first(), 1.0)?;
             }
@@ -314,15 +314,15 @@
     }
 }
 
-fn server(place: usize) -> ServerNotice {
-    ServerNotice {
+fn server(place: usize) -> ServerAnnouncement {
+    ServerAnnouncement {
         id: format!("i-{place:010x}").into(),
         service: format!("service{}", place / 21).into(),
         address: Some(address(place)),
         domain: domain_of(place).into(),
         version: "v1".into(),
         slots: 3,
-        standing: ServerStanding::Ready,
+        standing: ServerLifecycle::Ready,
         born: 1_780_000_000_000,
         sequence: 40,
         cold_ms: 0,
--- a/crates/core/src/process/forward/access.rs
+++ b/crates/core/src/process/forward/access.rs
@@ -17,7 +17,7 @@
 ///
 /// Fails if the request may not run. One that another entry passed on comes
 /// without a key; if its workspace is not known here, the tables differ.
-pub(super) fn asking_workspace(
+pub(super) fn find_workspace(
     table: &RouteTable,
     route: &RouteRule,
     call: &ForwardCall,
@@ -48,10 +48,10 @@
 impl ForwardMachine {
     /// Returns the workspace of a caller's request, if it has a cap. What another
     /// entry passed on has its token.
-    pub fn capped_workspace(&self, call: &ForwardCall) -> Option<Arc<str>> {
+    pub fn find_capped_workspace(&self, call: &ForwardCall) -> Option<Arc<str>> {
         let table = self.table.as_ref().filter(|_| call.relayed.is_none())?;
         let route = &table.routes()[table.find(&call.host, &call.path)?];
-        let workspace = asking_workspace(table, route, call).ok()??;
+        let workspace = find_workspace(table, route, call).ok()??;
         let rule = table.workspaces()?.rule(workspace);
         rule.cap.is_some().then(|| rule.name.as_str().into())
     }
@@ -59,7 +59,7 @@
     /// Ends the requests at work whose key a new table gives to nobody, or to
     /// another workspace. What may not be repeated and was sent is finished: its
     /// caller would not learn whether it ran.
-    pub(super) fn end_keyless(
+    pub(super) fn end_unauthorized(
         &mut self,
         table: &RouteTable,
         now: Duration,
@@ -67,7 +67,7 @@
     ) {
         for call in self.calls.keys() {
             let state = self.calls.get_mut(call);
-            let Some(state) = state.filter(|state| !still_allows(table, state)) else {
+            let Some(state) = state.filter(|state| !is_still_authorized(table, state)) else {
                 continue;
             };
             let has_run = state.may_have_run();
@@ -86,7 +86,7 @@
 }
 
 /// Tells whether the workspace of a request still holds its key.
-fn still_allows(table: &RouteTable, state: &CallState) -> bool {
+fn is_still_authorized(table: &RouteTable, state: &CallState) -> bool {
     let Some(name) = state.workspace.as_ref().filter(|_| !state.rule().public) else {
         return true;
     };
--- a/crates/core/src/process/forward/admit.rs
+++ b/crates/core/src/process/forward/admit.rs
@@ -17,7 +17,7 @@
 use crate::process::forward::answer::{ForwardAction, ForwardDecision};
 use crate::process::forward::call::{CallState, PartStatus};
 use crate::process::forward::choose::ExpectedTimes;
-use crate::process::forward::directory::ServerStanding;
+use crate::process::forward::directory::ServerLifecycle;
 use crate::process::forward::home::HomeSet;
 use crate::process::forward::machine::ForwardMachine;
 
@@ -168,9 +168,9 @@
     fn is_able(&self, server: ServerKey, homes: HomeSet, now: Duration) -> bool {
         let state = &self.servers[server];
         homes.allows(state)
-            && state.standing == ServerStanding::Ready
-            && !state.silent
-            && now >= state.rest_until
+            && state.standing == ServerLifecycle::Ready
+            && !state.expired
+            && now >= state.backoff_until
     }
 
     /// Leaves parts of a request out before anything is sent.
--- a/crates/core/src/process/forward/notices.rs
+++ b/crates/core/src/process/forward/announcements.rs
@@ -6,7 +6,7 @@
 
 use crate::arena::ServerKey;
 use crate::process::forward::answer::ForwardAction;
-use crate::process::forward::directory::{NoticeEffect, ServerNotice, ServerStanding};
+use crate::process::forward::directory::{AnnouncementEffect, ServerAnnouncement, ServerLifecycle};
 use crate::process::forward::machine::ForwardMachine;
 use crate::process::forward::pace::ServerPace;
 use crate::process::forward::place::PlaceStep;
@@ -16,13 +16,16 @@
     /// Takes what a server says of itself, or what is said of it.
     pub(super) fn notice(
         &mut self,
-        notice: ServerNotice,
+        notice: ServerAnnouncement,
         now: Duration,
         out: &mut Vec<ForwardAction>,
     ) {
         let id = notice.id.clone();
         let effect = self.directory.apply(notice, now);
-        if matches!(effect, NoticeEffect::Stale | NoticeEffect::Foreign) {
+        if matches!(
+            effect,
+            AnnouncementEffect::Stale | AnnouncementEffect::Conflicting
+        ) {
             return;
         }
         let Some(record) = self.directory.get(&id) else {
@@ -33,16 +36,16 @@
             let state = &mut self.servers[server];
             if known.born <= state.born {
                 state.warm_at = now + Duration::from_millis(known.cold_ms);
-                return self.set_standing(server, known.standing, out);
+                return self.advance_lifecycle(server, known.standing, out);
             }
             // It started again under its id, and knows nothing of before.
             self.server_ids.remove(&id);
-            self.set_standing(server, ServerStanding::Gone, out);
+            self.advance_lifecycle(server, ServerLifecycle::Gone, out);
         }
         let Some(address) = known.address else {
             return;
         };
-        if known.standing != ServerStanding::Ready {
+        if known.standing != ServerLifecycle::Ready {
             return;
         }
         self.add_server(known, address, now, out);
@@ -50,7 +53,7 @@
 
     fn add_server(
         &mut self,
-        notice: ServerNotice,
+        notice: ServerAnnouncement,
         address: SocketAddr,
         now: Duration,
         out: &mut Vec<ForwardAction>,
@@ -60,22 +63,22 @@
         // started hears of them in any order. The one that is not there says so
         // when it is asked.
         let former = self.servers.iter_mut().find(|(_, server)| {
-            server.address == address && server.standing != ServerStanding::Gone
+            server.address == address && server.standing != ServerLifecycle::Gone
         });
         let former = former.map(|(former, state)| {
-            state.silent = true;
+            state.expired = true;
             (former, state.upstream)
         });
         let upstream = self.upstream(&notice.service);
         match former {
             Some((former, same)) if same == upstream => out.push(ForwardAction::Close(former)),
-            Some((former, _)) => self.set_standing(former, ServerStanding::Gone, out),
+            Some((former, _)) => self.advance_lifecycle(former, ServerLifecycle::Gone, out),
             None => {}
         }
         let mut state = ServerState::new(notice.id.clone().into(), upstream, address);
         state.place = self.place_of(&notice.domain);
         state.region = self.options.regions.region_of(&notice.domain);
-        state.evacuated = self.evacuated.contains(&notice.domain);
+        state.is_evacuated = self.evacuated.contains(&notice.domain);
         state.domain = notice.domain;
         state.version = notice.version;
         state.slots = notice.slots;
@@ -84,19 +87,19 @@
         state.warm_at = now + Duration::from_millis(notice.cold_ms);
         let server = self.servers.push(state);
         self.server_ids.insert(notice.id, server);
-        self.bar_version(server);
+        self.update_rolled_back(server);
         self.upstreams[upstream].servers.push(server);
         self.serve_waiting(upstream, now, out);
     }
 
     /// Takes the word of whoever is at a server's address that it is another
     /// one.
-    pub(super) fn set_replaced(&mut self, server: ServerKey, out: &mut Vec<ForwardAction>) {
+    pub(super) fn mark_replaced(&mut self, server: ServerKey, out: &mut Vec<ForwardAction>) {
         let address = self.servers[server].address;
-        self.set_standing(server, ServerStanding::Gone, out);
+        self.advance_lifecycle(server, ServerLifecycle::Gone, out);
         for (_, other) in self.servers.iter_mut() {
-            if other.address == address && other.standing != ServerStanding::Gone {
-                other.silent = false;
+            if other.address == address && other.standing != ServerLifecycle::Gone {
+                other.expired = false;
             }
         }
     }
@@ -107,10 +110,10 @@
     }
 
     /// Takes over that a server leaves; it never comes back in its lifetime.
-    pub(super) fn set_standing(
+    pub(super) fn advance_lifecycle(
         &mut self,
         server: ServerKey,
-        standing: ServerStanding,
+        standing: ServerLifecycle,
         out: &mut Vec<ForwardAction>,
     ) {
         let state = &mut self.servers[server];
@@ -125,13 +128,13 @@
     }
 
     /// Takes over whether the control group hears a server.
-    pub(super) fn set_silent(&mut self, id: &str, silent: bool, now: Duration) {
+    pub(super) fn set_expired(&mut self, id: &str, expired: bool, now: Duration) {
         if let Some(server) = self.server_ids.get(id) {
             let state = &mut self.servers[*server];
-            if state.silent && !silent {
-                state.doubt_warmth(now);
+            if state.expired && !expired {
+                state.assume_cold(now);
             }
-            state.silent = silent;
+            state.expired = expired;
         }
     }
 
@@ -149,15 +152,15 @@
             if self.upstreams[server.upstream].is_entry {
                 continue;
             }
-            let evacuated = domains.contains(&server.domain);
-            if server.evacuated && !evacuated {
-                server.doubt_warmth(now);
+            let is_evacuated = domains.contains(&server.domain);
+            if server.is_evacuated && !is_evacuated {
+                server.assume_cold(now);
                 if !returned.contains(&server.upstream) {
                     returned.push(server.upstream);
                 }
             }
-            server.evacuated = evacuated;
-            if evacuated {
+            server.is_evacuated = is_evacuated;
+            if is_evacuated {
                 out.push(ForwardAction::Close(key));
             }
         }
@@ -168,7 +171,7 @@
     }
 
     /// Returns the failure domains that are out of use.
-    pub fn evacuated(&self) -> &[Box<str>] {
+    pub fn evacuated_domains(&self) -> &[Box<str>] {
         &self.evacuated
     }
 }
--- a/crates/core/src/process/forward/around.rs
+++ b/crates/core/src/process/forward/around.rs
@@ -274,7 +274,7 @@
         late.call = None;
         late.cancelled = true;
         let (server, sent_at, parts) = (late.server, late.sent_at, late.parts.clone());
-        self.servers[server].rest_at_least(SILENT_REST, now);
+        self.servers[server].back_off_at_least(SILENT_REST, now);
         let Some(state) = self.calls.get_mut(call) else {
             return;
         };
@@ -294,7 +294,7 @@
     /// else since it was asked.
     pub(super) fn rest_if_silent(&mut self, server: ServerKey, sent_at: Duration, now: Duration) {
         if self.servers[server].answered_at < sent_at {
-            self.servers[server].rest_at_least(SILENT_REST, now);
+            self.servers[server].back_off_at_least(SILENT_REST, now);
         }
     }
 
--- a/crates/core/src/process/forward/begin.rs
+++ b/crates/core/src/process/forward/begin.rs
@@ -33,7 +33,7 @@
         if self.calls.len() >= self.options.in_flight {
             return self.turn_away(call.tag, ForwardFailure::Overload, out);
         }
-        let workspace = match access::asking_workspace(&table, &table.routes()[route], &call) {
+        let workspace = match access::find_workspace(&table, &table.routes()[route], &call) {
             Ok(workspace) => workspace,
             Err(failure) => return self.turn_away(call.tag, failure, out),
         };
--- a/crates/core/src/process/forward/bundle.rs
+++ b/crates/core/src/process/forward/bundle.rs
@@ -16,7 +16,7 @@
 use crate::arena::{ServerKey, SlotKey, UpstreamKey};
 use crate::process::forward::answer::ForwardAction;
 use crate::process::forward::choose::ServerChoice;
-use crate::process::forward::directory::ServerStanding;
+use crate::process::forward::directory::ServerLifecycle;
 use crate::process::forward::home::HomeSet;
 use crate::process::forward::machine::ForwardMachine;
 use crate::process::forward::place::PlaceStep;
@@ -140,9 +140,9 @@
             if parts.len() < LEAST_BUNDLE {
                 continue;
             }
-            let way = (choice.expected.as_secs_f64() / step.max(1e-6)) as u64;
+            let round_trip = (choice.expected.as_secs_f64() / step.max(1e-6)) as u64;
             let place = self.place_of(domain);
-            let rank = (place, way, usize::MAX - parts.len(), choice.expected);
+            let rank = (place, round_trip, usize::MAX - parts.len(), choice.expected);
             if best.as_ref().is_none_or(|(least, _)| rank < *least) {
                 let plan = BundlePlan {
                     choice,
@@ -172,12 +172,12 @@
         let servers = &self.upstreams[entries].servers;
         let able = servers.iter().filter(|server| {
             let state = &self.servers[**server];
-            state.standing == ServerStanding::Ready
-                && now >= state.rest_until
+            state.standing == ServerLifecycle::Ready
+                && now >= state.backoff_until
                 && !without.contains(server)
                 && homes.allows(state)
                 && state.outstanding.len() < RELAY_CONNECTIONS
-                && !state.is_still(typical, now)
+                && !state.is_stalled(typical, now)
         });
         let best = able.max_by_key(|server| rank(&self.servers[**server].id))?;
         let state = &self.servers[*best];
@@ -186,7 +186,7 @@
         }
         Some(ServerChoice {
             server: homes.permit(*best, state)?,
-            expected: state.way(),
+            expected: state.round_trip(),
             candidates: servers.len(),
         })
     }
@@ -202,7 +202,7 @@
         let mut servers = self.upstreams[upstream].servers.iter();
         servers.any(|server| {
             let state = &self.servers[*server];
-            *state.domain == *domain && !state.silent && homes.allows(state)
+            *state.domain == *domain && !state.expired && homes.allows(state)
         })
     }
 }
--- a/crates/core/src/process/forward/choose.rs
+++ b/crates/core/src/process/forward/choose.rs
@@ -7,12 +7,12 @@
 use crate::arena::{ServerKey, UpstreamKey};
 use crate::process::forward::bundle::RELAY_CONNECTIONS;
 use crate::process::forward::cold::{ColdShare, ColdView, FittingShare};
-use crate::process::forward::directory::ServerStanding;
+use crate::process::forward::directory::ServerLifecycle;
 use crate::process::forward::home::{HomeSet, PermittedServer};
 use crate::process::forward::machine::ForwardMachine;
 use crate::process::forward::place::PlaceStep;
 use crate::process::forward::server::ServerState;
-use crate::process::forward::version::VersionWish;
+use crate::process::forward::version::VersionPreference;
 
 /// Largest part by which chance changes an expected time, so that entries that
 /// know the same do not all choose the same.
@@ -90,10 +90,10 @@
         times: ExpectedTimes,
         now: Duration,
     ) -> Result<ServerChoice, NoChoice> {
-        match self.wish_version(upstream, !tried.is_empty(), now) {
-            VersionWish::Any => self.choose_of(upstream, None, tried, times, now),
-            VersionWish::Old => self.choose_of(upstream, Some(false), tried, times, now),
-            VersionWish::NewFirst => {
+        match self.choose_version_preference(upstream, !tried.is_empty(), now) {
+            VersionPreference::Any => self.choose_of(upstream, None, tried, times, now),
+            VersionPreference::OldOnly => self.choose_of(upstream, Some(false), tried, times, now),
+            VersionPreference::NewFirst => {
                 let new = self.choose_of(upstream, Some(true), tried, times, now);
                 new.or_else(|_| self.choose_of(upstream, Some(false), tried, times, now))
             }
@@ -116,10 +116,10 @@
         let repeat = self.repeat_cost(upstream, times, now);
         for server in &self.upstreams[upstream].servers {
             let state = &self.servers[*server];
-            if state.standing != ServerStanding::Ready || tried.contains(server) {
+            if state.standing != ServerLifecycle::Ready || tried.contains(server) {
                 continue;
             }
-            if target.is_some_and(|target| target != self.is_target(*server)) {
+            if target.is_some_and(|target| target != self.runs_target_version(*server)) {
                 continue;
             }
             let Some(permitted) = times.homes.permit(*server, state) else {
@@ -139,7 +139,8 @@
                 continue;
             }
             candidates += 1;
-            let expected = state.expect(times.typical, self.pause_vote.interval(), now);
+            let expected =
+                state.expected_response_time(times.typical, self.pause_vote.interval(), now);
             let jitter = 1.0 + JITTER * self.rng.random::<f64>();
             let failing = repeat.map_or(FAILING_COST, |repeat| expected + repeat);
             let doubt = doubts(state, times, failing, now);
@@ -241,7 +242,7 @@
     if state.idle == 0 {
         doubt += OPEN_COST;
     }
-    if state.silent || now < state.rest_until {
+    if state.expired || now < state.backoff_until {
         doubt += DOUBT_COST;
     }
     if state.outstanding.iter().any(|attempt| attempt.on_trial) {
--- a/crates/core/src/process/forward/directory.rs
+++ b/crates/core/src/process/forward/directory.rs
@@ -13,36 +13,36 @@
 
 /// How long a server that left is remembered, so that late news of it are
 /// known to be old.
-pub const REMEMBER_TIME: Duration = Duration::from_secs(180);
+pub const TOMBSTONE_RETENTION: Duration = Duration::from_secs(180);
 /// Parts that ids are divided into for digests.
-const DIGEST_PARTS: usize = 64;
+const DIGEST_BUCKETS: usize = 64;
 /// Part of a lease for which a server that was known before a restart is believed
 /// to live, unless it is heard of.
-const BELIEVE_PART: f64 = 0.5;
+const REMEMBERED_LEASE_SHARE: f64 = 0.5;
 /// Announcements that a server may miss in a row before it counts as silent, where
 /// they come seldom.
-const MISSED_ANNOUNCEMENTS: u32 = 1;
+const MAX_MISSED_ANNOUNCEMENTS: u32 = 1;
 /// How late an announcement may come.
-const LATE_ANNOUNCEMENT: Duration = Duration::from_millis(1500);
+const MAX_ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(1500);
 /// Least lease: with announcements each second, one that comes seconds late is
 /// nothing unusual.
-const LEAST_LEASE: Duration = Duration::from_secs(5);
+const MIN_LEASE: Duration = Duration::from_secs(5);
 
 /// Returns the part that an id falls to.
-fn part_of(id: &str) -> usize {
-    xxh3_64(id.as_bytes()) as usize % DIGEST_PARTS
+fn bucket_of(id: &str) -> usize {
+    xxh3_64(id.as_bytes()) as usize % DIGEST_BUCKETS
 }
 
 /// Returns the time without an announcement after which a server counts as silent,
 /// where one comes in each `interval`.
 pub fn lease_for(interval: Duration) -> Duration {
-    let missed = interval * (MISSED_ANNOUNCEMENTS + 1) + LATE_ANNOUNCEMENT;
-    missed.max(LEAST_LEASE)
+    let missed = interval * (MAX_MISSED_ANNOUNCEMENTS + 1) + MAX_ANNOUNCEMENT_DELAY;
+    missed.max(MIN_LEASE)
 }
 
 /// Whether a server takes work. The order is that of a lifetime.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum ServerStanding {
+pub enum ServerLifecycle {
     /// It takes work.
     Ready,
     /// It takes no new work.
@@ -53,7 +53,7 @@
 
 /// What a server says of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServerNotice {
+pub struct ServerAnnouncement {
     /// Identity of this lifetime.
     pub id: Box<str>,
     /// Its service; empty if only its leaving is known.
@@ -67,7 +67,7 @@
     /// Requests it works on at once.
     pub slots: u32,
     /// Whether it takes work.
-    pub standing: ServerStanding,
+    pub standing: ServerLifecycle,
     /// When this lifetime started, in Unix milliseconds; 0 if it does not say.
     pub born: u64,
     /// Grows with each notice of this lifetime.
@@ -76,20 +76,20 @@
     pub cold_ms: u64,
 }
 
-impl ServerNotice {
+impl ServerAnnouncement {
     /// Returns the notice that a server has left, of which nothing else need
     /// be known; `born` is 0 if it does not say when it started.
-    pub fn gone(id: &str, born: u64) -> ServerNotice {
-        let mark = LifeMark {
+    pub fn gone(id: &str, born: u64) -> ServerAnnouncement {
+        let position = AnnouncementPosition {
             born,
             sequence: u64::MAX,
         };
-        ServerNotice::bare(id.into(), ServerStanding::Gone, mark)
+        ServerAnnouncement::without_details(id.into(), ServerLifecycle::Gone, position)
     }
 
     /// Returns which lifetime it is of, and how new it is in that.
-    pub fn mark(&self) -> LifeMark {
-        LifeMark {
+    pub fn position(&self) -> AnnouncementPosition {
+        AnnouncementPosition {
             born: self.born,
             sequence: self.sequence,
         }
@@ -97,12 +97,16 @@
 
     /// Returns the part of the notice that must reach everybody at once: that
     /// the server leaves.
-    pub fn urgent(&self) -> ServerNotice {
-        ServerNotice::bare(self.id.clone(), self.standing, self.mark())
+    pub fn lifecycle_only(&self) -> ServerAnnouncement {
+        ServerAnnouncement::without_details(self.id.clone(), self.standing, self.position())
     }
 
-    fn bare(id: Box<str>, standing: ServerStanding, mark: LifeMark) -> ServerNotice {
-        ServerNotice {
+    fn without_details(
+        id: Box<str>,
+        standing: ServerLifecycle,
+        position: AnnouncementPosition,
+    ) -> ServerAnnouncement {
+        ServerAnnouncement {
             id,
             service: "".into(),
             address: None,
@@ -110,15 +114,15 @@
             version: "".into(),
             slots: 0,
             standing,
-            born: mark.born,
-            sequence: mark.sequence,
+            born: position.born,
+            sequence: position.sequence,
             cold_ms: 0,
         }
     }
 
     /// Tells whether another writer made one of these: a server's service,
     /// address and failure domain are the same in a whole lifetime.
-    pub fn contradicts(&self, known: &ServerNotice) -> bool {
+    pub fn conflicts_with(&self, known: &ServerAnnouncement) -> bool {
         let are_whole = self.address.is_some() && known.address.is_some();
         are_whole
             && (self.address != known.address
@@ -129,7 +133,7 @@
 
 /// A lifetime of a server, and how new a notice of it is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct LifeMark {
+pub struct AnnouncementPosition {
     /// When it started, in Unix milliseconds; 0 if it does not say.
     pub born: u64,
     /// Grows with each notice of it.
@@ -138,11 +142,11 @@
 
 /// What a notice changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoticeEffect {
+pub enum AnnouncementEffect {
     /// It was older than what is known.
     Stale,
     /// It contradicts what the server said of itself before.
-    Foreign,
+    Conflicting,
     /// The server lives on as it was.
     Renewed,
     /// The server is new, or its standing changed, or it became cold again.
@@ -151,9 +155,9 @@
 
 /// Which control instance hears a server, and says when it falls silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ServerKeeper {
+pub enum ServerObserver {
     /// This one.
-    Own,
+    Local,
     /// Another one, by its listener for other instances.
     Peer(SocketAddr),
     /// Not known.
@@ -164,37 +168,37 @@
 #[derive(Debug, Clone)]
 pub struct DirectoryRecord {
     /// Its newest notice, with the standing that holds.
-    pub notice: ServerNotice,
+    pub notice: ServerAnnouncement,
     /// When it was last heard of.
-    pub heard: Duration,
+    pub last_seen_at: Duration,
     /// Since when it has a lease in any case.
-    leased: Duration,
+    lease_granted_at: Duration,
     /// Whether it is taken for silent.
-    pub silent: bool,
+    pub expired: bool,
     /// Whether it was known before a restart and not heard of since.
-    pub remembered: bool,
+    pub is_remembered: bool,
     /// Who hears it.
-    pub keeper: ServerKeeper,
+    pub observer: ServerObserver,
     /// Its place in the order in which lifetimes became known.
-    place: u64,
+    arrival: u64,
 }
 
 impl DirectoryRecord {
-    fn new(notice: ServerNotice, now: Duration, place: u64) -> DirectoryRecord {
+    fn new(notice: ServerAnnouncement, now: Duration, arrival: u64) -> DirectoryRecord {
         DirectoryRecord {
-            place,
+            arrival,
             notice,
-            heard: now,
-            leased: now,
-            silent: false,
-            remembered: false,
-            keeper: ServerKeeper::Unknown,
+            last_seen_at: now,
+            lease_granted_at: now,
+            expired: false,
+            is_remembered: false,
+            observer: ServerObserver::Unknown,
         }
     }
 
     /// Tells whether it takes work and is heard of.
-    fn lives(&self) -> bool {
-        self.notice.standing == ServerStanding::Ready && !self.silent
+    fn is_alive(&self) -> bool {
+        self.notice.standing == ServerLifecycle::Ready && !self.expired
     }
 }
 
@@ -203,198 +207,213 @@
 pub struct ServerDirectory {
     records: HashMap<Box<str>, DirectoryRecord>,
     /// Notices taken so far.
-    taken: u64,
+    arrivals: u64,
 }
 
 impl ServerDirectory {
     /// Takes a notice.
-    pub fn apply(&mut self, notice: ServerNotice, now: Duration) -> NoticeEffect {
-        self.taken += 1;
-        let place = self.taken;
+    pub fn apply(&mut self, notice: ServerAnnouncement, now: Duration) -> AnnouncementEffect {
+        self.arrivals += 1;
+        let arrival = self.arrivals;
         let Some(record) = self.records.get_mut(&notice.id) else {
             let id = notice.id.clone();
-            let record = DirectoryRecord::new(notice, now, place);
+            let record = DirectoryRecord::new(notice, now, arrival);
             self.records.insert(id, record);
-            return NoticeEffect::Changed;
+            return AnnouncementEffect::Changed;
         };
         let known = &mut record.notice;
         if notice.born > known.born {
             // It started again under its id: nothing of before holds.
-            *record = DirectoryRecord::new(notice, now, place);
-            return NoticeEffect::Changed;
+            *record = DirectoryRecord::new(notice, now, arrival);
+            return AnnouncementEffect::Changed;
         }
         if notice.born != 0 && notice.born < known.born {
-            return NoticeEffect::Stale;
+            return AnnouncementEffect::Stale;
         }
-        if notice.contradicts(known) {
-            return NoticeEffect::Foreign;
+        if notice.conflicts_with(known) {
+            return AnnouncementEffect::Conflicting;
         }
         if notice.standing > known.standing {
             let sequence = known.sequence.max(notice.sequence);
             known.standing = notice.standing;
             known.sequence = sequence;
-            record.heard = now;
-            record.remembered = false;
-            return NoticeEffect::Changed;
+            record.last_seen_at = now;
+            record.is_remembered = false;
+            return AnnouncementEffect::Changed;
         }
-        if notice.sequence <= known.sequence || known.standing == ServerStanding::Gone {
-            return NoticeEffect::Stale;
+        if notice.sequence <= known.sequence || known.standing == ServerLifecycle::Gone {
+            return AnnouncementEffect::Stale;
         }
-        let was_cold = now < record.heard + Duration::from_millis(known.cold_ms);
+        let was_cold = now < record.last_seen_at + Duration::from_millis(known.cold_ms);
         let is_cold_again = notice.cold_ms > 0 && !was_cold;
         known.sequence = notice.sequence;
         known.cold_ms = notice.cold_ms;
-        record.heard = now;
-        record.remembered = false;
-        if record.silent || is_cold_again {
-            record.silent = false;
-            return NoticeEffect::Changed;
+        record.last_seen_at = now;
+        record.is_remembered = false;
+        if record.expired || is_cold_again {
+            record.expired = false;
+            return AnnouncementEffect::Changed;
         }
-        NoticeEffect::Renewed
+        AnnouncementEffect::Renewed
     }
 
     /// Takes a server that was known before a restart, unless something newer
     /// is known. It is believed to live for a moment only: it may have left.
-    pub fn remember(&mut self, notice: ServerNotice, now: Duration) {
-        self.taken += 1;
+    pub fn remember(&mut self, notice: ServerAnnouncement, now: Duration) {
+        self.arrivals += 1;
         let id = notice.id.clone();
         self.records.entry(id).or_insert(DirectoryRecord {
-            remembered: true,
-            ..DirectoryRecord::new(notice, now, self.taken)
+            is_remembered: true,
+            ..DirectoryRecord::new(notice, now, self.arrivals)
         });
     }
 
     /// Iterates over the notices of the servers that take work and are heard
     /// of: what to remember over a restart.
-    pub fn living(&self) -> impl Iterator<Item = &ServerNotice> {
+    pub fn confirmed_alive(&self) -> impl Iterator<Item = &ServerAnnouncement> {
         let records = self.records.values();
-        let living = records.filter(|record| record.lives() && !record.remembered);
-        living.map(|record| &record.notice)
+        let confirmed_alive = records.filter(|record| record.is_alive() && !record.is_remembered);
+        confirmed_alive.map(|record| &record.notice)
     }
 
     /// Takes a peer's word that a server was heard of. What it says of another
     /// lifetime than the one that is known says nothing of this one.
-    pub fn renew(&mut self, id: &str, mark: LifeMark, now: Duration) {
+    pub fn renew_lease(&mut self, id: &str, position: AnnouncementPosition, now: Duration) {
         let Some(record) = self.records.get_mut(id) else {
             return;
         };
-        let is_newer = mark.born == record.notice.born && mark > record.notice.mark();
-        if is_newer && record.notice.standing != ServerStanding::Gone {
-            record.notice.sequence = mark.sequence;
-            record.heard = now;
-            record.silent = false;
-            record.remembered = false;
+        let is_newer = position.born == record.notice.born && position > record.notice.position();
+        if is_newer && record.notice.standing != ServerLifecycle::Gone {
+            record.notice.sequence = position.sequence;
+            record.last_seen_at = now;
+            record.expired = false;
+            record.is_remembered = false;
         }
     }
 
     /// Tells whether a lifetime of a server, or a later one, is known.
-    pub fn knows(&self, id: &str, mark: LifeMark) -> bool {
+    pub fn knows_incarnation(&self, id: &str, position: AnnouncementPosition) -> bool {
         let record = self.records.get(id);
-        record.is_some_and(|record| record.notice.born >= mark.born)
+        record.is_some_and(|record| record.notice.born >= position.born)
     }
 
     /// Takes over that this instance hears a server. Returns whether another one
     /// did before.
-    pub fn keep(&mut self, id: &str) -> bool {
+    pub fn observe_locally(&mut self, id: &str) -> bool {
         let Some(record) = self.records.get_mut(id) else {
             return false;
         };
-        let was_own = record.keeper == ServerKeeper::Own;
-        record.keeper = ServerKeeper::Own;
+        let was_own = record.observer == ServerObserver::Local;
+        record.observer = ServerObserver::Local;
         !was_own
     }
 
     /// Takes over that another instance hears a server.
-    pub fn keep_at(&mut self, id: &str, peer: SocketAddr) {
+    pub fn observe_at_peer(&mut self, id: &str, peer: SocketAddr) {
         if let Some(record) = self.records.get_mut(id) {
-            record.keeper = ServerKeeper::Peer(peer);
+            record.observer = ServerObserver::Peer(peer);
         }
     }
 
     /// Takes over that another instance hears these servers and no others.
     /// Those that it heard before have a whole lease from now on.
-    pub fn keep_only(&mut self, peer: SocketAddr, ids: &HashSet<Box<str>>, now: Duration) {
+    pub fn retain_observed_at_peer(
+        &mut self,
+        peer: SocketAddr,
+        ids: &HashSet<Box<str>>,
+        now: Duration,
+    ) {
         for (id, record) in &mut self.records {
-            if record.keeper == ServerKeeper::Peer(peer) && !ids.contains(id) {
-                record.keeper = ServerKeeper::Unknown;
-                record.leased = now;
+            if record.observer == ServerObserver::Peer(peer) && !ids.contains(id) {
+                record.observer = ServerObserver::Unknown;
+                record.lease_granted_at = now;
             }
         }
     }
 
     /// Iterates over the servers that this instance hears, with how new that is.
-    pub fn kept(&self) -> impl Iterator<Item = (&str, LifeMark)> {
+    pub fn observed(&self) -> impl Iterator<Item = (&str, AnnouncementPosition)> {
         let own = self.records.iter();
-        let own = own.filter(|(_, record)| record.keeper == ServerKeeper::Own && record.lives());
-        own.map(|(id, record)| (&**id, record.notice.mark()))
+        let own =
+            own.filter(|(_, record)| record.observer == ServerObserver::Local && record.is_alive());
+        own.map(|(id, record)| (&**id, record.notice.position()))
     }
 
     /// Returns a digest of the servers that a control instance hears. It does not
     /// depend on how new that is.
-    pub fn digest(&self, keeper: ServerKeeper) -> u64 {
-        let kept = self.records.iter();
-        let kept = kept.filter(|(_, record)| record.keeper == keeper && record.lives());
-        let digests = kept.map(|(id, _)| xxh3_64(id.as_bytes()));
+    pub fn digest(&self, observer: ServerObserver) -> u64 {
+        let observed = self.records.iter();
+        let observed =
+            observed.filter(|(_, record)| record.observer == observer && record.is_alive());
+        let digests = observed.map(|(id, _)| xxh3_64(id.as_bytes()));
         digests.fold(0, u64::wrapping_add)
     }
 
     /// Takes another instance's word that it does not hear a server any more.
     /// Returns whether that is news.
-    pub fn lapse(&mut self, id: &str, mark: LifeMark, peer: SocketAddr) -> bool {
+    pub fn record_peer_expiry(
+        &mut self,
+        id: &str,
+        position: AnnouncementPosition,
+        peer: SocketAddr,
+    ) -> bool {
         let Some(record) = self.records.get_mut(id) else {
             return false;
         };
-        let is_its = record.keeper == ServerKeeper::Peer(peer);
-        if !is_its || record.notice.born != mark.born || !record.lives() {
+        let is_its = record.observer == ServerObserver::Peer(peer);
+        if !is_its || record.notice.born != position.born || !record.is_alive() {
             return false;
         }
-        record.notice.sequence = record.notice.sequence.max(mark.sequence);
-        record.silent = true;
+        record.notice.sequence = record.notice.sequence.max(position.sequence);
+        record.expired = true;
         true
     }
 
     /// Marks servers that were not heard of for `lease` as silent and returns
     /// those that newly are; forgets what left long ago. A server that another
-    /// instance hears counts as heard of while that one is (`heard_peer`).
-    pub fn sweep(
+    /// instance hears counts as heard of while that one is (`peer_last_seen`).
+    pub fn expire_leases(
         &mut self,
         now: Duration,
         lease: Duration,
-        heard_peer: impl Fn(&SocketAddr) -> Option<Duration>,
+        peer_last_seen: impl Fn(&SocketAddr) -> Option<Duration>,
     ) -> Vec<Box<str>> {
         self.records.retain(|_, record| {
-            let lives = record.notice.standing == ServerStanding::Ready && !record.silent;
-            lives || now < record.heard + REMEMBER_TIME
+            let is_alive = record.notice.standing == ServerLifecycle::Ready && !record.expired;
+            is_alive || now < record.last_seen_at + TOMBSTONE_RETENTION
         });
-        let mut silent = Vec::new();
+        let mut expired = Vec::new();
         for (id, record) in &mut self.records {
-            let lease = if record.remembered {
-                lease.mul_f64(BELIEVE_PART)
+            let lease = if record.is_remembered {
+                lease.mul_f64(REMEMBERED_LEASE_SHARE)
             } else {
                 lease
             };
-            let heard = match record.keeper {
-                ServerKeeper::Peer(peer) => heard_peer(&peer).unwrap_or(Duration::ZERO),
-                ServerKeeper::Own | ServerKeeper::Unknown => Duration::ZERO,
+            let last_seen_at = match record.observer {
+                ServerObserver::Peer(peer) => peer_last_seen(&peer).unwrap_or(Duration::ZERO),
+                ServerObserver::Local | ServerObserver::Unknown => Duration::ZERO,
             };
-            let heard = record.heard.max(record.leased).max(heard);
-            let is_late = now > heard + lease;
-            if is_late && !record.silent && record.notice.standing == ServerStanding::Ready {
-                record.silent = true;
-                silent.push(id.clone());
+            let last_seen_at = record
+                .last_seen_at
+                .max(record.lease_granted_at)
+                .max(last_seen_at);
+            let is_late = now > last_seen_at + lease;
+            if is_late && !record.expired && record.notice.standing == ServerLifecycle::Ready {
+                record.expired = true;
+                expired.push(id.clone());
             }
         }
-        silent
+        expired
     }
 
     /// Returns digests of the servers that take work, by part of their ids. Two
     /// directories that have a digest in common know the same servers there.
-    pub fn part_digests(&self) -> Vec<u64> {
-        let mut digests = vec![0_u64; DIGEST_PARTS];
+    pub fn bucket_digests(&self) -> Vec<u64> {
+        let mut digests = vec![0_u64; DIGEST_BUCKETS];
         for (id, record) in &self.records {
-            if record.notice.standing == ServerStanding::Ready {
+            if record.notice.standing == ServerLifecycle::Ready {
                 let digest = xxh3_64_with_seed(id.as_bytes(), record.notice.born);
-                let part = &mut digests[part_of(id)];
+                let part = &mut digests[bucket_of(id)];
                 *part = part.wrapping_add(digest);
             }
         }
@@ -407,16 +426,18 @@
     /// the records in order takes the earlier one for replaced. Those that are
     /// taken for dead go first, then those that were heard of longer ago; what
     /// came in one message was heard of at one time.
-    pub fn lacking(&self, digests: &[u64]) -> Vec<&DirectoryRecord> {
-        let own = self.part_digests();
+    pub fn records_to_sync(&self, digests: &[u64]) -> Vec<&DirectoryRecord> {
+        let own = self.bucket_digests();
         let records = self.records.iter();
-        let lacking = records.filter(|(id, _)| {
-            let part = part_of(id);
+        let records_to_sync = records.filter(|(id, _)| {
+            let part = bucket_of(id);
             digests.get(part) != Some(&own[part])
         });
-        let mut lacking: Vec<&DirectoryRecord> = lacking.map(|(_, record)| record).collect();
-        lacking.sort_by_key(|record| (record.lives(), record.heard, record.place));
-        lacking
+        let mut records_to_sync: Vec<&DirectoryRecord> =
+            records_to_sync.map(|(_, record)| record).collect();
+        records_to_sync
+            .sort_by_key(|record| (record.is_alive(), record.last_seen_at, record.arrival));
+        records_to_sync
     }
 
     /// Returns the record of a server.
--- a/crates/core/src/process/forward/home.rs
+++ b/crates/core/src/process/forward/home.rs
@@ -55,7 +55,7 @@
 
     /// Tells whether a request may be sent to a server or an entry.
     pub(super) fn allows(self, state: &ServerState) -> bool {
-        !state.evacuated && !state.barred && self.holds(state.region)
+        !state.is_evacuated && !state.is_rolled_back && self.holds(state.region)
     }
 
     /// Returns the leave to send a request to a server or an entry, if it may
--- a/crates/core/src/process/forward/input.rs
+++ b/crates/core/src/process/forward/input.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::arena::{ServerKey, SlotKey};
-use crate::process::forward::directory::ServerNotice;
+use crate::process::forward::directory::ServerAnnouncement;
 use crate::process::forward::suspect::record::SuspectRecord;
 use crate::process::input::CallTag;
 use crate::process::rollout::RolloutView;
@@ -142,7 +142,7 @@
     /// A table came in force.
     Table(Arc<RouteTable>),
     /// A server announced something.
-    Notice(ServerNotice),
+    Notice(ServerAnnouncement),
     /// A server is silent at the control group, or no longer.
     Silent(Box<str>, bool),
     /// The failure domains that are out of use, all of them.
--- a/crates/core/src/process/forward/machine.rs
+++ b/crates/core/src/process/forward/machine.rs
@@ -18,7 +18,7 @@
 use crate::process::forward::canary::CanaryWay;
 use crate::process::forward::cold::ColdBound;
 use crate::process::forward::counts::{ForwardCounters, UpstreamCounts};
-use crate::process::forward::directory::{ServerDirectory, ServerStanding};
+use crate::process::forward::directory::{ServerDirectory, ServerLifecycle};
 use crate::process::forward::expectation::ExpectationBook;
 use crate::process::forward::extra::{ExtraBound, ExtraBudget};
 use crate::process::forward::fading::FadingShare;
@@ -223,7 +223,7 @@
         match input {
             ForwardInput::Table(table) => self.adopt(table, now, out),
             ForwardInput::Notice(notice) => self.notice(notice, now, out),
-            ForwardInput::Silent(id, silent) => self.set_silent(&id, silent, now),
+            ForwardInput::Silent(id, silent) => self.set_expired(&id, silent, now),
             ForwardInput::Evacuated(domains) => self.set_evacuated(domains, now, out),
             ForwardInput::Rollouts(views) => self.set_rollouts(views, out),
             ForwardInput::Heard => self.heard_at = now,
@@ -235,7 +235,9 @@
             ForwardInput::Granted(tag, attempts) => self.take_grant(tag, attempts, now, out),
             ForwardInput::CallerLeft(tag) => self.caller_left(tag, now, out),
             ForwardInput::Ended { attempt, end } => self.ended(attempt, end, now, out),
-            ForwardInput::Connected { server, took } => self.servers[server].connected(took),
+            ForwardInput::Connected { server, took } => {
+                self.servers[server].record_connection(took)
+            }
             ForwardInput::Idle { server, idle } => self.servers[server].idle = idle,
             ForwardInput::Wake => {}
         }
@@ -258,7 +260,7 @@
         if self.directory.is_empty() {
             return Vec::new();
         }
-        self.directory.part_digests()
+        self.directory.bucket_digests()
     }
 
     /// Returns the table in force.
@@ -319,7 +321,7 @@
     pub fn server_count(&self) -> usize {
         let servers = self.servers.iter();
         servers
-            .filter(|(_, server)| server.standing == ServerStanding::Ready)
+            .filter(|(_, server)| server.standing == ServerLifecycle::Ready)
             .count()
     }
 
@@ -345,7 +347,7 @@
             self.upstreams[upstream].cold_per_s = service.cold_per_s;
         }
         self.find_shares(&table);
-        self.end_keyless(&table, now, out);
+        self.end_unauthorized(&table, now, out);
         self.table = Some(table);
     }
 
--- a/crates/core/src/process/forward/mod.rs
+++ b/crates/core/src/process/forward/mod.rs
@@ -6,6 +6,7 @@
 
 mod access;
 mod admit;
+mod announcements;
 pub mod answer;
 mod around;
 pub mod backlog;
@@ -26,7 +27,6 @@
 pub mod input;
 mod judge;
 pub mod machine;
-mod notices;
 pub mod pace;
 pub mod pause;
 pub mod place;
--- a/crates/core/src/process/forward/relay.rs
+++ b/crates/core/src/process/forward/relay.rs
@@ -9,7 +9,7 @@
 use crate::process::forward::answer::{AttemptCause, ForwardAction};
 use crate::process::forward::bundle::BundlePlan;
 use crate::process::forward::call::PartStatus;
-use crate::process::forward::directory::ServerStanding;
+use crate::process::forward::directory::ServerLifecycle;
 use crate::process::forward::input::{BundleAnswer, EntryPeer, RelayOrder};
 use crate::process::forward::machine::ForwardMachine;
 use crate::process::forward::place::PlaceStep;
@@ -59,7 +59,7 @@
                 if !wanted.contains(&*id) {
                     self.server_ids.remove(&*id);
                     self.end_watch.note_lost_entry(now);
-                    self.set_standing(server, ServerStanding::Gone, out);
+                    self.advance_lifecycle(server, ServerLifecycle::Gone, out);
                 }
             }
         }
@@ -105,18 +105,20 @@
             divides,
         } = plan;
         let entry = &self.servers[choice.server.key()];
-        let way = entry.way();
+        let round_trip = entry.round_trip();
         // Within a failure domain ways are short.
         let is_near = entry.place == PlaceStep::Domain;
-        let known_way = entry.known_way().or(is_near.then_some(way));
-        let loan = ForwardMachine::loan(state, &parts, known_way, now);
+        let measured_round_trip = entry
+            .measured_round_trip()
+            .or(is_near.then_some(round_trip));
+        let loan = ForwardMachine::loan(state, &parts, measured_round_trip, now);
         let shards = parts.iter().map(|part| {
             let upstream = state.parts[*part].upstream;
             self.upstreams[upstream].name.clone()
         });
         let relay = RelayOrder {
             version: state.table.version(),
-            answer_by: state.plan.aim.saturating_sub(way + BUNDLE_MARGIN),
+            answer_by: state.plan.aim.saturating_sub(round_trip + BUNDLE_MARGIN),
             attempts: loan.attempts,
             earns: state.earns && parts.iter().all(|part| state.parts[*part].arrivals == 0),
             divides,
--- a/crates/core/src/process/forward/reply.rs
+++ b/crates/core/src/process/forward/reply.rs
@@ -12,7 +12,7 @@
 use crate::process::forward::pause::{IntervalVote, PauseWay, LATE_BY};
 use crate::process::forward::relay::SILENT_REST;
 use crate::process::forward::server::ServerState;
-use crate::process::forward::version::AnswerVerdict;
+use crate::process::forward::version::AttemptVerdict;
 use crate::process::input::CallTag;
 
 /// Name of the request of an attempt that nobody waits for any more.
@@ -120,9 +120,9 @@
     if queue_factor(end) > 1.0 {
         return;
     }
-    let came = state.sent_at + server.way() / 2;
+    let came = state.sent_at + server.round_trip() / 2;
     let work = server.work(state.typical, now);
-    let begun = now.saturating_sub(server.way() / 2 + work).max(came);
+    let begun = now.saturating_sub(server.round_trip() / 2 + work).max(came);
     if begun < came + LATE_BY + work * 2 {
         server.pauses.prompt(begun, vote.interval());
     } else {
@@ -186,19 +186,19 @@
         if state.is_relay() || self.upstreams[state.upstream].rollout.is_none() {
             return;
         }
-        let way = self.servers[state.server].way();
-        let work = (now - state.sent_at).saturating_sub(way);
+        let round_trip = self.servers[state.server].round_trip();
+        let work = (now - state.sent_at).saturating_sub(round_trip);
         let verdict = match meaning {
-            EndMeaning::Final => AnswerVerdict::Answered(work.div_f64(queue_factor(end))),
-            EndMeaning::Failure => AnswerVerdict::Failed,
-            EndMeaning::Broken if state.cancelled => AnswerVerdict::Abandoned(work),
-            EndMeaning::Broken => AnswerVerdict::Failed,
+            EndMeaning::Final => AttemptVerdict::Answered(work.div_f64(queue_factor(end))),
+            EndMeaning::Failure => AttemptVerdict::Failed,
+            EndMeaning::Broken if state.cancelled => AttemptVerdict::Abandoned(work),
+            EndMeaning::Broken => AttemptVerdict::Failed,
             EndMeaning::NotRun
             | EndMeaning::Unsent
             | EndMeaning::Withdrawn
             | EndMeaning::Barred => return,
         };
-        self.count_version(state.server, state.timing, state.slow_after, verdict);
+        self.record_version_outcome(state.server, state.timing, state.slow_after, verdict);
     }
 
     /// Takes note that a server broke off while it had a request.
@@ -236,7 +236,7 @@
         if ![EndMeaning::Final, EndMeaning::Withdrawn].contains(&meaning) {
             self.upstreams[state.upstream].counts.losses += 1;
         }
-        let work = (now - state.sent_at).saturating_sub(server.way());
+        let work = (now - state.sent_at).saturating_sub(server.round_trip());
         match meaning {
             EndMeaning::Final => {
                 if let Some(basis) = &state.basis {
@@ -250,7 +250,7 @@
                     learn_pause(server, state, end, &mut self.pause_vote, now);
                 }
                 server.answered(alone, state.typical, now);
-                server.judged(false);
+                server.record_outcome(false);
                 self.timings[state.timing].add(work);
             }
             EndMeaning::Failure | EndMeaning::NotRun => {
@@ -258,21 +258,21 @@
                 if let Some(pace) = told_pace(end) {
                     server.pace.told(pace, now);
                 }
-                server.judged(true);
+                server.record_outcome(true);
             }
             EndMeaning::Barred => server.answered_at = now,
             EndMeaning::Withdrawn => {}
             EndMeaning::Broken if state.call.is_none() => {}
             EndMeaning::Unsent if state.is_relay() && work > REFUSAL_TIME => {
-                server.rest_at_least(SILENT_REST, now);
+                server.back_off_at_least(SILENT_REST, now);
             }
-            EndMeaning::Unsent => server.rest(now),
+            EndMeaning::Unsent => server.back_off(now),
             EndMeaning::Broken => {
-                server.judged(true);
+                server.record_outcome(true);
                 // One answer that broke off says little: of servers that lose one
                 // in ten, each would rest for a quarter of the time.
                 if state.is_relay() || server.failing > FAILS_OFTEN {
-                    server.rest(now);
+                    server.back_off(now);
                 }
             }
         }
@@ -281,12 +281,12 @@
         };
         let server = &mut self.servers[state.server];
         if let Some(load) = answer.load {
-            server.loaded(load, now);
+            server.record_load(load, now);
             let work = server.work(state.typical, now);
             server.backlog.told(load.waiting, work, server.slots, now);
         }
         if answer.status == MISDIRECTED {
-            self.set_replaced(state.server, out);
+            self.mark_replaced(state.server, out);
         }
     }
 
@@ -366,7 +366,7 @@
         out: &mut Vec<ForwardAction>,
     ) {
         let after = now - state.sent_at;
-        if after < (state.typical + self.servers[state.server].way()) * SLOW_TIMES {
+        if after < (state.typical + self.servers[state.server].round_trip()) * SLOW_TIMES {
             return;
         }
         let load = match end {
--- a/crates/core/src/process/forward/roll.rs
+++ b/crates/core/src/process/forward/roll.rs
@@ -10,11 +10,11 @@
 use crate::process::rendezvous::highest;
 
 /// Entries of another failure domain that an entry is told of.
-pub const FAR_PEERS: usize = 8;
+pub const PEERS_PER_REMOTE_DOMAIN: usize = 8;
 
 /// Returns those of `all` that the entry `own` is told of: all of its domain,
 /// and a few of each other one, spread so that each entry is told to as many.
-pub fn view_of<'a>(own: &EntryPeer, all: &'a [EntryPeer]) -> Vec<&'a EntryPeer> {
+pub fn select_known_peers<'a>(own: &EntryPeer, all: &'a [EntryPeer]) -> Vec<&'a EntryPeer> {
     let mut domains: BTreeMap<&str, Vec<&EntryPeer>> = BTreeMap::new();
     for peer in all {
         domains.entry(&peer.domain).or_default().push(peer);
@@ -27,7 +27,7 @@
             continue;
         }
         let named = peers.into_iter().map(|peer| (peer.id(), peer));
-        let some = highest(&key, FAR_PEERS, named, |(id, _)| id);
+        let some = highest(&key, PEERS_PER_REMOTE_DOMAIN, named, |(id, _)| id);
         view.extend(some.into_iter().map(|(_, peer)| peer));
     }
     view
--- a/crates/core/src/process/forward/send.rs
+++ b/crates/core/src/process/forward/send.rs
@@ -95,7 +95,7 @@
             cause,
             choice,
             timing,
-            patience: self.servers[choice.server.key()].way() + slow,
+            patience: self.servers[choice.server.key()].round_trip() + slow,
             runs: 1,
             relay: None,
         };
--- a/crates/core/src/process/forward/server.rs
+++ b/crates/core/src/process/forward/server.rs
@@ -7,7 +7,7 @@
 use crate::arena::{SlotKey, UpstreamKey};
 use crate::process::forward::backlog::ServerBacklog;
 use crate::process::forward::cold::{ColdWindow, DOUBT_TIME};
-use crate::process::forward::directory::ServerStanding;
+use crate::process::forward::directory::ServerLifecycle;
 use crate::process::forward::expectation::ExpectationBasis;
 use crate::process::forward::home::RegionKey;
 use crate::process::forward::input::LoadReport;
@@ -16,17 +16,17 @@
 use crate::process::forward::place::PlaceStep;
 
 /// Weight of a new sample in the moving average of failures.
-const SAMPLE_WEIGHT: f64 = 0.15;
+const FAILURE_SAMPLE_WEIGHT: f64 = 0.15;
 /// Time that a server which could not be reached is left alone, at first.
-const FIRST_REST: Duration = Duration::from_millis(250);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 /// Longest such time.
-const LONGEST_REST: Duration = Duration::from_secs(4);
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
 /// How much slower a server is after its start.
-const COLD_FACTOR: f64 = 1.6;
+const COLD_SLOWDOWN: f64 = 1.6;
 /// Age at which a load report says nothing any more.
-const LOAD_AGE: Duration = Duration::from_millis(400);
+const MAX_LOAD_REPORT_AGE: Duration = Duration::from_millis(400);
 /// Way to a server and back before it was measured.
-const FIRST_WAY: Duration = Duration::from_millis(1);
+const INITIAL_ROUND_TRIP: Duration = Duration::from_millis(1);
 
 /// An attempt that a server has not answered.
 #[derive(Debug, Clone, Copy)]
@@ -59,19 +59,19 @@
     /// Version of its software.
     pub version: Box<str>,
     /// Whether its version was rolled back.
-    pub barred: bool,
+    pub is_rolled_back: bool,
     /// Whether its failure domain was taken out of use.
-    pub evacuated: bool,
+    pub is_evacuated: bool,
     /// Whether it takes work.
-    pub standing: ServerStanding,
+    pub standing: ServerLifecycle,
     /// Whether the control group no longer hears it.
-    pub silent: bool,
+    pub expired: bool,
     /// Requests it works on at once.
     pub slots: u32,
     /// When it is warm.
     pub warm_at: Duration,
     /// Until when it is taken for cold all the same, as it may have become so.
-    pub doubt_until: Duration,
+    pub assumed_cold_until: Duration,
     /// What this entry sent it in the last second.
     pub cold: ColdWindow,
     /// Attempts outstanding, oldest first.
@@ -85,13 +85,13 @@
     /// Fraction of failures among the last answers.
     pub failing: f64,
     /// Until when it is left alone.
-    pub rest_until: Duration,
+    pub backoff_until: Duration,
     /// When it last answered.
     pub answered_at: Duration,
     /// Work that waits there, sent by whatever entry.
     pub backlog: ServerBacklog,
-    way: Duration,
-    rests: u32,
+    round_trip: Duration,
+    backoffs: u32,
     load: Option<(LoadReport, Duration)>,
 }
 
@@ -107,52 +107,52 @@
             place: PlaceStep::Elsewhere,
             region: RegionKey::UNKNOWN,
             version: "".into(),
-            barred: false,
-            evacuated: false,
-            standing: ServerStanding::Ready,
-            silent: false,
+            is_rolled_back: false,
+            is_evacuated: false,
+            standing: ServerLifecycle::Ready,
+            expired: false,
             slots: 1,
             warm_at: Duration::ZERO,
-            doubt_until: Duration::ZERO,
+            assumed_cold_until: Duration::ZERO,
             cold: ColdWindow::default(),
             outstanding: Vec::new(),
             idle: 0,
             pace: ServerPace::new(PaceWay::default()),
             pauses: PauseBook::default(),
             failing: 0.0,
-            rest_until: Duration::ZERO,
+            backoff_until: Duration::ZERO,
             answered_at: Duration::ZERO,
             backlog: ServerBacklog::default(),
-            way: FIRST_WAY,
-            rests: 0,
+            round_trip: INITIAL_ROUND_TRIP,
+            backoffs: 0,
             load: None,
         }
     }
 
     /// Returns the time to the server and back.
-    pub fn way(&self) -> Duration {
-        self.way
+    pub fn round_trip(&self) -> Duration {
+        self.round_trip
     }
 
     /// Returns the time to the server and back, if it was measured.
-    pub fn known_way(&self) -> Option<Duration> {
-        (self.way != FIRST_WAY).then_some(self.way)
+    pub fn measured_round_trip(&self) -> Option<Duration> {
+        (self.round_trip != INITIAL_ROUND_TRIP).then_some(self.round_trip)
     }
 
     /// Takes note of a connection made.
-    pub fn connected(&mut self, took: Duration) {
-        self.way = if self.way == FIRST_WAY {
+    pub fn record_connection(&mut self, took: Duration) {
+        self.round_trip = if self.round_trip == INITIAL_ROUND_TRIP {
             took
         } else {
-            self.way.min(took)
+            self.round_trip.min(took)
         };
     }
 
     /// Takes note of an answer after `work`, where `typical` was expected.
     pub fn answered(&mut self, work: Duration, typical: Duration, now: Duration) {
         self.answered_at = now;
-        self.rests = 0;
-        self.rest_until = Duration::ZERO;
+        self.backoffs = 0;
+        self.backoff_until = Duration::ZERO;
         let ratio = work.as_secs_f64() / typical.as_secs_f64().max(1e-4);
         self.pace.answered(ratio, now);
     }
@@ -163,25 +163,25 @@
     }
 
     /// Takes note of whether an answer was of use.
-    pub fn judged(&mut self, failed: bool) {
+    pub fn record_outcome(&mut self, failed: bool) {
         let sample = if failed { 1.0 } else { 0.0 };
-        self.failing += SAMPLE_WEIGHT * (sample - self.failing);
+        self.failing += FAILURE_SAMPLE_WEIGHT * (sample - self.failing);
     }
 
     /// Leaves the server alone for a while; longer each time.
-    pub fn rest(&mut self, now: Duration) {
-        self.rest_at_least(Duration::ZERO, now);
+    pub fn back_off(&mut self, now: Duration) {
+        self.back_off_at_least(Duration::ZERO, now);
     }
 
     /// Leaves the server alone for `least` or longer.
-    pub fn rest_at_least(&mut self, least: Duration, now: Duration) {
-        let rest = FIRST_REST * 2u32.saturating_pow(self.rests.min(8));
-        self.rests += 1;
-        self.rest_until = now + rest.min(LONGEST_REST).max(least);
+    pub fn back_off_at_least(&mut self, least: Duration, now: Duration) {
+        let back_off = INITIAL_BACKOFF * 2u32.saturating_pow(self.backoffs.min(8));
+        self.backoffs += 1;
+        self.backoff_until = now + back_off.min(MAX_BACKOFF).max(least);
     }
 
     /// Takes a load report.
-    pub fn loaded(&mut self, load: LoadReport, now: Duration) {
+    pub fn record_load(&mut self, load: LoadReport, now: Duration) {
         self.load = Some((load, now));
     }
 
@@ -191,25 +191,25 @@
     }
 
     /// Returns for how long the oldest attempt has gone without any answer.
-    pub fn stall(&self, now: Duration) -> Duration {
+    pub fn unanswered_time(&self, now: Duration) -> Duration {
         let oldest = self.outstanding.first();
         let since = oldest.map_or(now, |oldest| oldest.sent_at.max(self.answered_at));
         now.saturating_sub(since)
     }
 
     /// Tells whether it has been still for longer than its work explains.
-    pub fn is_still(&self, typical: Duration, now: Duration) -> bool {
-        self.stall(now) > typical.mul_f64(self.slowness(now)) * 2 + self.way
+    pub fn is_stalled(&self, typical: Duration, now: Duration) -> bool {
+        self.unanswered_time(now) > typical.mul_f64(self.slowness(now)) * 2 + self.round_trip
     }
 
     /// Takes it for cold for a moment, until it would have said so.
-    pub fn doubt_warmth(&mut self, now: Duration) {
-        self.doubt_until = now + DOUBT_TIME;
+    pub fn assume_cold(&mut self, now: Duration) {
+        self.assumed_cold_until = now + DOUBT_TIME;
     }
 
     /// Tells whether it is cold, or may be.
     pub fn is_cold(&self, now: Duration) -> bool {
-        now < self.warm_at || now < self.doubt_until
+        now < self.warm_at || now < self.assumed_cold_until
     }
 
     /// Returns the time that it works on a request which takes `typical` at its
@@ -217,7 +217,7 @@
     pub fn work(&self, typical: Duration, now: Duration) -> Duration {
         let work = typical.mul_f64(self.slowness(now));
         if now < self.warm_at {
-            return work.mul_f64(COLD_FACTOR);
+            return work.mul_f64(COLD_SLOWDOWN);
         }
         work
     }
@@ -225,27 +225,32 @@
     /// Returns the time to an answer that its work and what waits there
     /// explain. A pause is not counted: what is asked meanwhile costs nothing.
     pub fn expect_loaded(&self, typical: Duration, now: Duration) -> Duration {
-        self.way + self.work(typical, now) + self.backlog.wait(now)
+        self.round_trip + self.work(typical, now) + self.backlog.wait(now)
     }
 
     /// Returns the time to expect for a request that takes `typical` at an
     /// idle server of the service, where servers pause at `interval`.
-    pub fn expect(&self, typical: Duration, interval: Option<Duration>, now: Duration) -> Duration {
+    pub fn expected_response_time(
+        &self,
+        typical: Duration,
+        interval: Option<Duration>,
+        now: Duration,
+    ) -> Duration {
         let work = self.work(typical, now);
         let slots = f64::from(self.slots.max(1));
-        let ahead = self.ahead(now);
-        let queue = (ahead + 1.0 - slots).max(0.0) / slots;
-        let stall = self.stall(now);
-        let patience = work * 2 + self.way;
+        let queue_ahead = self.queue_ahead(now);
+        let queue = (queue_ahead + 1.0 - slots).max(0.0) / slots;
+        let unanswered_time = self.unanswered_time(now);
+        let patience = work * 2 + self.round_trip;
         // A server that has been still for longer than its work explains is
         // likely to stay so for as long again.
-        let pause = if stall > patience {
-            stall
+        let pause = if unanswered_time > patience {
+            unanswered_time
         } else {
             Duration::ZERO
         };
-        let foretold = self.pauses.wait(now + self.way / 2, work, interval);
-        self.way + work + work.mul_f64(queue) + pause.max(foretold)
+        let foretold = self.pauses.wait(now + self.round_trip / 2, work, interval);
+        self.round_trip + work + work.mul_f64(queue) + pause.max(foretold)
     }
 
     /// Returns what the expectation of a request sent now is made of.
@@ -253,18 +258,18 @@
         let slots = f64::from(self.slots.max(1));
         ExpectationBasis {
             expected,
-            queue: (self.ahead(now) + 1.0 - slots).max(0.0),
+            queue: (self.queue_ahead(now) + 1.0 - slots).max(0.0),
             slowness: self.slowness(now),
             age: now.saturating_sub(self.answered_at),
         }
     }
 
     /// Returns how many requests are ahead of a new one.
-    fn ahead(&self, now: Duration) -> f64 {
+    fn queue_ahead(&self, now: Duration) -> f64 {
         let own = self.outstanding.len() as f64;
         match self.load {
-            Some((load, at)) if now < at + LOAD_AGE => {
-                let age = (now - at).as_secs_f64() / LOAD_AGE.as_secs_f64();
+            Some((load, at)) if now < at + MAX_LOAD_REPORT_AGE => {
+                let age = (now - at).as_secs_f64() / MAX_LOAD_REPORT_AGE.as_secs_f64();
                 // The report counts the request that it came with.
                 let told = f64::from((load.running + load.waiting).saturating_sub(1));
                 own.max(own * 0.5 + told * (1.0 - age))
--- a/crates/core/src/process/forward/source.rs
+++ b/crates/core/src/process/forward/source.rs
@@ -18,7 +18,7 @@
 use crate::process::rendezvous::rank;
 
 /// Control instances that an entry is connected to.
-pub const LINES: usize = 2;
+pub const CONTROL_CONNECTIONS: usize = 2;
 
 /// Where a control instance stands.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -31,17 +31,17 @@
 
 /// A control instance that an entry may connect to.
 #[derive(Debug, Clone, Copy)]
-pub struct LineCandidate<'a> {
+pub struct ControlCandidate<'a> {
     /// Its listener for entries.
     pub address: SocketAddr,
     /// Its failure domain, and how far off that is, if known.
     pub place: Option<(&'a str, PlaceStep)>,
     /// When it last could not be reached, was silent, or was out of contact with
     /// its group; none if that was long ago, or it was heard to be well since.
-    pub doubted: Option<Duration>,
+    pub last_failed_at: Option<Duration>,
 }
 
-impl LineCandidate<'_> {
+impl ControlCandidate<'_> {
     fn domain(&self) -> Option<&str> {
         self.place.map(|(domain, _)| domain)
     }
@@ -54,10 +54,13 @@
 /// before. Then a near one goes first; among equals each entry has an order of its
 /// own, so that they spread. The others stand in failure domains of their own, if
 /// there are enough.
-pub fn choose_lines(own: &str, candidates: &[LineCandidate<'_>]) -> Vec<SocketAddr> {
-    let mut left: Vec<&LineCandidate<'_>> = candidates.iter().collect();
-    let mut chosen: Vec<&LineCandidate<'_>> = Vec::with_capacity(LINES);
-    while chosen.len() < LINES {
+pub fn choose_control_connections(
+    own: &str,
+    candidates: &[ControlCandidate<'_>],
+) -> Vec<SocketAddr> {
+    let mut left: Vec<&ControlCandidate<'_>> = candidates.iter().collect();
+    let mut chosen: Vec<&ControlCandidate<'_>> = Vec::with_capacity(CONTROL_CONNECTIONS);
+    while chosen.len() < CONTROL_CONNECTIONS {
         let best = (0..left.len()).min_by_key(|index| {
             let candidate = left[*index];
             let domain = candidate.domain();
@@ -65,7 +68,7 @@
             let place = candidate.place.map(|(_, place)| place);
             let order = rank(own, &candidate.address.to_string());
             (
-                candidate.doubted,
+                candidate.last_failed_at,
                 is_used && domain.is_some(),
                 place.unwrap_or(PlaceStep::Elsewhere),
                 Reverse(order),
@@ -87,12 +90,12 @@
     /// Whether it stands in the entry's failure domain.
     pub is_near: bool,
     /// Whether it is in contact with others of the group.
-    pub is_settled: bool,
+    pub has_quorum: bool,
     /// Whether it has started a moment ago, and may not know yet what the
     /// others know.
-    pub is_fresh: bool,
+    pub started_recently: bool,
     /// Time that a connection to it took to open.
-    pub way: Duration,
+    pub connect_time: Duration,
 }
 
 /// Chooses the source out of the instances that an entry is connected to.
@@ -104,11 +107,11 @@
     let best = peers.iter().min_by_key(|peer| {
         let is_other = current != Some(peer.address);
         (
-            !peer.is_settled,
-            peer.is_fresh && is_other,
+            !peer.has_quorum,
+            peer.started_recently && is_other,
             !peer.is_near,
             is_other,
-            peer.way,
+            peer.connect_time,
             peer.address,
         )
     });
--- a/crates/core/src/process/forward/version.rs
+++ b/crates/core/src/process/forward/version.rs
@@ -7,24 +7,24 @@
 use crate::arena::{ServerKey, UpstreamKey};
 use crate::process::control::rollout::RolloutState;
 use crate::process::forward::answer::ForwardAction;
-use crate::process::forward::directory::ServerStanding;
+use crate::process::forward::directory::ServerLifecycle;
 use crate::process::forward::machine::ForwardMachine;
 use crate::process::rollout::share::CanaryShare;
 use crate::process::rollout::{RolloutView, VersionTally};
 
 /// Time without a word of the control group after which an entry tries no new
 /// version: it would not hear that the version is bad.
-const TOUCH_TIME: Duration = Duration::from_secs(2);
+const CONTROL_CONTACT_TIMEOUT: Duration = Duration::from_secs(2);
 /// How many times the typical time a bad answer takes at least.
-const SLOW_TIMES: f64 = 2.5;
+const SLOW_FACTOR: f64 = 2.5;
 /// Part of the objective that a bad answer takes at least: where answers take a
 /// millisecond, a machine that is busy for a moment makes them many times slower.
-const SLOW_PART: f64 = 0.1;
+const SLOW_OBJECTIVE_SHARE: f64 = 0.1;
 
 /// Returns the time after which an answer counts against the version of its server.
 pub(super) fn slow_after(typical: Duration, objective: Duration) -> Duration {
-    let typical = typical.mul_f64(SLOW_TIMES);
-    typical.max(objective.mul_f64(SLOW_PART))
+    let typical = typical.mul_f64(SLOW_FACTOR);
+    typical.max(objective.mul_f64(SLOW_OBJECTIVE_SHARE))
 }
 
 /// The roll-out of a service, as an entry knows it.
@@ -45,18 +45,18 @@
 
 /// Which version's servers are asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum VersionWish {
+pub(super) enum VersionPreference {
     /// Any.
     Any,
     /// Only the old one's.
-    Old,
+    OldOnly,
     /// The new one's, else the old one's.
     NewFirst,
 }
 
 /// How an attempt went, as far as its server's version is to blame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum AnswerVerdict {
+pub(super) enum AttemptVerdict {
     /// It was answered after this time, in what waits there not counted.
     Answered(Duration),
     /// It failed.
@@ -86,26 +86,26 @@
                 counts: BTreeMap::new(),
             });
             for server in self.upstreams[upstream].servers.clone() {
-                if is_completed && !self.is_target(server) {
+                if is_completed && !self.runs_target_version(server) {
                     // It has stopped, or is about to.
-                    self.set_standing(server, ServerStanding::Gone, out);
+                    self.advance_lifecycle(server, ServerLifecycle::Gone, out);
                 } else {
-                    self.bar_version(server);
+                    self.update_rolled_back(server);
                 }
             }
         }
     }
 
     /// Bars a server whose version was rolled back, and no other.
-    pub(super) fn bar_version(&mut self, server: ServerKey) {
+    pub(super) fn update_rolled_back(&mut self, server: ServerKey) {
         let upstream = self.servers[server].upstream;
         let rollout = self.upstreams[upstream].rollout.as_ref();
         let is_back = rollout.is_some_and(|known| known.view.state == RolloutState::RolledBack);
-        self.servers[server].barred = is_back && self.is_target(server);
+        self.servers[server].is_rolled_back = is_back && self.runs_target_version(server);
     }
 
     /// Tells whether a server has the version that its service is rolled out to.
-    pub(super) fn is_target(&self, server: ServerKey) -> bool {
+    pub(super) fn runs_target_version(&self, server: ServerKey) -> bool {
         let state = &self.servers[server];
         let rollout = self.upstreams[state.upstream].rollout.as_ref();
         rollout.is_some_and(|rollout| rollout.view.target == state.version)
@@ -113,39 +113,39 @@
 
     /// Returns which version's servers are asked next. A repeat tries no version
     /// that is not proved good.
-    pub(super) fn wish_version(
+    pub(super) fn choose_version_preference(
         &mut self,
         upstream: UpstreamKey,
         is_repeat: bool,
         now: Duration,
-    ) -> VersionWish {
-        let is_heard = now < self.heard_at + TOUCH_TIME;
+    ) -> VersionPreference {
+        let is_heard = now < self.heard_at + CONTROL_CONTACT_TIMEOUT;
         let Some(rollout) = &mut self.upstreams[upstream].rollout else {
-            return VersionWish::Any;
+            return VersionPreference::Any;
         };
         match rollout.view.state {
             RolloutState::Trying => {
                 let tries = is_heard && !is_repeat && rollout.share.draw(&mut self.rng);
                 if tries {
-                    VersionWish::NewFirst
+                    VersionPreference::NewFirst
                 } else {
-                    VersionWish::Old
+                    VersionPreference::OldOnly
                 }
             }
-            RolloutState::Moving => VersionWish::NewFirst,
-            RolloutState::Completed | RolloutState::RolledBack => VersionWish::Any,
+            RolloutState::Moving => VersionPreference::NewFirst,
+            RolloutState::Completed | RolloutState::RolledBack => VersionPreference::Any,
         }
     }
 
     /// Counts how a server's version answered.
-    pub(super) fn count_version(
+    pub(super) fn record_version_outcome(
         &mut self,
         server: ServerKey,
         timing: usize,
         slow_after: Duration,
-        verdict: AnswerVerdict,
+        verdict: AttemptVerdict,
     ) {
-        let is_target = self.is_target(server);
+        let is_target = self.runs_target_version(server);
         let upstream = self.servers[server].upstream;
         let Some(rollout) = &mut self.upstreams[upstream].rollout else {
             return;
@@ -154,10 +154,10 @@
             return;
         }
         let is_bad = match verdict {
-            AnswerVerdict::Answered(after) => after > slow_after,
-            AnswerVerdict::Failed => true,
-            AnswerVerdict::Abandoned(after) if after > slow_after => true,
-            AnswerVerdict::Abandoned(_) => return,
+            AttemptVerdict::Answered(after) => after > slow_after,
+            AttemptVerdict::Failed => true,
+            AttemptVerdict::Abandoned(after) if after > slow_after => true,
+            AttemptVerdict::Abandoned(_) => return,
         };
         let count = rollout.counts.entry((timing, is_target)).or_default();
         count.answers += 1;
@@ -165,7 +165,7 @@
     }
 
     /// Takes the counts since the last time, to be told.
-    pub fn take_tallies(&mut self) -> Vec<VersionTally> {
+    pub fn take_outcome_counts(&mut self) -> Vec<VersionTally> {
         let mut tallies = Vec::new();
         for (_, upstream) in self.upstreams.iter_mut() {
             let Some(rollout) = &mut upstream.rollout else {
--- a/crates/core/tests/forward/chance.rs
+++ b/crates/core/tests/forward/chance.rs
@@ -6,7 +6,9 @@
 
 use proptest::prelude::*;
 use wheelmast_core::process::forward::answer::ForwardAnswer;
-use wheelmast_core::process::forward::directory::{ServerDirectory, ServerNotice, ServerStanding};
+use wheelmast_core::process::forward::directory::{
+    ServerAnnouncement, ServerDirectory, ServerLifecycle,
+};
 use wheelmast_core::process::forward::extra::{ExtraBound, ExtraBudget, SpendPace};
 use wheelmast_core::process::forward::input::{AttemptEnd, ForwardInput, ServerAnswer};
 use wheelmast_core::process::forward::split::SplitCounter;
@@ -103,7 +105,7 @@
             Event::Notice(pick, how) => {
                 let id = format!("desk-{}", pick % 3);
                 let news = match how % 3 {
-                    0 => ServerNotice::gone(&id, 0),
+                    0 => ServerAnnouncement::gone(&id, 0),
                     _ => notice(&id, "desk", HOME, 1000),
                 };
                 harness.step(ForwardInput::Notice(news));
@@ -208,13 +210,13 @@
         order in prop::collection::vec(0usize..6, 1..40),
     ) {
         let standings = [
-            ServerStanding::Ready, ServerStanding::Ready, ServerStanding::Draining,
-            ServerStanding::Ready, ServerStanding::Draining, ServerStanding::Gone,
+            ServerLifecycle::Ready, ServerLifecycle::Ready, ServerLifecycle::Draining,
+            ServerLifecycle::Ready, ServerLifecycle::Draining, ServerLifecycle::Gone,
         ];
         let mut directory = ServerDirectory::default();
-        let mut worst = ServerStanding::Ready;
+        let mut worst = ServerLifecycle::Ready;
         for (step, index) in order.into_iter().enumerate() {
-            let news = ServerNotice {
+            let news = ServerAnnouncement {
                 standing: standings[index],
                 sequence: index as u64 + 1,
                 ..notice("a", "desk", HOME, 1)
--- a/crates/core/tests/forward/cold.rs
+++ b/crates/core/tests/forward/cold.rs
@@ -7,7 +7,7 @@
 use wheelmast_core::process::forward::cold::{
     ColdBound, ColdShare, ColdView, EqualShare, FittingShare, HolderShare,
 };
-use wheelmast_core::process::forward::directory::ServerNotice;
+use wheelmast_core::process::forward::directory::ServerAnnouncement;
 use wheelmast_core::process::forward::input::{EntryPeer, ForwardInput};
 use wheelmast_core::process::forward::machine::ForwardOptions;
 use wheelmast_core::version::route_table::{RouteDraft, RouteTable, RouteTarget};
@@ -66,7 +66,7 @@
     }
     for server in 0..SERVERS {
         let id = format!("desk-{server}");
-        harness.step(ForwardInput::Notice(ServerNotice {
+        harness.step(ForwardInput::Notice(ServerAnnouncement {
             cold_ms: if server < cold { 4000 } else { 0 },
             slots: 50,
             ..notice(&id, "desk", HOME, 1000 + server as u16)
--- a/crates/core/tests/forward/ends.rs
+++ b/crates/core/tests/forward/ends.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use wheelmast_core::process::forward::answer::{ForwardAnswer, ForwardFailure};
-use wheelmast_core::process::forward::directory::ServerNotice;
+use wheelmast_core::process::forward::directory::ServerAnnouncement;
 use wheelmast_core::process::forward::extra::ExtraBound;
 use wheelmast_core::process::forward::input::{AttemptEnd, ForwardInput, ServerAnswer};
 use wheelmast_core::version::route_table::RouteTarget;
@@ -184,8 +184,8 @@
         vec![route("a", RouteTarget::Service("desk".into()))],
     ));
     harness.serve("desk", 1);
-    harness.step(ForwardInput::Notice(ServerNotice::gone("desk-0", 0)));
-    let late = ServerNotice {
+    harness.step(ForwardInput::Notice(ServerAnnouncement::gone("desk-0", 0)));
+    let late = ServerAnnouncement {
         sequence: 50,
         ..notice("desk-0", "desk", HOME, 1000)
     };
--- a/crates/core/tests/forward/harness.rs
+++ b/crates/core/tests/forward/harness.rs
@@ -8,7 +8,7 @@
 use wheelmast_core::process::forward::answer::{
     AttemptOrder, ForwardAction, ForwardAnswer, ForwardFailure,
 };
-use wheelmast_core::process::forward::directory::{ServerNotice, ServerStanding};
+use wheelmast_core::process::forward::directory::{ServerAnnouncement, ServerLifecycle};
 use wheelmast_core::process::forward::extra::ExtraBound;
 use wheelmast_core::process::forward::input::{
     AttemptEnd, BundleAnswer, EntryPeer, ForwardCall, ForwardInput, RelayOrder, ServerAnswer,
@@ -66,15 +66,15 @@
 }
 
 /// Returns the notice of a server that is ready.
-pub(crate) fn notice(id: &str, service: &str, domain: &str, port: u16) -> ServerNotice {
-    ServerNotice {
+pub(crate) fn notice(id: &str, service: &str, domain: &str, port: u16) -> ServerAnnouncement {
+    ServerAnnouncement {
         id: id.into(),
         service: service.into(),
         address: Some(([127, 0, 0, 1], port).into()),
         domain: domain.into(),
         version: "".into(),
         slots: 2,
-        standing: ServerStanding::Ready,
+        standing: ServerLifecycle::Ready,
         born: 0,
         sequence: 1,
         cold_ms: 0,
--- a/crates/core/tests/forward/reborn.rs
+++ b/crates/core/tests/forward/reborn.rs
@@ -5,7 +5,7 @@
 
 use wheelmast_core::process::forward::answer::ForwardAnswer;
 use wheelmast_core::process::forward::directory::{
-    LifeMark, NoticeEffect, ServerDirectory, ServerNotice, ServerStanding,
+    AnnouncementEffect, AnnouncementPosition, ServerAnnouncement, ServerDirectory, ServerLifecycle,
 };
 use wheelmast_core::process::forward::input::{AttemptEnd, ForwardInput};
 use wheelmast_core::version::route_table::RouteTarget;
@@ -15,16 +15,16 @@
 const START: Duration = Duration::from_secs(1);
 const LEASE: Duration = Duration::from_secs(5);
 
-fn life(born: u64, sequence: u64) -> ServerNotice {
-    ServerNotice {
+fn life(born: u64, sequence: u64) -> ServerAnnouncement {
+    ServerAnnouncement {
         born,
         sequence,
         ..notice("desk-0", "desk", HOME, 1)
     }
 }
 
-fn standing(born: u64, sequence: u64, standing: ServerStanding) -> ServerNotice {
-    ServerNotice {
+fn standing(born: u64, sequence: u64, standing: ServerLifecycle) -> ServerAnnouncement {
+    ServerAnnouncement {
         standing,
         ..life(born, sequence)
     }
@@ -32,74 +32,74 @@
 
 struct LifeCase {
     name: &'static str,
-    news: Vec<ServerNotice>,
-    effect: NoticeEffect,
-    held: (u64, u64, ServerStanding),
+    news: Vec<ServerAnnouncement>,
+    effect: AnnouncementEffect,
+    held: (u64, u64, ServerLifecycle),
 }
 
 #[test]
 fn the_latest_life_holds_whatever_comes_late() {
-    use ServerStanding::{Draining, Gone, Ready};
+    use ServerLifecycle::{Draining, Gone, Ready};
     let cases = [
         LifeCase {
             name: "counts start anew",
             news: vec![life(10, 90), life(20, 1)],
-            effect: NoticeEffect::Changed,
+            effect: AnnouncementEffect::Changed,
             held: (20, 1, Ready),
         },
         LifeCase {
             name: "it was gone",
-            news: vec![ServerNotice::gone("desk-0", 10), life(20, 1)],
-            effect: NoticeEffect::Changed,
+            news: vec![ServerAnnouncement::gone("desk-0", 10), life(20, 1)],
+            effect: AnnouncementEffect::Changed,
             held: (20, 1, Ready),
         },
         LifeCase {
             name: "it was leaving",
             news: vec![standing(10, 9, Draining), life(20, 1)],
-            effect: NoticeEffect::Changed,
+            effect: AnnouncementEffect::Changed,
             held: (20, 1, Ready),
         },
         LifeCase {
             name: "an old sign of life",
             news: vec![life(20, 1), life(10, 91)],
-            effect: NoticeEffect::Stale,
+            effect: AnnouncementEffect::Stale,
             held: (20, 1, Ready),
         },
         LifeCase {
             name: "the old life's leaving",
             news: vec![life(20, 1), standing(10, 91, Draining)],
-            effect: NoticeEffect::Stale,
+            effect: AnnouncementEffect::Stale,
             held: (20, 1, Ready),
         },
         LifeCase {
             name: "the old life's end",
-            news: vec![life(20, 1), ServerNotice::gone("desk-0", 10)],
-            effect: NoticeEffect::Stale,
+            news: vec![life(20, 1), ServerAnnouncement::gone("desk-0", 10)],
+            effect: AnnouncementEffect::Stale,
             held: (20, 1, Ready),
         },
         LifeCase {
             name: "an end that names no life is this one's",
-            news: vec![life(20, 1), ServerNotice::gone("desk-0", 0)],
-            effect: NoticeEffect::Changed,
+            news: vec![life(20, 1), ServerAnnouncement::gone("desk-0", 0)],
+            effect: AnnouncementEffect::Changed,
             held: (20, u64::MAX, Gone),
         },
         LifeCase {
             name: "another writer's service",
             news: vec![
                 life(20, 1),
-                ServerNotice {
+                ServerAnnouncement {
                     service: "other".into(),
                     ..life(20, 50)
                 },
                 life(20, 2),
             ],
-            effect: NoticeEffect::Renewed,
+            effect: AnnouncementEffect::Renewed,
             held: (20, 2, Ready),
         },
     ];
     for case in cases {
         let mut directory = ServerDirectory::default();
-        let mut effect = NoticeEffect::Stale;
+        let mut effect = AnnouncementEffect::Stale;
         for news in case.news {
             effect = directory.apply(news, START);
         }
@@ -114,17 +114,20 @@
 fn a_word_of_the_old_life_does_not_renew_the_new_one() {
     let mut directory = ServerDirectory::default();
     directory.apply(life(20, 1), START);
-    let old = LifeMark {
+    let old = AnnouncementPosition {
         born: 10,
         sequence: 500,
     };
-    directory.renew("desk-0", old, START + LEASE);
-    assert_eq!(directory.apply(life(20, 2), START), NoticeEffect::Renewed);
+    directory.renew_lease("desk-0", old, START + LEASE);
+    assert_eq!(
+        directory.apply(life(20, 2), START),
+        AnnouncementEffect::Renewed
+    );
 }
 
 #[test]
 fn a_server_that_became_cold_again_is_news() {
-    let cold = |sequence, cold_ms| ServerNotice {
+    let cold = |sequence, cold_ms| ServerAnnouncement {
         cold_ms,
         ..life(20, sequence)
     };
@@ -133,15 +136,15 @@
     let second = Duration::from_secs(1);
     assert_eq!(
         directory.apply(cold(2, 2000), START + second),
-        NoticeEffect::Renewed
+        AnnouncementEffect::Renewed
     );
     assert_eq!(
         directory.apply(cold(3, 0), START + second * 4),
-        NoticeEffect::Renewed
+        AnnouncementEffect::Renewed
     );
     assert_eq!(
         directory.apply(cold(4, 3000), START + second * 5),
-        NoticeEffect::Changed
+        AnnouncementEffect::Changed
     );
 }
 
@@ -172,7 +175,7 @@
     );
     assert_eq!(&*harness.sends[first].instance, "desk-0");
     // What the old life said comes late.
-    harness.step(ForwardInput::Notice(ServerNotice::gone("desk-0", 10)));
+    harness.step(ForwardInput::Notice(ServerAnnouncement::gone("desk-0", 10)));
     assert_eq!(harness.machine.server_count(), 1);
 }
 
--- a/crates/core/tests/forward/remember.rs
+++ b/crates/core/tests/forward/remember.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use wheelmast_core::process::forward::directory::{
-    lease_for, NoticeEffect, ServerDirectory, ServerKeeper, ServerNotice, ServerStanding,
+    lease_for, AnnouncementEffect, ServerAnnouncement, ServerDirectory, ServerLifecycle,
+    ServerObserver,
 };
 
 use wheelmast_core::process::forward::input::ForwardInput;
@@ -23,8 +24,8 @@
     directory
 }
 
-fn later(sequence: u64) -> ServerNotice {
-    ServerNotice {
+fn later(sequence: u64) -> ServerAnnouncement {
+    ServerAnnouncement {
         sequence,
         ..notice("desk-0", "desk", HOME, 1)
     }
@@ -34,39 +35,41 @@
 fn who_is_not_heard_of_is_soon_silent() {
     let mut directory = remembering();
     assert!(directory
-        .sweep(START + BELIEVE_TIME, LEASE, |_| None)
+        .expire_leases(START + BELIEVE_TIME, LEASE, |_| None)
         .is_empty());
-    let silent = directory.sweep(START + BELIEVE_TIME * 2, LEASE, |_| None);
-    assert_eq!(silent, ["desk-0".into()]);
+    let expired = directory.expire_leases(START + BELIEVE_TIME * 2, LEASE, |_| None);
+    assert_eq!(expired, ["desk-0".into()]);
 }
 
 #[test]
 fn who_is_heard_of_has_a_whole_lease() {
     let now = START + Duration::from_secs(1);
     let mut announced = remembering();
-    assert_eq!(announced.apply(later(2), now), NoticeEffect::Renewed);
+    assert_eq!(announced.apply(later(2), now), AnnouncementEffect::Renewed);
     let mut renewed = remembering();
-    renewed.renew("desk-0", later(2).mark(), now);
+    renewed.renew_lease("desk-0", later(2).position(), now);
     for mut directory in [announced, renewed] {
-        assert!(directory.sweep(now + LEASE, LEASE, |_| None).is_empty());
-        assert_eq!(directory.living().count(), 1);
+        assert!(directory
+            .expire_leases(now + LEASE, LEASE, |_| None)
+            .is_empty());
+        assert_eq!(directory.confirmed_alive().count(), 1);
     }
 }
 
 #[test]
 fn what_is_known_already_is_not_remembered_over() {
     let mut directory = ServerDirectory::default();
-    directory.apply(ServerNotice::gone("desk-0", 0), START);
+    directory.apply(ServerAnnouncement::gone("desk-0", 0), START);
     directory.remember(notice("desk-0", "desk", HOME, 1), START);
     let record = directory.get("desk-0").expect("it is known");
-    assert_eq!(record.notice.standing, ServerStanding::Gone);
-    assert_eq!(directory.living().count(), 0);
+    assert_eq!(record.notice.standing, ServerLifecycle::Gone);
+    assert_eq!(directory.confirmed_alive().count(), 0);
 }
 
 #[test]
 fn only_who_was_heard_of_is_kept_for_the_next_time() {
     let directory = remembering();
-    assert_eq!(directory.living().count(), 0);
+    assert_eq!(directory.confirmed_alive().count(), 0);
 }
 
 /// A server that another control instance hears.
@@ -74,7 +77,7 @@
     let mut directory = ServerDirectory::default();
     let peer = ([10, 0, 0, 1], 7380).into();
     directory.apply(later(2), START);
-    directory.keep_at("desk-0", peer);
+    directory.observe_at_peer("desk-0", peer);
     (directory, peer)
 }
 
@@ -83,46 +86,59 @@
     let (mut directory, _) = kept_elsewhere();
     let now = START + LEASE * 10;
     let heard = |at: Duration| move |_: &SocketAddr| Some(at);
-    assert!(directory.sweep(now, LEASE, heard(now)).is_empty());
-    assert!(directory.sweep(now + LEASE, LEASE, heard(now)).is_empty());
+    assert!(directory.expire_leases(now, LEASE, heard(now)).is_empty());
+    assert!(directory
+        .expire_leases(now + LEASE, LEASE, heard(now))
+        .is_empty());
     let late = now + LEASE + Duration::from_millis(1);
-    assert_eq!(directory.sweep(late, LEASE, heard(now)), ["desk-0".into()]);
+    assert_eq!(
+        directory.expire_leases(late, LEASE, heard(now)),
+        ["desk-0".into()]
+    );
 }
 
 #[test]
 fn who_hears_a_server_says_when_it_falls_silent_and_nobody_else() {
     let other = ([10, 0, 0, 2], 7380).into();
     let (mut directory, peer) = kept_elsewhere();
-    assert!(!directory.lapse("desk-0", later(9).mark(), other));
-    assert!(directory.lapse("desk-0", later(9).mark(), peer));
-    assert!(!directory.lapse("desk-0", later(9).mark(), peer));
+    assert!(!directory.record_peer_expiry("desk-0", later(9).position(), other));
+    assert!(directory.record_peer_expiry("desk-0", later(9).position(), peer));
+    assert!(!directory.record_peer_expiry("desk-0", later(9).position(), peer));
     // What it said before that, and what comes late, is old.
-    assert_eq!(directory.apply(later(8), START), NoticeEffect::Stale);
-    assert_eq!(directory.apply(later(10), START), NoticeEffect::Changed);
-    assert_eq!(directory.living().count(), 1);
+    assert_eq!(directory.apply(later(8), START), AnnouncementEffect::Stale);
+    assert_eq!(
+        directory.apply(later(10), START),
+        AnnouncementEffect::Changed
+    );
+    assert_eq!(directory.confirmed_alive().count(), 1);
 }
 
 #[test]
 fn an_instance_that_was_restarted_hears_only_what_it_says() {
     let (mut directory, peer) = kept_elsewhere();
     let now = START + LEASE * 10;
-    assert_ne!(directory.digest(ServerKeeper::Peer(peer)), 0);
-    directory.keep_only(peer, &HashSet::new(), now);
-    assert_eq!(directory.digest(ServerKeeper::Peer(peer)), 0);
+    assert_ne!(directory.digest(ServerObserver::Peer(peer)), 0);
+    directory.retain_observed_at_peer(peer, &HashSet::new(), now);
+    assert_eq!(directory.digest(ServerObserver::Peer(peer)), 0);
     let heard = |_: &SocketAddr| Some(now + LEASE * 2);
-    assert!(directory.sweep(now + LEASE, LEASE, heard).is_empty());
+    assert!(directory
+        .expire_leases(now + LEASE, LEASE, heard)
+        .is_empty());
     let late = now + LEASE + Duration::from_millis(1);
-    assert_eq!(directory.sweep(late, LEASE, heard), ["desk-0".into()]);
+    assert_eq!(
+        directory.expire_leases(late, LEASE, heard),
+        ["desk-0".into()]
+    );
 }
 
 #[test]
 fn a_server_that_announces_itself_elsewhere_changes_hands() {
     let (mut directory, peer) = kept_elsewhere();
     directory.apply(later(3), START);
-    assert!(directory.keep("desk-0"));
-    assert!(!directory.keep("desk-0"));
-    assert_eq!(directory.kept().count(), 1);
-    assert!(!directory.lapse("desk-0", later(9).mark(), peer));
+    assert!(directory.observe_locally("desk-0"));
+    assert!(!directory.observe_locally("desk-0"));
+    assert_eq!(directory.observed().count(), 1);
+    assert!(!directory.record_peer_expiry("desk-0", later(9).position(), peer));
 }
 
 /// What callers and the control group saw: where servers announce themselves each
@@ -141,12 +157,12 @@
             let next = now + interval + Duration::from_millis(late);
             while now < next {
                 now += Duration::from_millis(250);
-                let silent = directory.sweep(now, lease, |_| None);
-                assert!(silent.is_empty(), "{interval:?}, {sequence}");
+                let expired = directory.expire_leases(now, lease, |_| None);
+                assert!(expired.is_empty(), "{interval:?}, {sequence}");
             }
         }
-        let silent = directory.sweep(now + lease, lease, |_| None);
-        assert_eq!(silent.len(), 1, "{interval:?}");
+        let expired = directory.expire_leases(now + lease, lease, |_| None);
+        assert_eq!(expired.len(), 1, "{interval:?}");
     }
 }
 
@@ -161,26 +177,26 @@
         entry.apply(server(number), START);
         group.apply(server(number), START);
     }
-    assert_eq!(group.lacking(&entry.part_digests()).len(), 0);
-    assert_eq!(group.lacking(&[]).len(), 4000);
+    assert_eq!(group.records_to_sync(&entry.bucket_digests()).len(), 0);
+    assert_eq!(group.records_to_sync(&[]).len(), 4000);
     // One leaves, one comes, and one starts again.
-    group.apply(ServerNotice::gone("desk-7", 0), START);
+    group.apply(ServerAnnouncement::gone("desk-7", 0), START);
     group.apply(server(4000), START);
-    let again = ServerNotice {
+    let again = ServerAnnouncement {
         born: 5,
         ..server(8)
     };
     group.apply(again, START);
-    let lacking: Vec<ServerNotice> = group
-        .lacking(&entry.part_digests())
+    let records_to_sync: Vec<ServerAnnouncement> = group
+        .records_to_sync(&entry.bucket_digests())
         .into_iter()
         .map(|record| record.notice.clone())
         .collect();
-    assert!(lacking.len() < 400, "{}", lacking.len());
-    for notice in lacking {
+    assert!(records_to_sync.len() < 400, "{}", records_to_sync.len());
+    for notice in records_to_sync {
         entry.apply(notice, START);
     }
-    assert_eq!(group.lacking(&entry.part_digests()).len(), 0);
+    assert_eq!(group.records_to_sync(&entry.bucket_digests()).len(), 0);
 }
 
 struct ReusedCase {
@@ -228,20 +244,20 @@
         let (first, second) = (START, START + case.apart);
         for port in 0..50 {
             group.apply(notice(&format!("desk-{port}"), "desk", HOME, port), first);
-            group.keep_at(&format!("desk-{port}"), peer);
+            group.observe_at_peer(&format!("desk-{port}"), peer);
         }
         for port in 0..50 {
             let dead = format!("desk-{port}");
             if case.lapsed {
-                assert!(group.lapse(&dead, later(9).mark(), peer));
+                assert!(group.record_peer_expiry(&dead, later(9).position(), peer));
             }
             group.apply(notice(&format!("till-{port}"), "till", HOME, port), second);
         }
         if case.renewed {
-            group.keep_only(peer, &HashSet::new(), second + LEASE);
+            group.retain_observed_at_peer(peer, &HashSet::new(), second + LEASE);
         }
         let mut entry = Harness::new();
-        for record in group.lacking(&[]) {
+        for record in group.records_to_sync(&[]) {
             entry.step(ForwardInput::Notice(record.notice.clone()));
         }
         let services = entry.machine.services(entry.now);
--- a/crates/core/tests/forward/roll.rs
+++ b/crates/core/tests/forward/roll.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use wheelmast_core::process::forward::input::EntryPeer;
-use wheelmast_core::process::forward::roll::{view_of, FAR_PEERS};
+use wheelmast_core::process::forward::roll::{select_known_peers, PEERS_PER_REMOTE_DOMAIN};
 
 const DOMAINS: u16 = 6;
 const ENTRIES: u16 = 95;
@@ -28,11 +28,14 @@
 fn an_entry_is_told_of_all_near_and_some_far_ones() {
     let all = all();
     for own in [&all[0], &all[300]] {
-        let view = view_of(own, &all);
+        let view = select_known_peers(own, &all);
         let near = view.iter().filter(|peer| peer.domain == own.domain);
         assert_eq!(near.count(), usize::from(ENTRIES));
         let far = view.iter().filter(|peer| peer.domain != own.domain);
-        assert_eq!(far.count(), FAR_PEERS * usize::from(DOMAINS - 1));
+        assert_eq!(
+            far.count(),
+            PEERS_PER_REMOTE_DOMAIN * usize::from(DOMAINS - 1)
+        );
     }
 }
 
@@ -41,7 +44,7 @@
     let all = all();
     let mut told: BTreeMap<Box<str>, usize> = BTreeMap::new();
     for own in &all {
-        for peer in view_of(own, &all) {
+        for peer in select_known_peers(own, &all) {
             if peer.domain != own.domain {
                 *told.entry(peer.id()).or_default() += 1;
             }
@@ -60,9 +63,12 @@
 fn an_entry_that_comes_changes_little() {
     let mut all = all();
     let own = all[0].clone();
-    let before: Vec<EntryPeer> = view_of(&own, &all).into_iter().cloned().collect();
+    let before: Vec<EntryPeer> = select_known_peers(&own, &all)
+        .into_iter()
+        .cloned()
+        .collect();
     all.push(peer(3, ENTRIES));
-    let after = view_of(&own, &all);
+    let after = select_known_peers(&own, &all);
     let fresh = after.iter().filter(|peer| !before.contains(peer));
     assert!(fresh.count() <= 1);
     assert_eq!(before.len(), after.len());
--- a/crates/core/tests/forward/source.rs
+++ b/crates/core/tests/forward/source.rs
@@ -5,7 +5,7 @@
 
 use wheelmast_core::process::forward::place::PlaceStep;
 use wheelmast_core::process::forward::source::{
-    choose_lines, choose_source, ControlPeer, LineCandidate, LINES,
+    choose_control_connections, choose_source, ControlCandidate, ControlPeer, CONTROL_CONNECTIONS,
 };
 
 struct SourceCase {
@@ -86,12 +86,12 @@
     for case in CASES {
         let peers = case.peers.iter().enumerate();
         let peers: Vec<ControlPeer> = peers
-            .map(|(place, (is_near, is_settled, way))| ControlPeer {
-                is_fresh: case.fresh == Some(place),
+            .map(|(place, (is_near, has_quorum, connect_time))| ControlPeer {
+                started_recently: case.fresh == Some(place),
                 address: address(place as u16),
                 is_near: *is_near,
-                is_settled: *is_settled,
-                way: Duration::from_millis(*way),
+                has_quorum: *has_quorum,
+                connect_time: Duration::from_millis(*connect_time),
             })
             .collect();
         let chosen = choose_source(&peers, case.current.map(address));
@@ -102,7 +102,7 @@
 const OWN_DOMAIN: &str = "a1";
 
 /// Control instances in these failure domains; regions are their first letters.
-fn sites(domains: &[&'static str]) -> Vec<LineCandidate<'static>> {
+fn sites(domains: &[&'static str]) -> Vec<ControlCandidate<'static>> {
     let place = |domain: &str| match domain {
         OWN_DOMAIN => PlaceStep::Domain,
         domain if domain.starts_with('a') => PlaceStep::Region,
@@ -110,10 +110,10 @@
     };
     let sites = domains.iter().enumerate();
     sites
-        .map(|(index, domain)| LineCandidate {
+        .map(|(index, domain)| ControlCandidate {
             address: ([10, 0, 0, index as u8], 7380).into(),
             place: Some((*domain, place(domain))),
-            doubted: None,
+            last_failed_at: None,
         })
         .collect()
 }
@@ -182,9 +182,9 @@
     for case in cases {
         let mut sites = sites(case.domains);
         for failing in case.failing {
-            sites[*failing].doubted = Some(Duration::from_secs(1));
+            sites[*failing].last_failed_at = Some(Duration::from_secs(1));
         }
-        let chosen = choose_lines("entry#1", &sites);
+        let chosen = choose_control_connections("entry#1", &sites);
         let domain = |address| {
             let mut sites = sites.iter();
             let site = sites.find(|site| site.address == address);
@@ -205,10 +205,10 @@
 #[test]
 fn instances_that_failed_before_go_before_those_that_have_lost_their_group_now() {
     let mut sites = sites(&["a1", "a2", "b1", "c1"]);
-    for (site, doubted) in sites.iter_mut().zip([9, 9, 6, 5]) {
-        site.doubted = Some(Duration::from_secs(doubted));
+    for (site, last_failed_at) in sites.iter_mut().zip([9, 9, 6, 5]) {
+        site.last_failed_at = Some(Duration::from_secs(last_failed_at));
     }
-    let chosen = choose_lines("entry#1", &sites);
+    let chosen = choose_control_connections("entry#1", &sites);
     assert_eq!(chosen, [sites[3].address, sites[2].address]);
 }
 
@@ -226,12 +226,12 @@
     for entries in [100, 1000] {
         let mut counts = std::collections::HashMap::new();
         for number in 0..entries {
-            for address in choose_lines(&format!("entry-{number}#7"), &sites) {
+            for address in choose_control_connections(&format!("entry-{number}#7"), &sites) {
                 *counts.entry(address).or_insert(0) += 1;
             }
         }
         let all: usize = counts.values().sum();
-        assert_eq!(all, entries * LINES);
+        assert_eq!(all, entries * CONTROL_CONNECTIONS);
         let most = counts.values().max().copied().unwrap_or(0);
         assert!(most <= all * 2 / near, "{most} of {all} at one of {near}");
     }
--- a/crates/core/tests/forward/versions.rs
+++ b/crates/core/tests/forward/versions.rs
@@ -1,7 +1,7 @@
 //! Versions of servers while a service is rolled out.
 
 use wheelmast_core::process::control::rollout::RolloutState;
-use wheelmast_core::process::forward::directory::ServerNotice;
+use wheelmast_core::process::forward::directory::ServerAnnouncement;
 use wheelmast_core::process::forward::input::{AttemptEnd, ForwardInput};
 use wheelmast_core::process::forward::machine::ForwardOptions;
 use wheelmast_core::process::rollout::share::CanaryBound;
@@ -13,7 +13,7 @@
 fn serve(harness: &mut Harness, id: &str, version: &str) {
     let port = 2000 + id.bytes().map(u16::from).sum::<u16>();
     let plain = notice(id, "desk", HOME, port);
-    harness.step(ForwardInput::Notice(ServerNotice {
+    harness.step(ForwardInput::Notice(ServerAnnouncement {
         version: version.into(),
         ..plain
     }));
@@ -169,12 +169,12 @@
             harness.end_well(repeat, b"done");
         }
     }
-    let tallies = harness.machine.take_tallies();
+    let tallies = harness.machine.take_outcome_counts();
     let new: Vec<&VersionTally> = tallies.iter().filter(|tally| tally.is_target).collect();
     assert_eq!(new.len(), 1, "{tallies:?}");
     assert_eq!((new[0].order, &*new[0].route), (7, "q"));
     assert_eq!((new[0].answers, new[0].bad), (3, 2), "{tallies:?}");
-    assert!(harness.machine.take_tallies().is_empty());
+    assert!(harness.machine.take_outcome_counts().is_empty());
 }
 
 /// What operators saw: beside a busy machine a good version was rolled back, as
@@ -197,7 +197,7 @@
         harness.pass(8);
         harness.end_well(send, b"done");
     }
-    let tallies = harness.machine.take_tallies();
+    let tallies = harness.machine.take_outcome_counts();
     let bad: u32 = tallies.iter().map(|tally| tally.bad).sum();
     assert_eq!(bad, 0, "{tallies:?}");
 }
--- a/crates/fake/src/model/deadly.rs
+++ b/crates/fake/src/model/deadly.rs
@@ -4,9 +4,9 @@
 
 use rand::Rng;
 use wheelmast_core::process::forward::answer::ForwardFailure;
-use wheelmast_core::process::forward::directory::ServerNotice;
+use wheelmast_core::process::forward::directory::ServerAnnouncement;
 use wheelmast_core::process::forward::input::{AttemptEnd, EntryPeer, ForwardInput};
-use wheelmast_core::process::forward::roll::view_of;
+use wheelmast_core::process::forward::roll::select_known_peers;
 use wheelmast_core::process::forward::suspect::record::SuspectRecord;
 use wheelmast_core::request::mark::{CallerMark, ContentMark, RequestMark};
 
@@ -74,7 +74,7 @@
             .cloned()
             .collect();
         for entry in (0..peers.len()).filter(|entry| *entry != lost) {
-            let view = view_of(&peers[entry], &others)
+            let view = select_known_peers(&peers[entry], &others)
                 .into_iter()
                 .cloned()
                 .collect();
@@ -146,7 +146,7 @@
 
     /// Lets a server begin another lifetime, of which all entries hear.
     pub(super) fn revive(&mut self, server: usize) {
-        let former = ServerNotice::gone(&self.servers[server].id, 0);
+        let former = ServerAnnouncement::gone(&self.servers[server].id, 0);
         self.servers[server].begin_life();
         let id = self.servers[server].id.as_str().into();
         self.server_places.insert(id, server);
--- a/crates/fake/src/model/play.rs
+++ b/crates/fake/src/model/play.rs
@@ -10,7 +10,7 @@
 use wheelmast_core::arena::SlotKey;
 use wheelmast_core::process::forward::answer::{AttemptOrder, ForwardAction, ForwardAnswer};
 use wheelmast_core::process::forward::input::{AttemptEnd, ForwardCall, ForwardInput};
-use wheelmast_core::process::forward::roll::view_of;
+use wheelmast_core::process::forward::roll::select_known_peers;
 use wheelmast_core::process::input::CallTag;
 
 use crate::model::bound::BoundWatch;
@@ -121,7 +121,10 @@
             let cuts = spec.cuts.iter().filter(|cut| cut.entries.contains(&number));
             entry.cuts = cuts.map(|cut| (cut.from, cut.until)).collect();
             entry.obey(table.clone(), peers.len() as u32);
-            let known = view_of(peer, &peers).into_iter().cloned().collect();
+            let known = select_known_peers(peer, &peers)
+                .into_iter()
+                .cloned()
+                .collect();
             let _ = entry.step(Duration::ZERO, ForwardInput::Peers(known));
             for (place, server) in servers.iter().enumerate() {
                 let notice = notice_of(place, server, spec.slots);
--- a/crates/fake/src/model/told.rs
+++ b/crates/fake/src/model/told.rs
@@ -1,7 +1,7 @@
 //! What entries are told in a play: the table, the servers, servers' answers.
 
 use bytes::Bytes;
-use wheelmast_core::process::forward::directory::{ServerNotice, ServerStanding};
+use wheelmast_core::process::forward::directory::{ServerAnnouncement, ServerLifecycle};
 use wheelmast_core::process::forward::input::{AttemptEnd, EntryPeer, LoadReport, ServerAnswer};
 use wheelmast_core::request::mark::{CallerMark, ContentMark, RequestMark};
 use wheelmast_core::version::route_table::{
@@ -94,16 +94,16 @@
     peers.collect()
 }
 
-pub(super) fn notice_of(place: usize, server: &ModelServer, slots: u32) -> ServerNotice {
+pub(super) fn notice_of(place: usize, server: &ModelServer, slots: u32) -> ServerAnnouncement {
     let (shard, domain) = (place / DOMAINS.len(), place % DOMAINS.len());
-    ServerNotice {
+    ServerAnnouncement {
         id: server.id.as_str().into(),
         service: format!("s{shard}").into(),
         address: Some(([10, 0, domain as u8, shard as u8], 1000).into()),
         domain: DOMAINS[domain].into(),
         version: "".into(),
         slots,
-        standing: ServerStanding::Ready,
+        standing: ServerLifecycle::Ready,
         born: 0,
         sequence: 1,
         cold_ms: 0,
--- a/crates/node/src/process/forward/callers.rs
+++ b/crates/node/src/process/forward/callers.rs
@@ -231,7 +231,7 @@
     }
     let image = RequestImage::new::<D>(&parts.method, &parts.uri, &parts.headers, &id, body);
     let image = image.with_mark(mark);
-    let capped = entry.look(|machine| machine.capped_workspace(&call));
+    let capped = entry.look(|machine| machine.find_capped_workspace(&call));
     if let Some(workspace) = &capped {
         match entry.caps.acquire(workspace).await {
             CapVerdict::Taken => {}
--- a/crates/node/src/process/forward/entry.rs
+++ b/crates/node/src/process/forward/entry.rs
@@ -201,8 +201,8 @@
     }
 
     /// Takes what the control group is to be told of versions.
-    pub fn take_tallies(&self) -> Vec<VersionTally> {
-        self.machine.borrow_mut().take_tallies()
+    pub fn take_outcome_counts(&self) -> Vec<VersionTally> {
+        self.machine.borrow_mut().take_outcome_counts()
     }
 
     /// Returns where it comes what another entry is granted.
--- a/crates/node/src/process/forward/feed.rs
+++ b/crates/node/src/process/forward/feed.rs
@@ -158,8 +158,8 @@
     async fn listen(self: &Rc<Self>, address: SocketAddr, heard: &mut bool) -> anyhow::Result<()> {
         let begun = Instant::now();
         let mut stream = connect(address).await?;
-        let way = begun.elapsed();
-        let mut wishes = self.lines.borrow_mut().add_line(address, way);
+        let connect_time = begun.elapsed();
+        let mut wishes = self.lines.borrow_mut().add_line(address, connect_time);
         let subscribe = GroupMessage::Subscribe {
             peer: self.peer.clone(),
             confirm: self.confirmed.get().is_none(),
@@ -214,7 +214,7 @@
         if !self.is_source(address) {
             return GroupMessage::Ping;
         }
-        let tallies = self.entry.take_tallies();
+        let tallies = self.entry.take_outcome_counts();
         if tallies.is_empty() {
             GroupMessage::Ping
         } else {
@@ -264,8 +264,8 @@
                 self.lines.borrow_mut().learn_site(address, place);
                 let state = LineState {
                     is_near,
-                    is_settled: settled,
-                    is_fresh: fresh,
+                    has_quorum: settled,
+                    started_recently: fresh,
                     version,
                 };
                 if settled && self.is_source(address) {
--- a/crates/node/src/process/forward/lines.rs
+++ b/crates/node/src/process/forward/lines.rs
@@ -8,7 +8,8 @@
 
 use wheelmast_core::process::forward::place::PlaceStep;
 use wheelmast_core::process::forward::source::{
-    choose_lines, choose_source, ControlPeer, ControlSite, LineCandidate, LINES,
+    choose_control_connections, choose_source, ControlCandidate, ControlPeer, ControlSite,
+    CONTROL_CONNECTIONS,
 };
 use wheelmast_wire::group::GroupMessage;
 
@@ -36,9 +37,9 @@
     /// Whether it stands in the entry's failure domain.
     pub is_near: bool,
     /// Whether it is in contact with the group.
-    pub is_settled: bool,
+    pub has_quorum: bool,
     /// Whether it has started a moment ago.
-    pub is_fresh: bool,
+    pub started_recently: bool,
     /// Version of the route table in force there; 0 for none.
     pub version: u64,
 }
@@ -62,7 +63,7 @@
     failures: u32,
     /// When it last failed, or said that it is out of contact with its group,
     /// unless it was heard to be well since.
-    doubted: Option<Duration>,
+    last_failed_at: Option<Duration>,
     /// Whether a task keeps the connection to it.
     is_followed: bool,
     /// Whether a connection to it is wanted.
@@ -116,7 +117,7 @@
     pub fn fail_site(&mut self, address: SocketAddr) {
         let site = self.sites.entry(address).or_default();
         site.failures = site.failures.saturating_add(1);
-        site.doubted = Some(self.clock.elapsed());
+        site.last_failed_at = Some(self.clock.elapsed());
     }
 
     /// Chooses the instances that the entry is connected to. Returns those that
@@ -133,21 +134,23 @@
         };
         let candidates = self.sites.iter().map(|(address, site)| {
             let place = site.place.as_ref();
-            let lately = site.doubted.filter(|doubted| now < *doubted + DOUBT_TIME);
-            LineCandidate {
+            let lately = site
+                .last_failed_at
+                .filter(|last_failed_at| now < *last_failed_at + DOUBT_TIME);
+            ControlCandidate {
                 address: *address,
                 place: place.map(|(domain, place)| (&**domain, *place)),
-                doubted: if is_quiet(address) { Some(now) } else { lately },
+                last_failed_at: if is_quiet(address) { Some(now) } else { lately },
             }
         });
         let candidates: Vec<_> = candidates.collect();
-        let chosen = choose_lines(&self.own, &candidates);
+        let chosen = choose_control_connections(&self.own, &candidates);
         let is_good = |address: &&SocketAddr| {
             let line = lines.get(address);
-            line.is_some_and(|line| line.peer.is_settled) && !is_quiet(address)
+            line.is_some_and(|line| line.peer.has_quorum) && !is_quiet(address)
         };
         let good = chosen.iter().filter(is_good).count();
-        let keeps = good < LINES.min(self.sites.len());
+        let keeps = good < CONTROL_CONNECTIONS.min(self.sites.len());
         let mut begun = Vec::new();
         for (address, site) in &mut self.sites {
             let is_kept = keeps && lines.contains_key(address);
@@ -188,17 +191,21 @@
         self.source
     }
 
-    /// Adds a connection that was opened in `way`. Returns what is wished
+    /// Adds a connection that was opened in `connect_time`. Returns what is wished
     /// from it.
-    pub fn add_line(&mut self, address: SocketAddr, way: Duration) -> RingReceiver<GroupMessage> {
+    pub fn add_line(
+        &mut self,
+        address: SocketAddr,
+        connect_time: Duration,
+    ) -> RingReceiver<GroupMessage> {
         let (wishes, ring) = bounded_ring(WISH_RING);
         let line = FeedLine {
             peer: ControlPeer {
                 address,
                 is_near: false,
-                is_settled: false,
-                is_fresh: true,
-                way,
+                has_quorum: false,
+                started_recently: true,
+                connect_time,
             },
             version: 0,
             heard: self.clock.elapsed(),
@@ -232,13 +239,13 @@
             return false;
         };
         if let Some(site) = self.sites.get_mut(&address) {
-            site.doubted = (!state.is_settled).then(|| self.clock.elapsed());
+            site.last_failed_at = (!state.has_quorum).then(|| self.clock.elapsed());
             site.failures = 0;
         }
         let known = line.peer;
         line.peer.is_near = state.is_near;
-        line.peer.is_settled = state.is_settled;
-        line.peer.is_fresh = state.is_fresh;
+        line.peer.has_quorum = state.has_quorum;
+        line.peer.started_recently = state.started_recently;
         line.version = state.version;
         line.peer != known || self.source.is_none()
     }
@@ -251,13 +258,13 @@
             .lines
             .values()
             .map(|line| ControlPeer {
-                is_settled: line.peer.is_settled && now < line.heard + QUIET_TIME,
+                has_quorum: line.peer.has_quorum && now < line.heard + QUIET_TIME,
                 ..line.peer
             })
             .collect();
         let former = self.source;
         let is_early = now < SETTLE_TIME;
-        if former.is_none() && is_early && !peers.iter().any(|peer| peer.is_settled) {
+        if former.is_none() && is_early && !peers.iter().any(|peer| peer.has_quorum) {
             // All have just started; who is near is not known yet.
             return false;
         }
@@ -284,10 +291,10 @@
         let ControlPeer {
             address,
             is_near,
-            is_settled,
+            has_quorum,
             ..
         } = line.peer;
-        tracing::info!(target: "entry", control = %address, near = is_near, settled = is_settled, candidates = peers.len(), "source: chosen");
+        tracing::info!(target: "entry", control = %address, near = is_near, settled = has_quorum, candidates = peers.len(), "source: chosen");
         true
     }
 
@@ -336,7 +343,7 @@
             .lines
             .values()
             .filter(|line| line.version >= version && !tried.contains(&line.peer.address));
-        let Some(line) = able.min_by_key(|line| line.peer.way) else {
+        let Some(line) = able.min_by_key(|line| line.peer.connect_time) else {
             return false;
         };
         tried.insert(line.peer.address);
--- a/crates/node/src/process/group/answer.rs
+++ b/crates/node/src/process/group/answer.rs
@@ -11,7 +11,7 @@
 use wheelmast_core::process::control::evacuation::EvacuationOutcome;
 use wheelmast_core::process::control::rollout::RolloutOutcome;
 use wheelmast_core::process::control::state::{CommandOutcome, ControlCommand, RouteOutcome};
-use wheelmast_core::process::forward::directory::ServerNotice;
+use wheelmast_core::process::forward::directory::ServerAnnouncement;
 use wheelmast_core::version::route_table::RouteTable;
 use wheelmast_wire::dialect::{ControlCall, ForwardDialect};
 use wheelmast_wire::group::GroupTell;
@@ -89,7 +89,10 @@
     text_response(StatusCode::BAD_REQUEST, reason)
 }
 
-async fn announce<D: ForwardDialect>(node: &Rc<GroupNode>, notice: ServerNotice) -> FullResponse {
+async fn announce<D: ForwardDialect>(
+    node: &Rc<GroupNode>,
+    notice: ServerAnnouncement,
+) -> FullResponse {
     if let Some(reason) = node.doubt_announcement(&notice) {
         return refuse(node, &notice.id, reason.to_string());
     }
--- a/crates/node/src/process/group/inbound.rs
+++ b/crates/node/src/process/group/inbound.rs
@@ -9,7 +9,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use wheelmast_core::process::control::message::ReplicaInput;
 use wheelmast_core::process::control::state::MemberRecord;
-use wheelmast_core::process::forward::directory::ServerKeeper;
+use wheelmast_core::process::forward::directory::ServerObserver;
 use wheelmast_core::process::forward::input::EntryPeer;
 use wheelmast_wire::group::{GroupAsk, GroupMessage, GroupTell};
 
@@ -102,7 +102,7 @@
 fn ask_missed(node: &Rc<GroupNode>, peer: SocketAddr, followers: u64, servers: u64) {
     let (knows_followers, knows_servers) = {
         let state = node.state.borrow();
-        let known = state.directory.digest(ServerKeeper::Peer(peer));
+        let known = state.directory.digest(ServerObserver::Peer(peer));
         (
             state.followers.is_current(peer, followers),
             known == servers,
@@ -360,9 +360,9 @@
     let mut state = node.state.borrow_mut();
     messages.extend(state.first_members(key));
     messages.push(GroupMessage::Notices(notices));
-    let silent = state.directory.iter().filter(|record| record.silent);
-    let silent = silent.map(|record| (record.notice.id.clone(), true));
-    messages.push(GroupMessage::Silent(silent.collect()));
+    let expired = state.directory.iter().filter(|record| record.expired);
+    let expired = expired.map(|record| (record.notice.id.clone(), true));
+    messages.push(GroupMessage::Silent(expired.collect()));
     messages
 }
 
--- a/crates/node/src/process/group/measure.rs
+++ b/crates/node/src/process/group/measure.rs
@@ -16,7 +16,7 @@
     let now = node.now();
     let state = node.state.borrow();
     let servers = state.directory.iter();
-    let silent = servers.filter(|record| record.silent).count();
+    let expired = servers.filter(|record| record.expired).count();
     let waiting = state.batch.saturating_sub(state.lasting);
     let gauges = [
         ("wheelmast_route_table_version", state.published.version),
@@ -27,7 +27,7 @@
         ("wheelmast_group_entries", state.subscribers.len() as u64),
         ("wheelmast_group_contacts", state.count_contacts(now) as u64),
         ("wheelmast_servers_known", state.directory.len() as u64),
-        ("wheelmast_servers_silent", silent as u64),
+        ("wheelmast_servers_silent", expired as u64),
         (
             "wheelmast_evacuated_domains",
             state.evacuations.domains.len() as u64,
--- a/crates/node/src/process/group/node.rs
+++ b/crates/node/src/process/group/node.rs
@@ -11,7 +11,7 @@
 use wheelmast_core::finding::FindingList;
 use wheelmast_core::process::control::replica::ReplicaMachine;
 use wheelmast_core::process::control::state::MemberRecord;
-use wheelmast_core::process::forward::directory::ServerKeeper;
+use wheelmast_core::process::forward::directory::ServerObserver;
 use wheelmast_core::process::forward::source::ControlSite;
 use wheelmast_core::version::route_table::RouteDraft;
 use wheelmast_wire::group::GroupMessage;
@@ -161,7 +161,7 @@
             learns: self.learns(),
             known,
             followers: state.followers.digest(),
-            servers: state.directory.digest(ServerKeeper::Own),
+            servers: state.directory.digest(ServerObserver::Local),
         }
     }
 
--- a/crates/node/src/process/group/servers.rs
+++ b/crates/node/src/process/group/servers.rs
@@ -6,7 +6,7 @@
 
 use tokio::sync::oneshot;
 use wheelmast_core::process::forward::directory::{
-    LifeMark, NoticeEffect, ServerKeeper, ServerNotice, ServerStanding,
+    AnnouncementEffect, AnnouncementPosition, ServerAnnouncement, ServerLifecycle, ServerObserver,
 };
 use wheelmast_wire::group::GroupMessage;
 
@@ -23,36 +23,41 @@
 impl GroupNode {
     /// Returns all that is known of servers; of two lifetimes at an address the
     /// later one stands behind.
-    pub fn all_notices(&self) -> Vec<ServerNotice> {
+    pub fn all_notices(&self) -> Vec<ServerAnnouncement> {
         self.lacking_notices(&[])
     }
 
     /// Returns what is known of servers, in the same order, but for the parts of
     /// them that have one of these digests.
-    pub fn lacking_notices(&self, digests: &[u64]) -> Vec<ServerNotice> {
+    pub fn lacking_notices(&self, digests: &[u64]) -> Vec<ServerAnnouncement> {
         let state = self.state.borrow();
-        let records = state.directory.lacking(digests).into_iter();
+        let records = state.directory.records_to_sync(digests).into_iter();
         records.map(|record| record.notice.clone()).collect()
     }
 
     /// Returns the servers that were heard to leave in the last `time`.
-    pub fn late_leavers(&self, time: Duration) -> Vec<ServerNotice> {
+    pub fn late_leavers(&self, time: Duration) -> Vec<ServerAnnouncement> {
         let now = self.now();
         let state = self.state.borrow();
         let leavers = state.directory.iter().filter(|record| {
-            record.notice.standing != ServerStanding::Ready && now < record.heard + time
+            record.notice.standing != ServerLifecycle::Ready && now < record.last_seen_at + time
         });
-        leavers.map(|record| record.notice.urgent()).collect()
+        leavers
+            .map(|record| record.notice.lifecycle_only())
+            .collect()
     }
 
     /// Takes news of a server and tells the entries what they change.
-    pub fn take_notice(&self, notice: ServerNotice) -> NoticeEffect {
+    pub fn take_notice(&self, notice: ServerAnnouncement) -> AnnouncementEffect {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let id = notice.id.clone();
-        let was_silent = state.directory.get(&id).is_some_and(|record| record.silent);
+        let was_silent = state
+            .directory
+            .get(&id)
+            .is_some_and(|record| record.expired);
         let effect = state.directory.apply(notice, now);
-        if effect != NoticeEffect::Changed {
+        if effect != AnnouncementEffect::Changed {
             return effect;
         }
         state.servers_changed = true;
@@ -61,8 +66,8 @@
         };
         let notice = record.notice.clone();
         tracing::info!(target: "group", server = %id, service = %notice.service, standing = ?notice.standing, sequence = notice.sequence, "server: changed");
-        if notice.standing != ServerStanding::Ready {
-            state.tell_urgent(GroupMessage::Notices(vec![notice.urgent()]));
+        if notice.standing != ServerLifecycle::Ready {
+            state.tell_urgent(GroupMessage::Notices(vec![notice.lifecycle_only()]));
         }
         state.tell_whole(GroupMessage::Notices(vec![notice]));
         if was_silent {
@@ -83,14 +88,14 @@
 
     /// Returns what speaks against an announcement made here, if it is none of
     /// the server that it names.
-    pub fn doubt_announcement(&self, notice: &ServerNotice) -> Option<&'static str> {
+    pub fn doubt_announcement(&self, notice: &ServerAnnouncement) -> Option<&'static str> {
         let state = self.state.borrow();
         let known = &state.directory.get(&notice.id)?.notice;
         if notice.address.is_some() && notice.born == 0 && known.born != 0 {
             return Some("it does not say when the server started");
         }
         notice
-            .contradicts(known)
+            .conflicts_with(known)
             .then_some("the server is another one by what it said before")
     }
 
@@ -113,18 +118,21 @@
     /// Takes an announcement made here. Returns whether it may be
     /// acknowledged: that a server leaves must outlast this instance, and that
     /// it lives must come to the others, or they would take it for silent.
-    pub async fn take_announcement(self: &Rc<Self>, notice: ServerNotice) -> bool {
-        let (id, mark) = (notice.id.clone(), notice.mark());
-        let leaves = notice.standing != ServerStanding::Ready;
+    pub async fn take_announcement(self: &Rc<Self>, notice: ServerAnnouncement) -> bool {
+        let (id, position) = (notice.id.clone(), notice.position());
+        let leaves = notice.standing != ServerLifecycle::Ready;
         let effect = self.take_notice(notice.clone());
-        let is_news = matches!(effect, NoticeEffect::Changed | NoticeEffect::Renewed);
-        if is_news && !leaves && self.state.borrow_mut().directory.keep(&id) {
-            self.state.borrow_mut().renewals.insert(id, mark);
+        let is_news = matches!(
+            effect,
+            AnnouncementEffect::Changed | AnnouncementEffect::Renewed
+        );
+        if is_news && !leaves && self.state.borrow_mut().directory.observe_locally(&id) {
+            self.state.borrow_mut().renewals.insert(id, position);
         }
         if leaves {
             return self.keep_leaving(notice).await;
         }
-        if effect == NoticeEffect::Changed {
+        if effect == AnnouncementEffect::Changed {
             let message = GroupMessage::Notices(vec![notice]);
             self.state.borrow().tell_control(&message);
         }
@@ -132,7 +140,7 @@
         contacts >= self.settings.tolerate
     }
 
-    async fn keep_leaving(self: &Rc<Self>, notice: ServerNotice) -> bool {
+    async fn keep_leaving(self: &Rc<Self>, notice: ServerAnnouncement) -> bool {
         let missing = self.settings.tolerate;
         if missing == 0 {
             return true;
@@ -145,9 +153,9 @@
             let notice = Box::new(notice);
             state.tell_control(&GroupMessage::Keep { tag, notice });
         }
-        let kept = tokio::time::timeout(KEEP_TIME, receiver).await;
+        let observed = tokio::time::timeout(KEEP_TIME, receiver).await;
         self.state.borrow_mut().keeps.remove(&tag);
-        matches!(kept, Ok(Ok(())))
+        matches!(observed, Ok(Ok(())))
     }
 
     /// Takes another instance's word that it holds news.
@@ -184,10 +192,12 @@
     /// Returns all servers that this instance hears.
     pub fn whole_renewals(&self) -> GroupMessage {
         let state = self.state.borrow();
-        let kept = state.directory.kept();
+        let observed = state.directory.observed();
         GroupMessage::Renewals {
             whole: true,
-            servers: kept.map(|(id, mark)| (id.into(), mark)).collect(),
+            servers: observed
+                .map(|(id, position)| (id.into(), position))
+                .collect(),
         }
     }
 
@@ -197,45 +207,46 @@
         &self,
         peer: SocketAddr,
         whole: bool,
-        servers: Vec<(Box<str>, LifeMark)>,
+        servers: Vec<(Box<str>, AnnouncementPosition)>,
     ) -> Vec<Box<str>> {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
         let directory = &mut state.directory;
         let missed = servers.iter();
-        let missed = missed.filter(|(id, mark)| !directory.knows(id, *mark));
+        let missed = missed.filter(|(id, position)| !directory.knows_incarnation(id, *position));
         let missed: Vec<Box<str>> = missed.map(|(id, _)| id.clone()).collect();
         if !missed.is_empty() {
             state.servers_missed += missed.len() as u64;
             tracing::warn!(target: "group", %peer, servers = missed.len(), "server: heard by another instance, not known here");
         }
-        for (id, mark) in &servers {
-            directory.renew(id, *mark, now);
-            directory.keep_at(id, peer);
+        for (id, position) in &servers {
+            directory.renew_lease(id, *position, now);
+            directory.observe_at_peer(id, peer);
         }
         if whole {
             let ids = servers.into_iter().map(|(id, _)| id).collect();
-            directory.keep_only(peer, &ids, now);
+            directory.retain_observed_at_peer(peer, &ids, now);
         }
         missed
     }
 
     /// Returns the notices of the servers with these ids that take work.
-    pub fn notices_of(&self, ids: &[Box<str>]) -> Vec<ServerNotice> {
+    pub fn notices_of(&self, ids: &[Box<str>]) -> Vec<ServerAnnouncement> {
         let state = self.state.borrow();
         let records = ids.iter().filter_map(|id| state.directory.get(id));
         let notices = records.map(|record| &record.notice);
-        let notices = notices.filter(|notice| notice.standing == ServerStanding::Ready);
+        let notices = notices.filter(|notice| notice.standing == ServerLifecycle::Ready);
         notices.cloned().collect()
     }
 
     /// Takes another control instance's word that servers are silent.
-    pub fn take_lapsed(&self, peer: SocketAddr, servers: &[(Box<str>, LifeMark)]) {
+    pub fn take_lapsed(&self, peer: SocketAddr, servers: &[(Box<str>, AnnouncementPosition)]) {
         let mut state = self.state.borrow_mut();
         let directory = &mut state.directory;
         let lapsed = servers.iter();
-        let lapsed = lapsed.filter(|(id, mark)| directory.lapse(id, *mark, peer));
+        let lapsed =
+            lapsed.filter(|(id, position)| directory.record_peer_expiry(id, *position, peer));
         let lapsed: Vec<_> = lapsed.map(|(id, _)| (id.clone(), true)).collect();
         if lapsed.is_empty() {
             return;
@@ -250,8 +261,8 @@
         if !std::mem::take(&mut state.servers_changed) {
             return;
         }
-        let living: Vec<&ServerNotice> = state.directory.living().collect();
-        let Ok(servers) = encode_records(&living) else {
+        let confirmed_alive: Vec<&ServerAnnouncement> = state.directory.confirmed_alive().collect();
+        let Ok(servers) = encode_records(&confirmed_alive) else {
             return;
         };
         let order = DiskOrder {
@@ -263,7 +274,7 @@
     }
 
     /// Takes the servers that were known before a restart.
-    pub fn remember(&self, servers: Vec<ServerNotice>) {
+    pub fn remember(&self, servers: Vec<ServerAnnouncement>) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         tracing::info!(target: "group", servers = servers.len(), "server: remembered");
@@ -283,21 +294,24 @@
         let state = &mut *state;
         let contacts = &state.contacts;
         let heard_peer = |peer: &SocketAddr| contacts.get(peer).copied();
-        let silent = state.directory.sweep(now, self.settings.lease, heard_peer);
-        if silent.is_empty() {
+        let expired = state
+            .directory
+            .expire_leases(now, self.settings.lease, heard_peer);
+        if expired.is_empty() {
             return;
         }
         state.servers_changed = true;
-        for id in &silent {
+        for id in &expired {
             tracing::warn!(target: "group", server = %id, "server: silent");
         }
-        let own = silent.iter().filter_map(|id| {
+        let own = expired.iter().filter_map(|id| {
             let record = state.directory.get(id)?;
-            (record.keeper == ServerKeeper::Own).then(|| (id.clone(), record.notice.mark()))
+            (record.observer == ServerObserver::Local)
+                .then(|| (id.clone(), record.notice.position()))
         });
         let lapsed = GroupMessage::Lapsed(own.collect());
         state.tell_control(&lapsed);
-        let silent = silent.into_iter().map(|id| (id, true)).collect();
-        state.tell_whole(GroupMessage::Silent(silent));
+        let expired = expired.into_iter().map(|id| (id, true)).collect();
+        state.tell_whole(GroupMessage::Silent(expired));
     }
 }
--- a/crates/node/src/process/group/state.rs
+++ b/crates/node/src/process/group/state.rs
@@ -11,9 +11,9 @@
 use wheelmast_core::process::control::log::ReplicaId;
 use wheelmast_core::process::control::message::ReplicaAction;
 use wheelmast_core::process::control::replica::ReplicaMachine;
-use wheelmast_core::process::forward::directory::{LifeMark, ServerDirectory};
+use wheelmast_core::process::forward::directory::{AnnouncementPosition, ServerDirectory};
 use wheelmast_core::process::forward::input::EntryPeer;
-use wheelmast_core::process::forward::roll::view_of;
+use wheelmast_core::process::forward::roll::select_known_peers;
 use wheelmast_core::process::forward::source::ControlSite;
 use wheelmast_core::process::forward::suspect::book::SuspectBook;
 use wheelmast_core::request::mark::RequestMark;
@@ -106,7 +106,7 @@
     fn catch_up(&mut self, roll: &GroupRoll, entries_changed: bool) -> Option<GroupMessage> {
         let mut joined = Vec::new();
         let mut ids = HashSet::new();
-        for peer in view_of(&self.peer, &roll.peers) {
+        for peer in select_known_peers(&self.peer, &roll.peers) {
             let id = peer.id();
             if !self.told.contains(&id) {
                 joined.push(peer.clone());
@@ -197,7 +197,7 @@
     /// Whether servers came or went since they were last kept.
     pub servers_changed: bool,
     /// Servers heard of here since the others were told.
-    pub renewals: HashMap<Box<str>, LifeMark>,
+    pub renewals: HashMap<Box<str>, AnnouncementPosition>,
     /// Lines to other control instances.
     pub links: HashMap<SocketAddr, RingSender<GroupMessage>>,
     /// When another control instance was last heard.
--- a/crates/node/tests/feed.rs
+++ b/crates/node/tests/feed.rs
@@ -11,7 +11,7 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
-use wheelmast_core::process::forward::directory::{ServerNotice, ServerStanding};
+use wheelmast_core::process::forward::directory::{ServerAnnouncement, ServerLifecycle};
 use wheelmast_core::process::forward::input::EntryPeer;
 use wheelmast_core::process::forward::machine::ForwardOptions;
 use wheelmast_node::connection::frame::{write_frame, FrameReader};
@@ -210,14 +210,14 @@
         let entry = entry_at(&[&near, &far]);
         near.say_here("here", true, 0).await;
         far.say_here("there", true, 0).await;
-        let notice = ServerNotice {
+        let notice = ServerAnnouncement {
             id: "server-1".into(),
             service: "s".into(),
             address: Some(([127, 0, 0, 1], 9).into()),
             domain: "here".into(),
             version: "".into(),
             slots: 2,
-            standing: ServerStanding::Ready,
+            standing: ServerLifecycle::Ready,
             born: 0,
             sequence: 4,
             cold_ms: 0,
@@ -225,16 +225,17 @@
         near.say(&GroupMessage::Notices(vec![notice.clone()])).await;
         let count = || entry.look(|machine| machine.server_count());
         until("it takes work", || count() == 1).await;
-        let leaves = ServerNotice {
-            standing: ServerStanding::Draining,
+        let leaves = ServerAnnouncement {
+            standing: ServerLifecycle::Draining,
             born: 0,
             sequence: 5,
             ..notice.clone()
         };
-        far.say(&GroupMessage::Notices(vec![leaves.urgent()])).await;
+        far.say(&GroupMessage::Notices(vec![leaves.lifecycle_only()]))
+            .await;
         until("it takes no more work", || count() == 0).await;
         // Late news of the source undo nothing.
-        let late = ServerNotice {
+        let late = ServerAnnouncement {
             sequence: 6,
             ..notice
         };
--- a/crates/node/tests/forward/lifetimes.rs
+++ b/crates/node/tests/forward/lifetimes.rs
@@ -8,7 +8,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use wheelmast_core::process::control::state::MemberRecord;
-use wheelmast_core::process::forward::directory::{LifeMark, ServerNotice, ServerStanding};
+use wheelmast_core::process::forward::directory::{
+    AnnouncementPosition, ServerAnnouncement, ServerLifecycle,
+};
 use wheelmast_node::connection::frame::FrameReader;
 use wheelmast_wire::group::GroupMessage;
 
@@ -127,15 +129,15 @@
 }
 
 /// A server that only the guest has heard of.
-fn missed_notice() -> ServerNotice {
-    ServerNotice {
+fn missed_notice() -> ServerAnnouncement {
+    ServerAnnouncement {
         id: "missed-1".into(),
         service: "desk".into(),
         address: Some(([127, 0, 0, 1], 9).into()),
         domain: "here".into(),
         version: "".into(),
         slots: 2,
-        standing: ServerStanding::Ready,
+        standing: ServerLifecycle::Ready,
         born: 0,
         sequence: 3,
         cold_ms: 0,
@@ -155,7 +157,7 @@
     let mut guest = GuestControl::listen().await;
     let mut stream = guest.greet(deployment.peers(0)).await;
     let notice = missed_notice();
-    let mark = LifeMark {
+    let mark = AnnouncementPosition {
         born: notice.born,
         sequence: notice.sequence,
     };
--- a/crates/node/tests/held_up/stage.rs
+++ b/crates/node/tests/held_up/stage.rs
@@ -11,7 +11,7 @@
 use hyper::Method;
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
-use wheelmast_core::process::forward::directory::{ServerNotice, ServerStanding};
+use wheelmast_core::process::forward::directory::{ServerAnnouncement, ServerLifecycle};
 use wheelmast_core::process::forward::input::{EntryPeer, ForwardCall, ForwardInput};
 use wheelmast_core::process::forward::machine::ForwardOptions;
 use wheelmast_core::request::mark::{CallerMark, ContentMark, RequestMark};
@@ -161,14 +161,14 @@
 }
 
 fn notice(id: &str, service: &str, address: SocketAddr, domain: &str) -> ForwardInput {
-    ForwardInput::Notice(ServerNotice {
+    ForwardInput::Notice(ServerAnnouncement {
         id: id.into(),
         service: service.into(),
         address: Some(address),
         domain: domain.into(),
         version: "".into(),
         slots: 4,
-        standing: ServerStanding::Ready,
+        standing: ServerLifecycle::Ready,
         born: 0,
         sequence: 1,
         cold_ms: 0,
--- a/crates/node/tests/stories.rs
+++ b/crates/node/tests/stories.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use tracing_subscriber::fmt::MakeWriter;
 use wheelmast_core::process::forward::answer::{ForwardAction, ForwardDecision, ForwardEvent};
-use wheelmast_core::process::forward::directory::{ServerNotice, ServerStanding};
+use wheelmast_core::process::forward::directory::{ServerAnnouncement, ServerLifecycle};
 use wheelmast_core::process::forward::input::{
     AttemptEnd, ForwardCall, ForwardInput, LoadReport, ServerAnswer,
 };
@@ -95,14 +95,14 @@
         let table = RouteTable::check(draft).expect("a table");
         teller.step(ForwardInput::Table(Arc::new(table)));
         for (port, service) in [(1, "s0"), (2, "s1"), (3, "s1"), (4, "orders")] {
-            teller.step(ForwardInput::Notice(ServerNotice {
+            teller.step(ForwardInput::Notice(ServerAnnouncement {
                 id: format!("{service}-{port}").into(),
                 service: service.into(),
                 address: Some(([127, 0, 0, 1], port).into()),
                 domain: "oulu".into(),
                 version: "".into(),
                 slots: 2,
-                standing: ServerStanding::Ready,
+                standing: ServerLifecycle::Ready,
                 born: 0,
                 sequence: 1,
                 cold_ms: 0,
--- a/crates/node/tests/suspended.rs
+++ b/crates/node/tests/suspended.rs
@@ -19,7 +19,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use wheelmast_core::process::forward::answer::{ForwardAnswer, ForwardFailure};
-use wheelmast_core::process::forward::directory::{ServerNotice, ServerStanding};
+use wheelmast_core::process::forward::directory::{ServerAnnouncement, ServerLifecycle};
 use wheelmast_core::process::forward::input::{EntryPeer, ForwardCall, ForwardInput};
 use wheelmast_core::process::forward::machine::ForwardOptions;
 use wheelmast_core::request::mark::{CallerMark, ContentMark, RequestMark};
@@ -67,14 +67,14 @@
     let draft: RouteDraft = serde_json::from_str(TABLE).expect("a draft");
     let table = RouteTable::check(draft).expect("a table");
     entry.step(ForwardInput::Table(table.into()));
-    entry.step(ForwardInput::Notice(ServerNotice {
+    entry.step(ForwardInput::Notice(ServerAnnouncement {
         id: "desk-1".into(),
         service: "desk".into(),
         address: Some(server),
         domain: "here".into(),
         version: "".into(),
         slots: 4,
-        standing: ServerStanding::Ready,
+        standing: ServerLifecycle::Ready,
         born: 0,
         sequence: 1,
         cold_ms: 0,
--- a/crates/wire/src/dialect.rs
+++ b/crates/wire/src/dialect.rs
@@ -9,7 +9,7 @@
 
 use wheelmast_core::finding::FindingList;
 use wheelmast_core::process::control::rollout::RolloutState;
-use wheelmast_core::process::forward::directory::ServerNotice;
+use wheelmast_core::process::forward::directory::ServerAnnouncement;
 use wheelmast_core::version::route_table::RouteDraft;
 
 /// Names of the headers that the conversations use, in lower case.
@@ -107,14 +107,14 @@
     /// # Errors
     ///
     /// Returns all findings at once.
-    fn read_notice(id: &str, text: &[u8]) -> Result<ServerNotice, FindingList>;
+    fn read_notice(id: &str, text: &[u8]) -> Result<ServerAnnouncement, FindingList>;
 
     /// Reads what a server says when it leaves; it need not say anything.
     ///
     /// # Errors
     ///
     /// Returns all findings at once.
-    fn read_withdrawal(id: &str, text: &[u8]) -> Result<ServerNotice, FindingList>;
+    fn read_withdrawal(id: &str, text: &[u8]) -> Result<ServerAnnouncement, FindingList>;
 }
 
 /// Returns the one finding that a text is not what was expected.
--- a/crates/wire/src/group.rs
+++ b/crates/wire/src/group.rs
@@ -9,7 +9,7 @@
 use wheelmast_core::process::control::log::ReplicaId;
 use wheelmast_core::process::control::message::ReplicaMessage;
 use wheelmast_core::process::control::state::{CommandOutcome, ControlCommand, MemberRecord};
-use wheelmast_core::process::forward::directory::{LifeMark, ServerNotice};
+use wheelmast_core::process::forward::directory::{AnnouncementPosition, ServerAnnouncement};
 use wheelmast_core::process::forward::input::EntryPeer;
 use wheelmast_core::process::forward::source::ControlSite;
 use wheelmast_core::process::forward::suspect::record::SuspectRecord;
@@ -48,13 +48,13 @@
         message: ReplicaMessage,
     },
     /// News of servers.
-    Notices(Vec<ServerNotice>),
+    Notices(Vec<ServerAnnouncement>),
     /// News of a server that the sender will acknowledge once others hold it.
     Keep {
         /// The sender's name for it.
         tag: u64,
         /// The news.
-        notice: Box<ServerNotice>,
+        notice: Box<ServerAnnouncement>,
     },
     /// The news of this tag are held.
     Kept(u64),
@@ -64,12 +64,12 @@
         /// Whether it names all.
         whole: bool,
         /// The servers.
-        servers: Vec<(Box<str>, LifeMark)>,
+        servers: Vec<(Box<str>, AnnouncementPosition)>,
     },
     /// A control instance asks another one for all the servers that it hears.
     AskRenewals,
     /// Servers that the sender heard and does not hear any more.
-    Lapsed(Vec<(Box<str>, LifeMark)>),
+    Lapsed(Vec<(Box<str>, AnnouncementPosition)>),
     /// Servers that are silent, or no longer.
     Silent(Vec<(Box<str>, bool)>),
     /// A question to the leader.
--- a/crates/wire/src/native.rs
+++ b/crates/wire/src/native.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use wheelmast_core::finding::FindingList;
 use wheelmast_core::process::control::rollout::RolloutState;
-use wheelmast_core::process::forward::directory::{ServerNotice, ServerStanding};
+use wheelmast_core::process::forward::directory::{ServerAnnouncement, ServerLifecycle};
 use wheelmast_core::version::route_table::RouteDraft;
 
 use crate::dialect::{unreadable, ControlCall, ForwardDialect, HeaderNames, RolloutOrder};
@@ -123,14 +123,14 @@
         serde_json::from_slice(text).map_err(|error| unreadable(&error))
     }
 
-    fn read_notice(id: &str, text: &[u8]) -> Result<ServerNotice, FindingList> {
+    fn read_notice(id: &str, text: &[u8]) -> Result<ServerAnnouncement, FindingList> {
         let body: NoticeBody = serde_json::from_slice(text).map_err(|error| unreadable(&error))?;
         let standing = if body.draining {
-            ServerStanding::Draining
+            ServerLifecycle::Draining
         } else {
-            ServerStanding::Ready
+            ServerLifecycle::Ready
         };
-        Ok(ServerNotice {
+        Ok(ServerAnnouncement {
             id: id.into(),
             service: body.service,
             address: Some(body.address),
@@ -144,13 +144,13 @@
         })
     }
 
-    fn read_withdrawal(id: &str, text: &[u8]) -> Result<ServerNotice, FindingList> {
+    fn read_withdrawal(id: &str, text: &[u8]) -> Result<ServerAnnouncement, FindingList> {
         if text.is_empty() {
-            return Ok(ServerNotice::gone(id, 0));
+            return Ok(ServerAnnouncement::gone(id, 0));
         }
         let body: WithdrawalBody =
             serde_json::from_slice(text).map_err(|error| unreadable(&error))?;
-        Ok(ServerNotice::gone(id, body.born))
+        Ok(ServerAnnouncement::gone(id, body.born))
     }
 }
 
