--- a/crates/core/src/process/forward/access.rs
+++ b/crates/core/src/process/forward/access.rs
@@ -1,5 +1,5 @@
-//! Who may ask: the workspace of a request, and what becomes of requests whose
-//! key is taken away.
+//! Access control: determines the workspace (customer) that a request belongs to by
+//! the caller's key, and ends requests whose key is revoked by a new route table.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,30 +11,32 @@
 use crate::version::route_table::{RouteRule, RouteTable};
 use crate::version::workspace::WorkspaceKey;
 
-/// Returns the workspace of a request, if its table has any.
+/// Returns the workspace of a request. Returns `None` if the table defines no
+/// workspaces, or if the route is public and no workspace was found.
 ///
 /// # Errors
 ///
-/// Fails if the request may not run. One that another entry passed on comes
-/// without a key; if its workspace is not known here, the tables differ.
+/// Fails with `NoKey` if the caller's key belongs to no workspace. A request relayed by
+/// another entry carries the workspace's name instead of a key. If that workspace
+/// is unknown, the entries have different tables and the call fails with `NoTable`.
 pub(super) fn find_workspace(
     table: &RouteTable,
     route: &RouteRule,
     call: &ForwardCall,
 ) -> Result<Option<WorkspaceKey>, ForwardFailure> {
-    let Some(book) = table.workspaces() else {
+    let Some(workspaces) = table.workspaces() else {
         return Ok(None);
     };
     let (found, refusal) = match &call.relayed {
         Some(order) => {
             let name = order.workspace.as_deref();
             (
-                name.and_then(|name| book.named(name)),
+                name.and_then(|name| workspaces.named(name)),
                 ForwardFailure::NoTable,
             )
         }
         None => {
-            let holder = call.key.and_then(|key| book.holder(key));
+            let holder = call.key.and_then(|key| workspaces.holder(key));
             (holder, ForwardFailure::NoKey)
         }
     };
@@ -46,8 +48,9 @@
 }
 
 impl ForwardMachine {
-    /// Returns the workspace of a caller's request, if it has a cap. What another
-    /// entry passed on has its token.
+    /// Returns the workspace of a caller's request if the workspace has a usage cap.
+    /// Returns `None` for a relayed request, because the entry that relayed it has
+    /// already spent a token for it.
     pub fn find_capped_workspace(&self, call: &ForwardCall) -> Option<Arc<str>> {
         let table = self.table.as_ref().filter(|_| call.relayed.is_none())?;
         let route = &table.routes()[table.find(&call.host, &call.path)?];
@@ -56,9 +59,10 @@
         rule.cap.is_some().then(|| rule.name.as_str().into())
     }
 
-    /// Ends the requests at work whose key a new table gives to nobody, or to
-    /// another workspace. What may not be repeated and was sent is finished: its
-    /// caller would not learn whether it ran.
+    /// Ends the running requests whose key belongs to no workspace or to another one in
+    /// the new table. A non-idempotent request that was already sent is finished
+    /// without further attempts, because otherwise its caller would not learn whether
+    /// it ran.
     pub(super) fn end_unauthorized(
         &mut self,
         table: &RouteTable,
@@ -85,17 +89,17 @@
     }
 }
 
-/// Tells whether the workspace of a request still holds its key.
+/// Returns whether the key of a request still belongs to the request's workspace.
 fn is_still_authorized(table: &RouteTable, state: &CallState) -> bool {
     let Some(name) = state.workspace.as_ref().filter(|_| !state.rule().public) else {
         return true;
     };
-    let Some(book) = table.workspaces() else {
+    let Some(workspaces) = table.workspaces() else {
         return true;
     };
     let holder = match state.key {
-        Some(key) => book.holder(key),
-        None => book.named(name),
+        Some(key) => workspaces.holder(key),
+        None => workspaces.named(name),
     };
-    holder.is_some_and(|holder| *book.rule(holder).name == **name)
+    holder.is_some_and(|holder| *workspaces.rule(holder).name == **name)
 }
--- a/crates/core/src/process/forward/announcements.rs
+++ b/crates/core/src/process/forward/announcements.rs
@@ -1,5 +1,8 @@
-//! The servers that an entry knows: what is heard of them, and whether they are
-//! in use.
+//! Handling of server announcements, lease reports and evacuations by an entry.
+//!
+//! Keeps the set of usable servers of each upstream up to date: adds new and restarted
+//! servers, removes those that left or were replaced, and marks those whose lease
+//! expired or whose failure domain was taken out of use.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,15 +16,16 @@
 use crate::process::forward::server::ServerState;
 
 impl ForwardMachine {
-    /// Takes what a server says of itself, or what is said of it.
+    /// Handles an announcement of a server, received directly or through a control
+    /// instance.
     pub(super) fn notice(
         &mut self,
-        notice: ServerAnnouncement,
+        announcement: ServerAnnouncement,
         now: Duration,
         out: &mut Vec<ForwardAction>,
     ) {
-        let id = notice.id.clone();
-        let effect = self.directory.apply(notice, now);
+        let id = announcement.id.clone();
+        let effect = self.directory.apply(announcement, now);
         if matches!(
             effect,
             AnnouncementEffect::Stale | AnnouncementEffect::Conflicting
@@ -38,7 +42,8 @@
                 state.warm_at = now + Duration::from_millis(known.cold_ms);
                 return self.advance_lifecycle(server, known.standing, out);
             }
-            // It started again under its id, and knows nothing of before.
+            // The server restarted under the same id, so the state of its former
+            // incarnation no longer applies.
             self.server_ids.remove(&id);
             self.advance_lifecycle(server, ServerLifecycle::Gone, out);
         }
@@ -51,17 +56,21 @@
         self.add_server(known, address, now, out);
     }
 
+    /// Adds a server and starts requests that were waiting for one. A server known
+    /// under the same address is marked as expired, or as gone if it belonged to
+    /// another service.
     fn add_server(
         &mut self,
-        notice: ServerAnnouncement,
+        announcement: ServerAnnouncement,
         address: SocketAddr,
         now: Duration,
         out: &mut Vec<ForwardAction>,
     ) {
-        // Whoever had the address before is gone, most likely: which of two
-        // lifetimes is the later one nobody says, and an entry that has just
-        // started hears of them in any order. The one that is not there says so
-        // when it is asked.
+        // A server that had the address before has most likely left. This is not
+        // certain: announcements do not tell which of two incarnations is the later
+        // one, and an entry that has just started receives them in any order. If the
+        // expired server is the live one, the process at the address answers 421
+        // (misdirected) to requests meant for the new server, and `mark_replaced` corrects the state.
         let former = self.servers.iter_mut().find(|(_, server)| {
             server.address == address && server.standing != ServerLifecycle::Gone
         });
@@ -69,31 +78,31 @@
             state.expired = true;
             (former, state.upstream)
         });
-        let upstream = self.upstream(&notice.service);
+        let upstream = self.upstream(&announcement.service);
         match former {
             Some((former, same)) if same == upstream => out.push(ForwardAction::Close(former)),
             Some((former, _)) => self.advance_lifecycle(former, ServerLifecycle::Gone, out),
             None => {}
         }
-        let mut state = ServerState::new(notice.id.clone().into(), upstream, address);
-        state.place = self.place_of(&notice.domain);
-        state.region = self.options.regions.region_of(&notice.domain);
-        state.is_evacuated = self.evacuated.contains(&notice.domain);
-        state.domain = notice.domain;
-        state.version = notice.version;
-        state.slots = notice.slots;
+        let mut state = ServerState::new(announcement.id.clone().into(), upstream, address);
+        state.place = self.place_of(&announcement.domain);
+        state.region = self.options.regions.region_of(&announcement.domain);
+        state.is_evacuated = self.evacuated.contains(&announcement.domain);
+        state.domain = announcement.domain;
+        state.version = announcement.version;
+        state.slots = announcement.slots;
         state.pace = ServerPace::new(self.options.pace);
-        state.born = notice.born;
-        state.warm_at = now + Duration::from_millis(notice.cold_ms);
+        state.born = announcement.born;
+        state.warm_at = now + Duration::from_millis(announcement.cold_ms);
         let server = self.servers.push(state);
-        self.server_ids.insert(notice.id, server);
+        self.server_ids.insert(announcement.id, server);
         self.update_rolled_back(server);
         self.upstreams[upstream].servers.push(server);
         self.serve_waiting(upstream, now, out);
     }
 
-    /// Takes the word of whoever is at a server's address that it is another
-    /// one.
+    /// Handles a reply from a server's address which says that another server runs
+    /// there now. Marks the server as gone and other servers at the address as alive.
     pub(super) fn mark_replaced(&mut self, server: ServerKey, out: &mut Vec<ForwardAction>) {
         let address = self.servers[server].address;
         self.advance_lifecycle(server, ServerLifecycle::Gone, out);
@@ -104,12 +113,15 @@
         }
     }
 
-    /// Returns how far off a failure domain is.
+    /// Returns the proximity of a failure domain to this entry: the same domain, the same
+    /// region or elsewhere.
     pub fn place_of(&self, domain: &str) -> PlaceStep {
         self.options.regions.step(&self.options.domain, domain)
     }
 
-    /// Takes over that a server leaves; it never comes back in its lifetime.
+    /// Moves a server to a later lifecycle state, stops using it and closes its idle
+    /// connections. Does nothing if the state is not later: an incarnation never
+    /// becomes ready again.
     pub(super) fn advance_lifecycle(
         &mut self,
         server: ServerKey,
@@ -127,7 +139,8 @@
         out.push(ForwardAction::Close(server));
     }
 
-    /// Takes over whether the control group hears a server.
+    /// Records whether the control group considers a server's lease expired. A server
+    /// whose lease is valid again is treated as cold for a while.
     pub(super) fn set_expired(&mut self, id: &str, expired: bool, now: Duration) {
         if let Some(server) = self.server_ids.get(id) {
             let state = &mut self.servers[*server];
@@ -138,9 +151,9 @@
         }
     }
 
-    /// Takes over which failure domains are out of use. What their servers have
-    /// is finished there. Entries there go on as they do: it is the servers
-    /// that are to get nothing.
+    /// Records which failure domains are evacuated, that is, taken out of use by the
+    /// operator. Servers there finish the requests that they have and get no new
+    /// ones. Entries there are not affected.
     pub(super) fn set_evacuated(
         &mut self,
         domains: Vec<Box<str>>,
@@ -170,7 +183,7 @@
         }
     }
 
-    /// Returns the failure domains that are out of use.
+    /// Returns the failure domains that are evacuated.
     pub fn evacuated_domains(&self) -> &[Box<str>] {
         &self.evacuated
     }
--- a/crates/core/src/process/forward/directory.rs
+++ b/crates/core/src/process/forward/directory.rs
@@ -1,8 +1,10 @@
-//! What upstream servers announced, ordered by their own sequence numbers.
+//! Directory of the upstream servers and of the newest announcement of each.
 //!
-//! A lifetime of a server has an id of its own, or the id of an earlier one and
-//! a later start. Within it the standing only ever goes from ready to draining
-//! to gone, so that late and doubled news undo nothing, whatever way they took.
+//! An incarnation (one run of a server process) is identified by its id and its
+//! start time; a later start under the same id is a new incarnation. Within one
+//! incarnation, announcements are ordered by sequence number, and the lifecycle
+//! state only moves from ready to draining to gone. Late or duplicate
+//! announcements therefore never undo a newer one, whichever path they took.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -11,74 +13,77 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// How long a server that left is remembered, so that late news of it are
-/// known to be old.
+/// How long the record of a server that is draining, has left or has an expired lease
+/// is retained, so that late announcements are recognized as stale.
 pub const TOMBSTONE_RETENTION: Duration = Duration::from_secs(180);
-/// Parts that ids are divided into for digests.
+/// Number of buckets that server ids are hashed into when directories are compared.
 const DIGEST_BUCKETS: usize = 64;
-/// Part of a lease for which a server that was known before a restart is believed
-/// to live, unless it is heard of.
+/// Fraction of a lease granted to a server that was loaded from disk after a
+/// restart and has not been heard from since.
 const REMEMBERED_LEASE_SHARE: f64 = 0.5;
-/// Announcements that a server may miss in a row before it counts as silent, where
-/// they come seldom.
+/// Consecutive announcements that a server may miss before its lease expires. This
+/// applies to long announcement intervals; `MIN_LEASE` governs short ones.
 const MAX_MISSED_ANNOUNCEMENTS: u32 = 1;
-/// How late an announcement may come.
+/// Maximum expected delay of an announcement.
 const MAX_ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(1500);
-/// Least lease: with announcements each second, one that comes seconds late is
-/// nothing unusual.
+/// Minimum lease. Servers that announce themselves every second are often
+/// several seconds late.
 const MIN_LEASE: Duration = Duration::from_secs(5);
 
-/// Returns the part that an id falls to.
+/// Returns the digest bucket of a server id.
 fn bucket_of(id: &str) -> usize {
     xxh3_64(id.as_bytes()) as usize % DIGEST_BUCKETS
 }
 
-/// Returns the time without an announcement after which a server counts as silent,
-/// where one comes in each `interval`.
+/// Returns the lease of a server that announces itself once per `interval`: the
+/// time without an announcement after which the server is considered unresponsive.
 pub fn lease_for(interval: Duration) -> Duration {
     let missed = interval * (MAX_MISSED_ANNOUNCEMENTS + 1) + MAX_ANNOUNCEMENT_DELAY;
     missed.max(MIN_LEASE)
 }
 
-/// Whether a server takes work. The order is that of a lifetime.
+/// Lifecycle state of a server. The variants are in the order in which an
+/// incarnation passes through them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ServerLifecycle {
-    /// It takes work.
+    /// The server accepts requests.
     Ready,
-    /// It takes no new work.
+    /// The server finishes its requests and accepts no new ones.
     Draining,
-    /// It has left.
+    /// The server has left for good.
     Gone,
 }
 
-/// What a server says of itself.
+/// Announcement of a server: its address, capacity and lifecycle state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerAnnouncement {
-    /// Identity of this lifetime.
+    /// Server id. A restarted server may announce itself under the same id with a
+    /// later start time.
     pub id: Box<str>,
-    /// Its service; empty if only its leaving is known.
+    /// Service that the server belongs to; empty if only its departure is known.
     pub service: Box<str>,
-    /// Where it takes requests.
+    /// Address for requests; `None` if only the server's departure is known.
     pub address: Option<SocketAddr>,
-    /// Its failure domain.
+    /// Failure domain of the server.
     pub domain: Box<str>,
-    /// Version of its software; empty if it does not say.
+    /// Software version of the server; empty if not announced.
     pub version: Box<str>,
-    /// Requests it works on at once.
+    /// Number of requests that the server processes concurrently.
     pub slots: u32,
-    /// Whether it takes work.
+    /// Lifecycle state of the server.
     pub standing: ServerLifecycle,
-    /// When this lifetime started, in Unix milliseconds; 0 if it does not say.
+    /// Start time of the incarnation, in Unix milliseconds; 0 if not announced.
     pub born: u64,
-    /// Grows with each notice of this lifetime.
+    /// Sequence number, which increases with each announcement of the incarnation.
     pub sequence: u64,
-    /// How much longer it is slow after its start, in milliseconds.
+    /// Remaining time for which the server is still cold (slow after its start), in
+    /// milliseconds.
     pub cold_ms: u64,
 }
 
 impl ServerAnnouncement {
-    /// Returns the notice that a server has left, of which nothing else need
-    /// be known; `born` is 0 if it does not say when it started.
+    /// Returns the announcement that a server has left. `born` is the start time of
+    /// the incarnation, or 0 if unknown.
     pub fn gone(id: &str, born: u64) -> ServerAnnouncement {
         let position = AnnouncementPosition {
             born,
@@ -87,7 +92,7 @@
         ServerAnnouncement::without_details(id.into(), ServerLifecycle::Gone, position)
     }
 
-    /// Returns which lifetime it is of, and how new it is in that.
+    /// Returns the incarnation and sequence number of the announcement.
     pub fn position(&self) -> AnnouncementPosition {
         AnnouncementPosition {
             born: self.born,
@@ -95,12 +100,13 @@
         }
     }
 
-    /// Returns the part of the notice that must reach everybody at once: that
-    /// the server leaves.
+    /// Returns a copy with only the id, the lifecycle state and the position. A
+    /// server's departure is sent to every entry immediately in this short form.
     pub fn lifecycle_only(&self) -> ServerAnnouncement {
         ServerAnnouncement::without_details(self.id.clone(), self.standing, self.position())
     }
 
+    /// Returns an announcement that says nothing but the lifecycle state.
     fn without_details(
         id: Box<str>,
         standing: ServerLifecycle,
@@ -120,66 +126,73 @@
         }
     }
 
-    /// Tells whether another writer made one of these: a server's service,
-    /// address and failure domain are the same in a whole lifetime.
+    /// Returns whether the two announcements cannot come from the same incarnation.
+    /// Its service, address and failure domain never change, so a difference
+    /// means that another process announced itself under the same id.
     pub fn conflicts_with(&self, known: &ServerAnnouncement) -> bool {
-        let are_whole = self.address.is_some() && known.address.is_some();
-        are_whole
+        let are_complete = self.address.is_some() && known.address.is_some();
+        are_complete
             && (self.address != known.address
                 || self.service != known.service
                 || self.domain != known.domain)
     }
 }
 
-/// A lifetime of a server, and how new a notice of it is.
+/// Position of an announcement in a server's history: its incarnation, and its
+/// sequence number within that incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct AnnouncementPosition {
-    /// When it started, in Unix milliseconds; 0 if it does not say.
+    /// Start time of the incarnation, in Unix milliseconds; 0 if not announced.
     pub born: u64,
-    /// Grows with each notice of it.
+    /// Sequence number within the incarnation.
     pub sequence: u64,
 }
 
-/// What a notice changed.
+/// Effect of an announcement on the directory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnnouncementEffect {
-    /// It was older than what is known.
+    /// The announcement was ignored because it is older than the recorded one.
     Stale,
-    /// It contradicts what the server said of itself before.
+    /// The announcement was ignored because it conflicts with an earlier one of the
+    /// same incarnation.
     Conflicting,
-    /// The server lives on as it was.
+    /// The server's lease was renewed; nothing else changed.
     Renewed,
-    /// The server is new, or its standing changed, or it became cold again.
+    /// The server is new or restarted, its lifecycle state changed, its lease had
+    /// expired, or the server became cold again.
     Changed,
 }
 
-/// Which control instance hears a server, and says when it falls silent.
+/// The control instance that a server announces itself to. Only the observer
+/// tells the other control instances when the server's lease expires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerObserver {
-    /// This one.
+    /// This control instance.
     Local,
-    /// Another one, by its listener for other instances.
+    /// Another control instance, identified by the address on which it listens for
+    /// other instances.
     Peer(SocketAddr),
-    /// Not known.
+    /// The observer is not known.
     Unknown,
 }
 
-/// A server as it is known.
+/// Record of one server in the directory.
 #[derive(Debug, Clone)]
 pub struct DirectoryRecord {
-    /// Its newest notice, with the standing that holds.
+    /// Newest announcement of the server, with the lifecycle state in force.
     pub notice: ServerAnnouncement,
-    /// When it was last heard of.
+    /// When the server last announced itself or was reported alive.
     pub last_seen_at: Duration,
-    /// Since when it has a lease in any case.
+    /// When the server was granted a full lease, regardless of `last_seen_at`.
     lease_granted_at: Duration,
-    /// Whether it is taken for silent.
+    /// Whether the server's lease has expired.
     pub expired: bool,
-    /// Whether it was known before a restart and not heard of since.
+    /// Whether the record was loaded from disk after a restart and the server has
+    /// not been heard from since.
     pub is_remembered: bool,
-    /// Who hears it.
+    /// Control instance that the server announces itself to.
     pub observer: ServerObserver,
-    /// Its place in the order in which lifetimes became known.
+    /// Rank of this incarnation in the order in which incarnations became known.
     arrival: u64,
 }
 
@@ -196,58 +209,58 @@
         }
     }
 
-    /// Tells whether it takes work and is heard of.
+    /// Returns whether the server accepts requests and its lease has not expired.
     fn is_alive(&self) -> bool {
         self.notice.standing == ServerLifecycle::Ready && !self.expired
     }
 }
 
-/// All servers known.
+/// Directory of all known servers, by server id.
 #[derive(Debug, Default)]
 pub struct ServerDirectory {
     records: HashMap<Box<str>, DirectoryRecord>,
-    /// Notices taken so far.
+    /// Number of announcements applied or loaded so far.
     arrivals: u64,
 }
 
 impl ServerDirectory {
-    /// Takes a notice.
-    pub fn apply(&mut self, notice: ServerAnnouncement, now: Duration) -> AnnouncementEffect {
+    /// Applies an announcement and returns its effect.
+    pub fn apply(&mut self, announcement: ServerAnnouncement, now: Duration) -> AnnouncementEffect {
         self.arrivals += 1;
         let arrival = self.arrivals;
-        let Some(record) = self.records.get_mut(&notice.id) else {
-            let id = notice.id.clone();
-            let record = DirectoryRecord::new(notice, now, arrival);
+        let Some(record) = self.records.get_mut(&announcement.id) else {
+            let id = announcement.id.clone();
+            let record = DirectoryRecord::new(announcement, now, arrival);
             self.records.insert(id, record);
             return AnnouncementEffect::Changed;
         };
         let known = &mut record.notice;
-        if notice.born > known.born {
-            // It started again under its id: nothing of before holds.
-            *record = DirectoryRecord::new(notice, now, arrival);
+        if announcement.born > known.born {
+            // The server restarted under the same id, so the old record is void.
+            *record = DirectoryRecord::new(announcement, now, arrival);
             return AnnouncementEffect::Changed;
         }
-        if notice.born != 0 && notice.born < known.born {
+        if announcement.born != 0 && announcement.born < known.born {
             return AnnouncementEffect::Stale;
         }
-        if notice.conflicts_with(known) {
+        if announcement.conflicts_with(known) {
             return AnnouncementEffect::Conflicting;
         }
-        if notice.standing > known.standing {
-            let sequence = known.sequence.max(notice.sequence);
-            known.standing = notice.standing;
+        if announcement.standing > known.standing {
+            let sequence = known.sequence.max(announcement.sequence);
+            known.standing = announcement.standing;
             known.sequence = sequence;
             record.last_seen_at = now;
             record.is_remembered = false;
             return AnnouncementEffect::Changed;
         }
-        if notice.sequence <= known.sequence || known.standing == ServerLifecycle::Gone {
+        if announcement.sequence <= known.sequence || known.standing == ServerLifecycle::Gone {
             return AnnouncementEffect::Stale;
         }
         let was_cold = now < record.last_seen_at + Duration::from_millis(known.cold_ms);
-        let is_cold_again = notice.cold_ms > 0 && !was_cold;
-        known.sequence = notice.sequence;
-        known.cold_ms = notice.cold_ms;
+        let is_cold_again = announcement.cold_ms > 0 && !was_cold;
+        known.sequence = announcement.sequence;
+        known.cold_ms = announcement.cold_ms;
         record.last_seen_at = now;
         record.is_remembered = false;
         if record.expired || is_cold_again {
@@ -257,27 +270,29 @@
         AnnouncementEffect::Renewed
     }
 
-    /// Takes a server that was known before a restart, unless something newer
-    /// is known. It is believed to live for a moment only: it may have left.
-    pub fn remember(&mut self, notice: ServerAnnouncement, now: Duration) {
+    /// Adds a server that was loaded from disk after a restart, unless the server is
+    /// already known. Its first lease is shortened by `REMEMBERED_LEASE_SHARE`,
+    /// because it may have left in the meantime.
+    pub fn remember(&mut self, announcement: ServerAnnouncement, now: Duration) {
         self.arrivals += 1;
-        let id = notice.id.clone();
+        let id = announcement.id.clone();
         self.records.entry(id).or_insert(DirectoryRecord {
             is_remembered: true,
-            ..DirectoryRecord::new(notice, now, self.arrivals)
+            ..DirectoryRecord::new(announcement, now, self.arrivals)
         });
     }
 
-    /// Iterates over the notices of the servers that take work and are heard
-    /// of: what to remember over a restart.
+    /// Iterates over the announcements of the live servers that were heard from since
+    /// the last restart. These are the servers to save for the next restart.
     pub fn confirmed_alive(&self) -> impl Iterator<Item = &ServerAnnouncement> {
         let records = self.records.values();
-        let confirmed_alive = records.filter(|record| record.is_alive() && !record.is_remembered);
-        confirmed_alive.map(|record| &record.notice)
+        let alive = records.filter(|record| record.is_alive() && !record.is_remembered);
+        alive.map(|record| &record.notice)
     }
 
-    /// Takes a peer's word that a server was heard of. What it says of another
-    /// lifetime than the one that is known says nothing of this one.
+    /// Renews a server's lease after a peer reported that the server announced itself
+    /// at `position`. Ignores a report that is not newer than the record, or that is
+    /// about another incarnation.
     pub fn renew_lease(&mut self, id: &str, position: AnnouncementPosition, now: Duration) {
         let Some(record) = self.records.get_mut(id) else {
             return;
@@ -291,32 +306,33 @@
         }
     }
 
-    /// Tells whether a lifetime of a server, or a later one, is known.
+    /// Returns whether the server's incarnation at `position`, or a later one, is
+    /// known.
     pub fn knows_incarnation(&self, id: &str, position: AnnouncementPosition) -> bool {
         let record = self.records.get(id);
         record.is_some_and(|record| record.notice.born >= position.born)
     }
 
-    /// Takes over that this instance hears a server. Returns whether another one
-    /// did before.
+    /// Records that this instance observes a server. Returns whether the observer
+    /// changed.
     pub fn observe_locally(&mut self, id: &str) -> bool {
         let Some(record) = self.records.get_mut(id) else {
             return false;
         };
-        let was_own = record.observer == ServerObserver::Local;
+        let was_local = record.observer == ServerObserver::Local;
         record.observer = ServerObserver::Local;
-        !was_own
+        !was_local
     }
 
-    /// Takes over that another instance hears a server.
+    /// Records that another control instance observes a server.
     pub fn observe_at_peer(&mut self, id: &str, peer: SocketAddr) {
         if let Some(record) = self.records.get_mut(id) {
             record.observer = ServerObserver::Peer(peer);
         }
     }
 
-    /// Takes over that another instance hears these servers and no others.
-    /// Those that it heard before have a whole lease from now on.
+    /// Records that `peer` observes no servers but those in `ids`. Servers that
+    /// `peer` observed until now get a full lease, starting at `now`.
     pub fn retain_observed_at_peer(
         &mut self,
         peer: SocketAddr,
@@ -331,16 +347,17 @@
         }
     }
 
-    /// Iterates over the servers that this instance hears, with how new that is.
+    /// Iterates over the ids of the live servers that this instance observes, with
+    /// the positions of their newest announcements.
     pub fn observed(&self) -> impl Iterator<Item = (&str, AnnouncementPosition)> {
-        let own = self.records.iter();
-        let own =
-            own.filter(|(_, record)| record.observer == ServerObserver::Local && record.is_alive());
-        own.map(|(id, record)| (&**id, record.notice.position()))
+        let local = self.records.iter();
+        let local = local
+            .filter(|(_, record)| record.observer == ServerObserver::Local && record.is_alive());
+        local.map(|(id, record)| (&**id, record.notice.position()))
     }
 
-    /// Returns a digest of the servers that a control instance hears. It does not
-    /// depend on how new that is.
+    /// Returns a digest of the ids of the live servers with the given observer. The
+    /// digest does not depend on sequence numbers, so lease renewals don't change it.
     pub fn digest(&self, observer: ServerObserver) -> u64 {
         let observed = self.records.iter();
         let observed =
@@ -349,8 +366,9 @@
         digests.fold(0, u64::wrapping_add)
     }
 
-    /// Takes another instance's word that it does not hear a server any more.
-    /// Returns whether that is news.
+    /// Records that `peer` reported a server's lease as expired. Ignores the report
+    /// unless `peer` observes the server, the incarnation is the recorded one and the
+    /// server counted as alive. Returns whether the server's state changed.
     pub fn record_peer_expiry(
         &mut self,
         id: &str,
@@ -360,8 +378,8 @@
         let Some(record) = self.records.get_mut(id) else {
             return false;
         };
-        let is_its = record.observer == ServerObserver::Peer(peer);
-        if !is_its || record.notice.born != position.born || !record.is_alive() {
+        let is_observer = record.observer == ServerObserver::Peer(peer);
+        if !is_observer || record.notice.born != position.born || !record.is_alive() {
             return false;
         }
         record.notice.sequence = record.notice.sequence.max(position.sequence);
@@ -369,9 +387,13 @@
         true
     }
 
-    /// Marks servers that were not heard of for `lease` as silent and returns
-    /// those that newly are; forgets what left long ago. A server that another
-    /// instance hears counts as heard of while that one is (`peer_last_seen`).
+    /// Marks servers that have not been seen for `lease` as expired and returns the ids
+    /// of the newly expired ones. Drops the records of draining, departed and expired
+    /// servers that were last seen `TOMBSTONE_RETENTION` ago or earlier.
+    ///
+    /// A server that a peer observes counts as seen whenever that peer was seen
+    /// (`peer_last_seen`), because peers report their servers only when something
+    /// changes.
     pub fn expire_leases(
         &mut self,
         now: Duration,
@@ -389,15 +411,15 @@
             } else {
                 lease
             };
-            let last_seen_at = match record.observer {
+            let observer_seen_at = match record.observer {
                 ServerObserver::Peer(peer) => peer_last_seen(&peer).unwrap_or(Duration::ZERO),
                 ServerObserver::Local | ServerObserver::Unknown => Duration::ZERO,
             };
-            let last_seen_at = record
+            let renewed_at = record
                 .last_seen_at
                 .max(record.lease_granted_at)
-                .max(last_seen_at);
-            let is_late = now > last_seen_at + lease;
+                .max(observer_seen_at);
+            let is_late = now > renewed_at + lease;
             if is_late && !record.expired && record.notice.standing == ServerLifecycle::Ready {
                 record.expired = true;
                 expired.push(id.clone());
@@ -406,41 +428,41 @@
         expired
     }
 
-    /// Returns digests of the servers that take work, by part of their ids. Two
-    /// directories that have a digest in common know the same servers there.
+    /// Returns one digest per bucket of server ids, made of the ids and start times of
+    /// the servers that accept requests. Two directories with the same digest for a
+    /// bucket know the same servers in that bucket.
     pub fn bucket_digests(&self) -> Vec<u64> {
         let mut digests = vec![0_u64; DIGEST_BUCKETS];
         for (id, record) in &self.records {
             if record.notice.standing == ServerLifecycle::Ready {
                 let digest = xxh3_64_with_seed(id.as_bytes(), record.notice.born);
-                let part = &mut digests[bucket_of(id)];
-                *part = part.wrapping_add(digest);
+                let bucket = &mut digests[bucket_of(id)];
+                *bucket = bucket.wrapping_add(digest);
             }
         }
         digests
     }
 
-    /// Returns the records that another directory with these digests may lack.
+    /// Returns the records that a directory with the given bucket digests may lack.
     ///
-    /// Of two lifetimes at an address the later one stands behind: whoever takes
-    /// the records in order takes the earlier one for replaced. Those that are
-    /// taken for dead go first, then those that were heard of longer ago; what
-    /// came in one message was heard of at one time.
+    /// If two incarnations share an address, the later one comes last: a receiver
+    /// that applies the records in order considers the earlier one replaced. Servers
+    /// that are not alive come first, then servers in the order in which they were
+    /// last seen. Servers reported in one message share one `last_seen_at`; their
+    /// `arrival` breaks the tie.
     pub fn records_to_sync(&self, digests: &[u64]) -> Vec<&DirectoryRecord> {
-        let own = self.bucket_digests();
+        let local_digests = self.bucket_digests();
         let records = self.records.iter();
-        let records_to_sync = records.filter(|(id, _)| {
-            let part = bucket_of(id);
-            digests.get(part) != Some(&own[part])
+        let records = records.filter(|(id, _)| {
+            let bucket = bucket_of(id);
+            digests.get(bucket) != Some(&local_digests[bucket])
         });
-        let mut records_to_sync: Vec<&DirectoryRecord> =
-            records_to_sync.map(|(_, record)| record).collect();
-        records_to_sync
-            .sort_by_key(|record| (record.is_alive(), record.last_seen_at, record.arrival));
-        records_to_sync
+        let mut records: Vec<&DirectoryRecord> = records.map(|(_, record)| record).collect();
+        records.sort_by_key(|record| (record.is_alive(), record.last_seen_at, record.arrival));
+        records
     }
 
-    /// Returns the record of a server.
+    /// Returns the record of the server with this id.
     pub fn get(&self, id: &str) -> Option<&DirectoryRecord> {
         self.records.get(id)
     }
@@ -450,12 +472,12 @@
         self.records.values()
     }
 
-    /// Returns the number of servers known.
+    /// Returns the number of records, including those of servers that left.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Tells whether no server is known.
+    /// Returns whether the directory holds no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
--- a/crates/core/src/process/forward/roll.rs
+++ b/crates/core/src/process/forward/roll.rs
@@ -1,7 +1,9 @@
-//! Which other entries an entry is told of.
+//! Selection of the other entries that each entry is told about, out of the roll (the
+//! list of all entries).
 //!
-//! It divides shards among all entries of its failure domain and asks some of
-//! the others' for bundles. Were all told of all, the bytes at a start of many
+//! An entry divides shards among all entries of its own failure domain, and requests
+//! bundles (several shards in one message) from a few entries of other domains. If
+//! every entry were told about all others, the bytes sent when many entries start
 //! would grow with the cube of their number.
 
 use std::collections::BTreeMap;
@@ -9,26 +11,27 @@
 use crate::process::forward::input::EntryPeer;
 use crate::process::rendezvous::highest;
 
-/// Entries of another failure domain that an entry is told of.
+/// Number of entries of each other failure domain that an entry is told about.
 pub const PEERS_PER_REMOTE_DOMAIN: usize = 8;
 
-/// Returns those of `all` that the entry `own` is told of: all of its domain,
-/// and a few of each other one, spread so that each entry is told to as many.
-pub fn select_known_peers<'a>(own: &EntryPeer, all: &'a [EntryPeer]) -> Vec<&'a EntryPeer> {
+/// Returns the entries of `all` that the entry `local` is told about: all entries of
+/// its failure domain and a few of each other domain. Rendezvous hashing spreads the
+/// choice, so that each entry is known to about the same number of others.
+pub fn select_known_peers<'a>(local: &EntryPeer, all: &'a [EntryPeer]) -> Vec<&'a EntryPeer> {
     let mut domains: BTreeMap<&str, Vec<&EntryPeer>> = BTreeMap::new();
     for peer in all {
         domains.entry(&peer.domain).or_default().push(peer);
     }
-    let key = own.id();
-    let mut view = Vec::new();
+    let key = local.id();
+    let mut selected = Vec::new();
     for (domain, peers) in domains {
-        if *domain == *own.domain {
-            view.extend(peers);
+        if *domain == *local.domain {
+            selected.extend(peers);
             continue;
         }
         let named = peers.into_iter().map(|peer| (peer.id(), peer));
         let some = highest(&key, PEERS_PER_REMOTE_DOMAIN, named, |(id, _)| id);
-        view.extend(some.into_iter().map(|(_, peer)| peer));
+        selected.extend(some.into_iter().map(|(_, peer)| peer));
     }
-    view
+    selected
 }
--- a/crates/core/src/process/forward/server.rs
+++ b/crates/core/src/process/forward/server.rs
@@ -1,4 +1,9 @@
-//! An upstream server as an entry knows it.
+//! State that an entry holds for each upstream server.
+//!
+//! The state combines what the server announced, the outcomes of the entry's own
+//! attempts and the server's load reports. The entry uses the state to estimate how
+//! long the server would take to answer a request sent now. Other entries, to which
+//! this entry may relay requests, are represented in the same way.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,88 +20,98 @@
 use crate::process::forward::pause::PauseBook;
 use crate::process::forward::place::PlaceStep;
 
-/// Weight of a new sample in the moving average of failures.
+/// Weight of a new sample in the moving average of the failure rate.
 const FAILURE_SAMPLE_WEIGHT: f64 = 0.15;
-/// Time that a server which could not be reached is left alone, at first.
+/// First back-off after a server could not be reached. It doubles with each further
+/// failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
-/// Longest such time.
+/// Longest back-off.
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
-/// How much slower a server is after its start.
+/// Factor by which a server is slower while it is cold (just started).
 const COLD_SLOWDOWN: f64 = 1.6;
-/// Age at which a load report says nothing any more.
+/// Age at which a load report is ignored. The weight of a report decreases linearly
+/// until then.
 const MAX_LOAD_REPORT_AGE: Duration = Duration::from_millis(400);
-/// Way to a server and back before it was measured.
+/// Round-trip time that is assumed before the first measurement.
 const INITIAL_ROUND_TRIP: Duration = Duration::from_millis(1);
 
-/// An attempt that a server has not answered.
+/// An attempt that a server has not answered yet.
 #[derive(Debug, Clone, Copy)]
 pub struct OutstandingAttempt {
-    /// The attempt.
+    /// Key of the attempt.
     pub attempt: SlotKey,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Duration,
-    /// Whether the server may end under it.
+    /// Whether this is a canary attempt: its request is suspected of crashing servers.
     pub on_trial: bool,
 }
 
-/// What an entry knows of a server.
+/// State of one incarnation of a server, as seen by this entry.
 #[derive(Debug)]
 pub struct ServerState {
-    /// Identity of its lifetime.
+    /// Id of the server.
     pub id: Arc<str>,
-    /// When it started, in Unix milliseconds; 0 if it does not say.
+    /// Start time of the server's incarnation, in Unix milliseconds; 0 if not
+    /// announced.
     pub born: u64,
-    /// Its service.
+    /// Upstream (service) that the server belongs to.
     pub upstream: UpstreamKey,
-    /// Where it takes requests.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the server.
     pub domain: Box<str>,
-    /// How far off it is.
+    /// Proximity of the server's failure domain to this entry.
     pub place: PlaceStep,
-    /// Its region.
+    /// Region of the server.
     pub region: RegionKey,
-    /// Version of its software.
+    /// Software version of the server.
     pub version: Box<str>,
-    /// Whether its version was rolled back.
+    /// Whether the server's version was rolled back, so that it gets no requests.
     pub is_rolled_back: bool,
-    /// Whether its failure domain was taken out of use.
+    /// Whether the operator took the server's failure domain out of use.
     pub is_evacuated: bool,
-    /// Whether it takes work.
+    /// Lifecycle state of the server.
     pub standing: ServerLifecycle,
-    /// Whether the control group no longer hears it.
+    /// Whether the control group reported the server's lease as expired, or another
+    /// server announced itself at its address.
     pub expired: bool,
-    /// Requests it works on at once.
+    /// Number of requests that the server processes concurrently.
     pub slots: u32,
-    /// When it is warm.
+    /// When the server stops being cold, according to its announcement.
     pub warm_at: Duration,
-    /// Until when it is taken for cold all the same, as it may have become so.
+    /// Until when the server is treated as cold without having announced so, because
+    /// its caches may have gone cold during an interruption.
     pub assumed_cold_until: Duration,
-    /// What this entry sent it in the last second.
+    /// Requests that this entry sent to the server in about the last second; limits
+    /// the rate at which a cold server is used.
     pub cold: ColdWindow,
-    /// Attempts outstanding, oldest first.
+    /// Unanswered attempts, oldest first.
     pub outstanding: Vec<OutstandingAttempt>,
-    /// Idle connections to it.
+    /// Number of idle connections to the server.
     pub idle: u32,
-    /// How fast it is against its peers.
+    /// Estimate of how slow the server is relative to its peers.
     pub pace: ServerPace,
-    /// When it pauses.
+    /// Prediction of the server's stalls: short periods in which it answers nothing,
+    /// such as garbage collections.
     pub pauses: PauseBook,
-    /// Fraction of failures among the last answers.
+    /// Moving average of the failure rate, from 0 to 1.
     pub failing: f64,
-    /// Until when it is left alone.
+    /// Until when the server gets no requests, after a failure to reach it.
     pub backoff_until: Duration,
-    /// When it last answered.
+    /// When the server last answered.
     pub answered_at: Duration,
-    /// Work that waits there, sent by whatever entry.
+    /// Estimate of the work queued at the server by all entries together.
     pub backlog: ServerBacklog,
+    /// Shortest connect time so far, which approximates the network round trip.
     round_trip: Duration,
+    /// Number of back-offs since the last answer.
     backoffs: u32,
+    /// Last load report and when it arrived.
     load: Option<(LoadReport, Duration)>,
 }
 
 impl ServerState {
-    /// Returns a server that was not asked yet.
+    /// Returns the state of a server that has not been sent any request yet.
     pub fn new(id: Arc<str>, upstream: UpstreamKey, address: SocketAddr) -> ServerState {
         ServerState {
             id,
@@ -129,17 +144,19 @@
         }
     }
 
-    /// Returns the time to the server and back.
+    /// Returns the round-trip time to the server, or the assumed time if no round trip
+    /// was measured.
     pub fn round_trip(&self) -> Duration {
         self.round_trip
     }
 
-    /// Returns the time to the server and back, if it was measured.
+    /// Returns the round-trip time to the server, if it was measured.
     pub fn measured_round_trip(&self) -> Option<Duration> {
         (self.round_trip != INITIAL_ROUND_TRIP).then_some(self.round_trip)
     }
 
-    /// Takes note of a connection made.
+    /// Records that a connection was established in `took`, and updates the round-trip
+    /// time.
     pub fn record_connection(&mut self, took: Duration) {
         self.round_trip = if self.round_trip == INITIAL_ROUND_TRIP {
             took
@@ -148,7 +165,8 @@
         };
     }
 
-    /// Takes note of an answer after `work`, where `typical` was expected.
+    /// Records that the server answered after `work`, without the network round trip,
+    /// where `typical` is usual for the request. Ends any back-off.
     pub fn answered(&mut self, work: Duration, typical: Duration, now: Duration) {
         self.answered_at = now;
         self.backoffs = 0;
@@ -157,63 +175,66 @@
         self.pace.answered(ratio, now);
     }
 
-    /// Returns its time for a request against that of its peers.
+    /// Returns how many times longer than its peers the server takes for a request.
     pub fn slowness(&self, now: Duration) -> f64 {
         self.pace.slowness(now)
     }
 
-    /// Takes note of whether an answer was of use.
+    /// Records whether an attempt failed, and updates the failure rate.
     pub fn record_outcome(&mut self, failed: bool) {
         let sample = if failed { 1.0 } else { 0.0 };
         self.failing += FAILURE_SAMPLE_WEIGHT * (sample - self.failing);
     }
 
-    /// Leaves the server alone for a while; longer each time.
+    /// Backs off from the server, each time for longer.
     pub fn back_off(&mut self, now: Duration) {
         self.back_off_at_least(Duration::ZERO, now);
     }
 
-    /// Leaves the server alone for `least` or longer.
+    /// Backs off from the server for `least` or longer.
     pub fn back_off_at_least(&mut self, least: Duration, now: Duration) {
         let back_off = INITIAL_BACKOFF * 2u32.saturating_pow(self.backoffs.min(8));
         self.backoffs += 1;
         self.backoff_until = now + back_off.min(MAX_BACKOFF).max(least);
     }
 
-    /// Takes a load report.
+    /// Records a load report of the server.
     pub fn record_load(&mut self, load: LoadReport, now: Duration) {
         self.load = Some((load, now));
     }
 
-    /// Removes an attempt from those outstanding.
+    /// Removes an attempt from the outstanding ones.
     pub fn settle(&mut self, attempt: SlotKey) {
         self.outstanding.retain(|other| other.attempt != attempt);
     }
 
-    /// Returns for how long the oldest attempt has gone without any answer.
+    /// Returns how long the oldest outstanding attempt has been waiting without any
+    /// answer from the server; zero if nothing is outstanding.
     pub fn unanswered_time(&self, now: Duration) -> Duration {
         let oldest = self.outstanding.first();
         let since = oldest.map_or(now, |oldest| oldest.sent_at.max(self.answered_at));
         now.saturating_sub(since)
     }
 
-    /// Tells whether it has been still for longer than its work explains.
+    /// Returns whether the server has been unresponsive for longer than the expected
+    /// work on a request explains.
     pub fn is_stalled(&self, typical: Duration, now: Duration) -> bool {
         self.unanswered_time(now) > typical.mul_f64(self.slowness(now)) * 2 + self.round_trip
     }
 
-    /// Takes it for cold for a moment, until it would have said so.
+    /// Treats the server as cold until its next announcement must have arrived, which
+    /// says whether it really is.
     pub fn assume_cold(&mut self, now: Duration) {
         self.assumed_cold_until = now + DOUBT_TIME;
     }
 
-    /// Tells whether it is cold, or may be.
+    /// Returns whether the server is cold or treated as cold.
     pub fn is_cold(&self, now: Duration) -> bool {
         now < self.warm_at || now < self.assumed_cold_until
     }
 
-    /// Returns the time that it works on a request which takes `typical` at its
-    /// peers.
+    /// Returns the expected processing time of a request that takes `typical` at the
+    /// server's peers.
     pub fn work(&self, typical: Duration, now: Duration) -> Duration {
         let work = typical.mul_f64(self.slowness(now));
         if now < self.warm_at {
@@ -222,14 +243,16 @@
         work
     }
 
-    /// Returns the time to an answer that its work and what waits there
-    /// explain. A pause is not counted: what is asked meanwhile costs nothing.
+    /// Returns the expected time to an answer, made of the round trip, the processing
+    /// time and the wait for the server's backlog. Does not include stalls, because
+    /// requests sent during a stall cost nothing.
     pub fn expect_loaded(&self, typical: Duration, now: Duration) -> Duration {
         self.round_trip + self.work(typical, now) + self.backlog.wait(now)
     }
 
-    /// Returns the time to expect for a request that takes `typical` at an
-    /// idle server of the service, where servers pause at `interval`.
+    /// Returns the expected time to an answer for a request that takes `typical` at an
+    /// idle server of the service. Includes the queue at this server and its current
+    /// or predicted stall; `interval` is the time between stalls, if known.
     pub fn expected_response_time(
         &self,
         typical: Duration,
@@ -238,22 +261,23 @@
     ) -> Duration {
         let work = self.work(typical, now);
         let slots = f64::from(self.slots.max(1));
-        let queue_ahead = self.queue_ahead(now);
-        let queue = (queue_ahead + 1.0 - slots).max(0.0) / slots;
-        let unanswered_time = self.unanswered_time(now);
-        let patience = work * 2 + self.round_trip;
-        // A server that has been still for longer than its work explains is
-        // likely to stay so for as long again.
-        let pause = if unanswered_time > patience {
-            unanswered_time
+        let ahead = self.queue_ahead(now);
+        let queue = (ahead + 1.0 - slots).max(0.0) / slots;
+        let unanswered = self.unanswered_time(now);
+        let stall_threshold = work * 2 + self.round_trip;
+        // A server that has been unresponsive for longer than its work explains is
+        // likely to stay unresponsive for as long again.
+        let current_stall = if unanswered > stall_threshold {
+            unanswered
         } else {
             Duration::ZERO
         };
-        let foretold = self.pauses.wait(now + self.round_trip / 2, work, interval);
-        self.round_trip + work + work.mul_f64(queue) + pause.max(foretold)
+        let predicted_stall = self.pauses.wait(now + self.round_trip / 2, work, interval);
+        self.round_trip + work + work.mul_f64(queue) + current_stall.max(predicted_stall)
     }
 
-    /// Returns what the expectation of a request sent now is made of.
+    /// Returns the inputs of the expected time of a request sent now. The accuracy of
+    /// the expectation is measured per combination of these inputs.
     pub fn basis(&self, expected: Duration, now: Duration) -> ExpectationBasis {
         let slots = f64::from(self.slots.max(1));
         ExpectationBasis {
@@ -264,17 +288,18 @@
         }
     }
 
-    /// Returns how many requests are ahead of a new one.
+    /// Returns the estimated number of requests at the server ahead of a new one, from
+    /// the entry's own outstanding attempts and the last load report.
     fn queue_ahead(&self, now: Duration) -> f64 {
-        let own = self.outstanding.len() as f64;
+        let local = self.outstanding.len() as f64;
         match self.load {
             Some((load, at)) if now < at + MAX_LOAD_REPORT_AGE => {
                 let age = (now - at).as_secs_f64() / MAX_LOAD_REPORT_AGE.as_secs_f64();
-                // The report counts the request that it came with.
-                let told = f64::from((load.running + load.waiting).saturating_sub(1));
-                own.max(own * 0.5 + told * (1.0 - age))
+                // The report includes the request whose answer carried it.
+                let reported = f64::from((load.running + load.waiting).saturating_sub(1));
+                local.max(local * 0.5 + reported * (1.0 - age))
             }
-            _ => own,
+            _ => local,
         }
     }
 }
--- a/crates/core/src/process/forward/source.rs
+++ b/crates/core/src/process/forward/source.rs
@@ -1,12 +1,11 @@
-//! Choosing the control instances that an entry is connected to, and the one
-//! that it hears everything from.
+//! Selection of the control instances that an entry connects to, and of its source.
 //!
-//! An entry is connected to a few control instances of different failure
-//! domains, and changes one that falls silent or out of contact with its group.
-//! Each of these tells it what is urgent and small. What is large (tables, all
-//! servers, all entries) comes from one of them, its source. Were it connected
-//! to all, messages and bytes would grow with the product of both numbers, most
-//! of them between regions.
+//! An entry connects to a few control instances in different failure domains, and
+//! replaces one that becomes unresponsive or loses its quorum. Each of them sends
+//! small, urgent updates. Large state (route tables, all servers, all entries) comes
+//! from only one of them, the source. If every entry were connected to every control
+//! instance, traffic would grow with the product of both numbers, most of it between
+//! regions.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -17,59 +16,61 @@
 use crate::process::forward::place::PlaceStep;
 use crate::process::rendezvous::rank;
 
-/// Control instances that an entry is connected to.
+/// Number of control instances that an entry connects to.
 pub const CONTROL_CONNECTIONS: usize = 2;
 
-/// Where a control instance stands.
+/// Address and failure domain of a control instance.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ControlSite {
-    /// Its listener for entries and other instances.
+    /// Address on which the instance listens for entries and other instances.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: Box<str>,
 }
 
 /// A control instance that an entry may connect to.
 #[derive(Debug, Clone, Copy)]
 pub struct ControlCandidate<'a> {
-    /// Its listener for entries.
+    /// Address on which the instance listens for entries.
     pub address: SocketAddr,
-    /// Its failure domain, and how far off that is, if known.
+    /// Failure domain of the instance and its proximity to the entry, if known.
     pub place: Option<(&'a str, PlaceStep)>,
-    /// When it last could not be reached, was silent, or was out of contact with
-    /// its group; none if that was long ago, or it was heard to be well since.
+    /// When the instance last could not be reached, was unresponsive or had no quorum.
+    /// `None` if that was long ago or the instance reported a quorum since.
     pub last_failed_at: Option<Duration>,
 }
 
 impl ControlCandidate<'_> {
+    /// Returns the failure domain of the instance, if known.
     fn domain(&self) -> Option<&str> {
         self.place.map(|(domain, _)| domain)
     }
 }
 
-/// Chooses the control instances that an entry connects to.
+/// Chooses the control instances that the entry `local_id` connects to, at most
+/// `CONTROL_CONNECTIONS`.
 ///
-/// One that is not doubted goes first, then the one that was doubted longest ago:
-/// one that says now that it has lost its group is worse than any that failed
-/// before. Then a near one goes first; among equals each entry has an order of its
-/// own, so that they spread. The others stand in failure domains of their own, if
-/// there are enough.
+/// Prefers instances that have not failed, then the one whose failure is oldest: an
+/// instance that has just reported the loss of its quorum is a worse choice than one
+/// that failed earlier. Next, prefers instances in a failure domain that no chosen
+/// instance is in, then close ones. Ties are broken by rendezvous hashing of the
+/// entry's id, so that the entries spread over the instances.
 pub fn choose_control_connections(
-    own: &str,
+    local_id: &str,
     candidates: &[ControlCandidate<'_>],
 ) -> Vec<SocketAddr> {
-    let mut left: Vec<&ControlCandidate<'_>> = candidates.iter().collect();
+    let mut remaining: Vec<&ControlCandidate<'_>> = candidates.iter().collect();
     let mut chosen: Vec<&ControlCandidate<'_>> = Vec::with_capacity(CONTROL_CONNECTIONS);
     while chosen.len() < CONTROL_CONNECTIONS {
-        let best = (0..left.len()).min_by_key(|index| {
-            let candidate = left[*index];
+        let best = (0..remaining.len()).min_by_key(|index| {
+            let candidate = remaining[*index];
             let domain = candidate.domain();
-            let is_used = chosen.iter().any(|other| other.domain() == domain);
+            let is_domain_used = chosen.iter().any(|other| other.domain() == domain);
             let place = candidate.place.map(|(_, place)| place);
-            let order = rank(own, &candidate.address.to_string());
+            let order = rank(local_id, &candidate.address.to_string());
             (
                 candidate.last_failed_at,
-                is_used && domain.is_some(),
+                is_domain_used && domain.is_some(),
                 place.unwrap_or(PlaceStep::Elsewhere),
                 Reverse(order),
             )
@@ -77,32 +78,32 @@
         let Some(best) = best else {
             break;
         };
-        chosen.push(left.swap_remove(best));
+        chosen.push(remaining.swap_remove(best));
     }
     chosen.iter().map(|candidate| candidate.address).collect()
 }
 
-/// A control instance as an entry knows it.
+/// A control instance that an entry is connected to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ControlPeer {
-    /// Where it is.
+    /// Address of the instance.
     pub address: SocketAddr,
-    /// Whether it stands in the entry's failure domain.
+    /// Whether the instance is in the entry's failure domain.
     pub is_near: bool,
-    /// Whether it is in contact with others of the group.
+    /// Whether the instance is connected to a quorum of the control group with a leader.
     pub has_quorum: bool,
-    /// Whether it has started a moment ago, and may not know yet what the
-    /// others know.
+    /// Whether the instance has just started, so that it may still lack state that the
+    /// other instances have.
     pub started_recently: bool,
-    /// Time that a connection to it took to open.
+    /// Time that it took to establish the connection.
     pub connect_time: Duration,
 }
 
-/// Chooses the source out of the instances that an entry is connected to.
+/// Chooses the source among the instances that an entry is connected to.
 ///
-/// A settled one goes first, then one that is not fresh (or is the source
-/// already), then a near one, then the source, then the one with the shortest
-/// way.
+/// Prefers, in this order: an instance with a quorum, one that has not just started
+/// (unless it is the current source), one in the entry's failure domain, the current
+/// source, the one with the shortest connect time.
 pub fn choose_source(peers: &[ControlPeer], current: Option<SocketAddr>) -> Option<SocketAddr> {
     let best = peers.iter().min_by_key(|peer| {
         let is_other = current != Some(peer.address);
--- a/crates/core/src/process/forward/version.rs
+++ b/crates/core/src/process/forward/version.rs
@@ -1,5 +1,8 @@
-//! Versions of servers while a service is rolled out: which one a request goes
-//! to, and how both answer.
+//! Routing between server versions while a service is rolled out.
+//!
+//! Decides whether a request goes to servers of the old or the new version, and counts
+//! good and bad answers per version. The control group uses the counts to complete the
+//! roll-out or to roll it back.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,61 +15,71 @@
 use crate::process::rollout::share::CanaryShare;
 use crate::process::rollout::{RolloutView, VersionTally};
 
-/// Time without a word of the control group after which an entry tries no new
-/// version: it would not hear that the version is bad.
+/// Time without contact to the control group after which an entry sends no more
+/// requests to a new version under test, because the entry would not learn that
+/// the version is bad.
 const CONTROL_CONTACT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How many times the typical time a bad answer takes at least.
+/// Multiple of the typical time up to which an answer does not count as bad.
 const SLOW_FACTOR: f64 = 2.5;
-/// Part of the objective that a bad answer takes at least: where answers take a
-/// millisecond, a machine that is busy for a moment makes them many times slower.
+/// Fraction of the route's objective up to which an answer does not count as bad.
+/// Without this minimum, answers that usually take 1 ms would count as bad whenever
+/// the machine is busy for a moment, which makes them many times slower.
 const SLOW_OBJECTIVE_SHARE: f64 = 0.1;
 
-/// Returns the time after which an answer counts against the version of its server.
+/// Returns the time above which an answer counts as bad for the server's version.
 pub(super) fn slow_after(typical: Duration, objective: Duration) -> Duration {
     let typical = typical.mul_f64(SLOW_FACTOR);
     typical.max(objective.mul_f64(SLOW_OBJECTIVE_SHARE))
 }
 
-/// The roll-out of a service, as an entry knows it.
+/// State that an entry holds for the roll-out of a service.
 #[derive(Debug)]
 pub(super) struct UpstreamRollout {
+    /// Roll-out as announced by the control group.
     view: RolloutView,
+    /// Share of requests that this entry sends to the new version as canaries.
     share: CanaryShare,
-    /// Counts since they were last told, by route and whether it is the new
-    /// version.
+    /// Counts since the last report to the control group, by route (index of its
+    /// timing) and whether the server ran the new version.
     counts: BTreeMap<(usize, bool), AnswerCount>,
 }
 
+/// Number of all answers and of bad ones.
 #[derive(Debug, Clone, Copy, Default)]
 struct AnswerCount {
+    /// All answers, including bad ones.
     answers: u32,
+    /// Failures and slow answers.
     bad: u32,
 }
 
-/// Which version's servers are asked.
+/// Server versions that a request may be sent to. The new version is the target of the
+/// service's roll-out; every other version is an old one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum VersionPreference {
-    /// Any.
+    /// Servers of any version.
     Any,
-    /// Only the old one's.
+    /// Only servers of the old version.
     OldOnly,
-    /// The new one's, else the old one's.
+    /// Servers of the new version if there are usable ones, otherwise the old version.
     NewFirst,
 }
 
-/// How an attempt went, as far as its server's version is to blame.
+/// Outcome of an attempt, as far as it says something about the server's version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AttemptVerdict {
-    /// It was answered after this time, in what waits there not counted.
+    /// The attempt was answered after this time, not counting the wait in the server's
+    /// queue.
     Answered(Duration),
-    /// It failed.
+    /// The attempt failed.
     Failed,
-    /// Nobody waited for it any more after this time.
+    /// The attempt was abandoned without an answer after this time.
     Abandoned(Duration),
 }
 
 impl ForwardMachine {
-    /// Takes over the roll-outs of all services.
+    /// Applies the current roll-outs of all services. Marks servers of rolled-back
+    /// versions, and removes servers of the old version once a roll-out is completed.
     pub(super) fn set_rollouts(&mut self, views: Vec<RolloutView>, out: &mut Vec<ForwardAction>) {
         for view in views {
             let upstream = self.upstream(&view.service);
@@ -87,7 +100,7 @@
             });
             for server in self.upstreams[upstream].servers.clone() {
                 if is_completed && !self.runs_target_version(server) {
-                    // It has stopped, or is about to.
+                    // Servers of the old version have stopped or are about to.
                     self.advance_lifecycle(server, ServerLifecycle::Gone, out);
                 } else {
                     self.update_rolled_back(server);
@@ -96,37 +109,39 @@
         }
     }
 
-    /// Bars a server whose version was rolled back, and no other.
+    /// Sets whether the version of a server was rolled back.
     pub(super) fn update_rolled_back(&mut self, server: ServerKey) {
         let upstream = self.servers[server].upstream;
         let rollout = self.upstreams[upstream].rollout.as_ref();
-        let is_back = rollout.is_some_and(|known| known.view.state == RolloutState::RolledBack);
-        self.servers[server].is_rolled_back = is_back && self.runs_target_version(server);
+        let was_rolled_back =
+            rollout.is_some_and(|known| known.view.state == RolloutState::RolledBack);
+        self.servers[server].is_rolled_back = was_rolled_back && self.runs_target_version(server);
     }
 
-    /// Tells whether a server has the version that its service is rolled out to.
+    /// Returns whether a server runs the new version of its service's roll-out.
     pub(super) fn runs_target_version(&self, server: ServerKey) -> bool {
         let state = &self.servers[server];
         let rollout = self.upstreams[state.upstream].rollout.as_ref();
         rollout.is_some_and(|rollout| rollout.view.target == state.version)
     }
 
-    /// Returns which version's servers are asked next. A repeat tries no version
-    /// that is not proved good.
+    /// Returns the versions that the next attempt may be sent to. A repeated attempt
+    /// never goes to a new version that is still under test.
     pub(super) fn choose_version_preference(
         &mut self,
         upstream: UpstreamKey,
         is_repeat: bool,
         now: Duration,
     ) -> VersionPreference {
-        let is_heard = now < self.heard_at + CONTROL_CONTACT_TIMEOUT;
+        let has_control_contact = now < self.heard_at + CONTROL_CONTACT_TIMEOUT;
         let Some(rollout) = &mut self.upstreams[upstream].rollout else {
             return VersionPreference::Any;
         };
         match rollout.view.state {
             RolloutState::Trying => {
-                let tries = is_heard && !is_repeat && rollout.share.draw(&mut self.rng);
-                if tries {
+                let tries_new =
+                    has_control_contact && !is_repeat && rollout.share.draw(&mut self.rng);
+                if tries_new {
                     VersionPreference::NewFirst
                 } else {
                     VersionPreference::OldOnly
@@ -137,7 +152,8 @@
         }
     }
 
-    /// Counts how a server's version answered.
+    /// Counts the outcome of an attempt for the version of its server. An attempt that
+    /// was abandoned before `slow_after` is not counted.
     pub(super) fn record_version_outcome(
         &mut self,
         server: ServerKey,
@@ -164,7 +180,8 @@
         count.bad += u32::from(is_bad);
     }
 
-    /// Takes the counts since the last time, to be told.
+    /// Returns the counts since the last call, to be reported to the control group, and
+    /// resets them.
     pub fn take_outcome_counts(&mut self) -> Vec<VersionTally> {
         let mut tallies = Vec::new();
         for (_, upstream) in self.upstreams.iter_mut() {
@@ -173,7 +190,7 @@
             };
             for ((timing, is_target), count) in std::mem::take(&mut rollout.counts) {
                 let mut names = self.timing_names.iter();
-                let route = names.find(|(_, place)| **place == timing);
+                let route = names.find(|(_, index)| **index == timing);
                 tallies.push(VersionTally {
                     order: rollout.view.order,
                     service: rollout.view.service.clone(),
