--- a/crates/core/tests/forward/keys.rs
+++ b/crates/core/tests/forward/keys.rs
@@ -1,4 +1,5 @@
-//! Keys of callers: who may ask, and what servers and other entries are told.
+//! Caller keys: which requests are authorized, and which workspace is passed on to
+//! servers and other entries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +16,8 @@
 
 const KEY: &str = "key-of-north";
 
-/// A table whose workspaces hold these keys each.
+/// Returns a route table with one workspace per pair of workspace name and caller key.
+/// The workspace `tied` allows only the region `east`.
 fn keyed(version: u64, routes: Vec<RouteRule>, holders: &[(&str, &str)]) -> Arc<RouteTable> {
     let plain = table(version, routes);
     let workspaces = holders.iter().map(|(name, key)| WorkspaceRule {
@@ -39,6 +41,7 @@
     Arc::new(RouteTable::check(draft).expect("a good table"))
 }
 
+/// Returns the order with which another entry relays shard `s0` for a workspace.
 fn order(harness: &Harness, workspace: Option<&str>) -> RelayOrder {
     RelayOrder {
         version: 3,
@@ -51,17 +54,19 @@
     }
 }
 
+/// Returns a harness with a sharded route `q`, a public route `open`, a non-idempotent
+/// route `once`, and servers for each of them.
 fn world(holders: &[(&str, &str)]) -> Harness {
     let mut harness = Harness::new();
-    let open = RouteRule {
+    let public_rule = RouteRule {
         public: true,
         ..route("open", RouteTarget::Service("desk".into()))
     };
-    let unsafe_rule = RouteRule {
+    let non_idempotent_rule = RouteRule {
         idempotent: false,
         ..route("once", RouteTarget::Service("desk".into()))
     };
-    let routes = vec![route("q", shards(2)), open, unsafe_rule];
+    let routes = vec![route("q", shards(2)), public_rule, non_idempotent_rule];
     harness.obey(keyed(3, routes, holders));
     for service in ["s0", "s1", "desk"] {
         harness.serve(service, 2);
@@ -73,13 +78,13 @@
     name: &'static str,
     route: &'static str,
     key: Option<&'static str>,
-    /// The workspace that servers are told, or why nothing is sent.
+    /// The workspace that is sent to servers, or the failure of the request.
     found: Result<Option<&'static str>, ForwardFailure>,
 }
 
 const CASES: &[AccessCase] = &[
     AccessCase {
-        name: "a key that is held",
+        name: "a key that is held by a workspace",
         route: "q",
         key: Some(KEY),
         found: Ok(Some("north")),
@@ -91,7 +96,7 @@
         found: Err(ForwardFailure::NoKey),
     },
     AccessCase {
-        name: "a key that nobody holds",
+        name: "a key that belongs to no workspace",
         route: "q",
         key: Some("key-of-nobody"),
         found: Err(ForwardFailure::NoKey),
@@ -109,7 +114,7 @@
         found: Ok(Some("north")),
     },
     AccessCase {
-        name: "a public route with a key that nobody holds",
+        name: "a public route with a key that belongs to no workspace",
         route: "open",
         key: Some("key-of-nobody"),
         found: Ok(None),
@@ -117,7 +122,7 @@
 ];
 
 #[test]
-fn only_a_held_key_runs_and_every_send_tells_its_workspace() {
+fn only_a_valid_key_is_authorized_and_every_send_names_its_workspace() {
     for case in CASES {
         let mut harness = world(&[("north", KEY)]);
         let tag = harness.call_keyed(case.route, case.key, None);
@@ -140,7 +145,7 @@
 }
 
 #[test]
-fn a_request_passed_on_runs_for_a_workspace_that_is_known_here() {
+fn a_relayed_request_runs_if_its_workspace_is_known() {
     let cases = [
         (Some("north"), None),
         (Some("south"), Some(ForwardFailure::NoTable)),
@@ -148,19 +153,19 @@
     ];
     for (workspace, failure) in cases {
         let mut harness = world(&[("north", KEY)]);
-        let asked = order(&harness, workspace);
-        let tag = harness.call_keyed("q", None, Some(asked));
+        let relay_order = order(&harness, workspace);
+        let tag = harness.call_keyed("q", None, Some(relay_order));
         assert_eq!(harness.failure_of(tag), failure, "{workspace:?}");
-        let told = harness.sends.iter().map(|send| send.workspace.as_deref());
+        let sent = harness.sends.iter().map(|send| send.workspace.as_deref());
         assert!(
-            told.eq(failure.map_or(Some(workspace), |_| None)),
+            sent.eq(failure.map_or(Some(workspace), |_| None)),
             "{workspace:?}"
         );
     }
 }
 
 #[test]
-fn parts_for_another_entry_name_the_workspace() {
+fn a_relay_to_another_entry_names_the_workspace() {
     let mut harness = Harness::new();
     harness.obey(keyed(3, vec![route("q", shards(6))], &[("north", KEY)]));
     for number in 0..6 {
@@ -171,16 +176,19 @@
     let relay = harness.sends[0]
         .relay
         .as_ref()
-        .expect("another entry is asked");
+        .expect("another entry is asked for the shards");
     assert_eq!(relay.workspace.as_deref(), Some("north"));
     assert_eq!(harness.sends[0].workspace.as_deref(), Some("north"));
 }
 
 #[test]
-fn requests_whose_key_is_taken_away_end_at_once_and_are_sent_no_more() {
+fn requests_whose_key_is_revoked_end_immediately_without_further_sends() {
     let holders: [(&str, &[(&str, &str)]); 2] = [
-        ("nobody has it", &[("north", "key-two")]),
-        ("another has it", &[("north", "key-two"), ("south", KEY)]),
+        ("no workspace has the key", &[("north", "key-two")]),
+        (
+            "another workspace has the key",
+            &[("north", "key-two"), ("south", KEY)],
+        ),
     ];
     for (name, holders) in holders {
         let mut harness = world(&[("north", KEY)]);
@@ -194,7 +202,7 @@
             Some(ForwardFailure::KeyGone),
             "{name}"
         );
-        // It may have run: its caller gets the server's answer, if that comes.
+        // The non-idempotent request may have run, so its caller still gets the answer.
         assert_eq!(harness.failure_of(once), None, "{name}");
         harness.end_well(sent, b"done");
         assert!(harness.answer_to(once).is_some(), "{name}");
@@ -205,17 +213,17 @@
 }
 
 #[test]
-fn what_was_not_sent_is_refused_as_not_run() {
+fn a_waiting_request_whose_key_is_revoked_is_refused_as_not_run() {
     let mut harness = Harness::new();
     let routes = vec![route("q", RouteTarget::Service("desk".into()))];
     harness.obey(keyed(3, routes.clone(), &[("north", KEY)]));
     harness.serve("desk", 1);
-    // The server's connections are all taken: the last ones wait.
+    // All connections to the server are in use, so the last requests wait.
     let tags: Vec<CallTag> = (0..40)
         .map(|_| harness.call_keyed("q", Some(KEY), None))
         .collect();
     let waiting = *tags.last().expect("one");
-    assert!(harness.sends.len() < tags.len(), "some wait");
+    assert!(harness.sends.len() < tags.len(), "some requests wait");
     harness.obey(keyed(4, routes, &[]));
     assert_eq!(harness.failure_of(waiting), Some(ForwardFailure::NoKey));
     harness.end_well(0, b"done");
@@ -224,7 +232,7 @@
 }
 
 #[test]
-fn a_workspace_binds_its_requests_to_its_homes_beside_the_routes() {
+fn the_allowed_regions_of_a_workspace_apply_in_addition_to_those_of_the_route() {
     let regions = [(HOME, "west"), ("far", "east")];
     let regions = regions.map(|(domain, region)| (domain.into(), region.into()));
     let cases: [(&str, &[&str], Option<&str>); 3] = [
@@ -232,7 +240,7 @@
         ("tied", &["west"], None),
         ("free", &["west"], Some(HOME)),
     ];
-    for (workspace, homes, asked) in cases {
+    for (workspace, homes, expected) in cases {
         let mut harness = Harness::with_options(ForwardOptions {
             domain: HOME.into(),
             regions: RegionMap::new(regions.clone()),
@@ -249,7 +257,7 @@
         let sent = harness.sends.first().map(|send| send.instance.to_string());
         assert_eq!(
             sent,
-            asked.map(|domain| format!("desk-{domain}")),
+            expected.map(|domain| format!("desk-{domain}")),
             "{workspace} {homes:?}"
         );
     }
--- a/crates/core/tests/forward/reborn.rs
+++ b/crates/core/tests/forward/reborn.rs
@@ -1,5 +1,5 @@
-//! Servers that start again under the id that they had, and notices that other
-//! writers made.
+//! Servers that restart under the same id, and conflicting announcements of two
+//! servers under one id.
 
 use std::time::Duration;
 
@@ -15,7 +15,8 @@
 const START: Duration = Duration::from_secs(1);
 const LEASE: Duration = Duration::from_secs(5);
 
-fn life(born: u64, sequence: u64) -> ServerAnnouncement {
+/// Returns an announcement of the incarnation that started at `born`.
+fn incarnation(born: u64, sequence: u64) -> ServerAnnouncement {
     ServerAnnouncement {
         born,
         sequence,
@@ -23,113 +24,117 @@
     }
 }
 
-fn standing(born: u64, sequence: u64, standing: ServerLifecycle) -> ServerAnnouncement {
+/// Returns an announcement of that incarnation with the given lifecycle state.
+fn in_state(born: u64, sequence: u64, standing: ServerLifecycle) -> ServerAnnouncement {
     ServerAnnouncement {
         standing,
-        ..life(born, sequence)
+        ..incarnation(born, sequence)
     }
 }
 
-struct LifeCase {
+struct IncarnationCase {
     name: &'static str,
-    news: Vec<ServerAnnouncement>,
+    /// Announcements in the order in which they arrive.
+    announcements: Vec<ServerAnnouncement>,
+    /// Expected effect of the last announcement.
     effect: AnnouncementEffect,
-    held: (u64, u64, ServerLifecycle),
+    /// Expected start time, sequence number and lifecycle state on record.
+    recorded: (u64, u64, ServerLifecycle),
 }
 
 #[test]
-fn the_latest_life_holds_whatever_comes_late() {
+fn the_latest_incarnation_wins_over_late_announcements() {
     use ServerLifecycle::{Draining, Gone, Ready};
     let cases = [
-        LifeCase {
-            name: "counts start anew",
-            news: vec![life(10, 90), life(20, 1)],
+        IncarnationCase {
+            name: "the sequence number counts from 1 again",
+            announcements: vec![incarnation(10, 90), incarnation(20, 1)],
             effect: AnnouncementEffect::Changed,
-            held: (20, 1, Ready),
+            recorded: (20, 1, Ready),
         },
-        LifeCase {
-            name: "it was gone",
-            news: vec![ServerAnnouncement::gone("desk-0", 10), life(20, 1)],
+        IncarnationCase {
+            name: "the old incarnation was gone",
+            announcements: vec![ServerAnnouncement::gone("desk-0", 10), incarnation(20, 1)],
             effect: AnnouncementEffect::Changed,
-            held: (20, 1, Ready),
+            recorded: (20, 1, Ready),
         },
-        LifeCase {
-            name: "it was leaving",
-            news: vec![standing(10, 9, Draining), life(20, 1)],
+        IncarnationCase {
+            name: "the old incarnation was leaving",
+            announcements: vec![in_state(10, 9, Draining), incarnation(20, 1)],
             effect: AnnouncementEffect::Changed,
-            held: (20, 1, Ready),
+            recorded: (20, 1, Ready),
         },
-        LifeCase {
-            name: "an old sign of life",
-            news: vec![life(20, 1), life(10, 91)],
+        IncarnationCase {
+            name: "late heartbeat of the old incarnation",
+            announcements: vec![incarnation(20, 1), incarnation(10, 91)],
             effect: AnnouncementEffect::Stale,
-            held: (20, 1, Ready),
+            recorded: (20, 1, Ready),
         },
-        LifeCase {
-            name: "the old life's leaving",
-            news: vec![life(20, 1), standing(10, 91, Draining)],
+        IncarnationCase {
+            name: "late announcement that the old incarnation is leaving",
+            announcements: vec![incarnation(20, 1), in_state(10, 91, Draining)],
             effect: AnnouncementEffect::Stale,
-            held: (20, 1, Ready),
+            recorded: (20, 1, Ready),
         },
-        LifeCase {
-            name: "the old life's end",
-            news: vec![life(20, 1), ServerAnnouncement::gone("desk-0", 10)],
+        IncarnationCase {
+            name: "late end of the old incarnation",
+            announcements: vec![incarnation(20, 1), ServerAnnouncement::gone("desk-0", 10)],
             effect: AnnouncementEffect::Stale,
-            held: (20, 1, Ready),
+            recorded: (20, 1, Ready),
         },
-        LifeCase {
-            name: "an end that names no life is this one's",
-            news: vec![life(20, 1), ServerAnnouncement::gone("desk-0", 0)],
+        IncarnationCase {
+            name: "an end without a start time applies to the current incarnation",
+            announcements: vec![incarnation(20, 1), ServerAnnouncement::gone("desk-0", 0)],
             effect: AnnouncementEffect::Changed,
-            held: (20, u64::MAX, Gone),
+            recorded: (20, u64::MAX, Gone),
         },
-        LifeCase {
-            name: "another writer's service",
-            news: vec![
-                life(20, 1),
+        IncarnationCase {
+            name: "an announcement of another service under the same id",
+            announcements: vec![
+                incarnation(20, 1),
                 ServerAnnouncement {
                     service: "other".into(),
-                    ..life(20, 50)
+                    ..incarnation(20, 50)
                 },
-                life(20, 2),
+                incarnation(20, 2),
             ],
             effect: AnnouncementEffect::Renewed,
-            held: (20, 2, Ready),
+            recorded: (20, 2, Ready),
         },
     ];
     for case in cases {
         let mut directory = ServerDirectory::default();
         let mut effect = AnnouncementEffect::Stale;
-        for news in case.news {
-            effect = directory.apply(news, START);
+        for announcement in case.announcements {
+            effect = directory.apply(announcement, START);
         }
         assert_eq!(effect, case.effect, "{}", case.name);
-        let held = &directory.get("desk-0").expect("known").notice;
-        let found = (held.born, held.sequence, held.standing);
-        assert_eq!(found, case.held, "{}", case.name);
+        let record = &directory.get("desk-0").expect("known").notice;
+        let found = (record.born, record.sequence, record.standing);
+        assert_eq!(found, case.recorded, "{}", case.name);
     }
 }
 
 #[test]
-fn a_word_of_the_old_life_does_not_renew_the_new_one() {
+fn a_report_about_the_old_incarnation_does_not_renew_the_new_one() {
     let mut directory = ServerDirectory::default();
-    directory.apply(life(20, 1), START);
+    directory.apply(incarnation(20, 1), START);
     let old = AnnouncementPosition {
         born: 10,
         sequence: 500,
     };
     directory.renew_lease("desk-0", old, START + LEASE);
     assert_eq!(
-        directory.apply(life(20, 2), START),
+        directory.apply(incarnation(20, 2), START),
         AnnouncementEffect::Renewed
     );
 }
 
 #[test]
-fn a_server_that_became_cold_again_is_news() {
+fn a_server_that_became_cold_again_counts_as_changed() {
     let cold = |sequence, cold_ms| ServerAnnouncement {
         cold_ms,
-        ..life(20, sequence)
+        ..incarnation(20, sequence)
     };
     let mut directory = ServerDirectory::default();
     directory.apply(cold(1, 3000), START);
@@ -149,13 +154,13 @@
 }
 
 #[test]
-fn nothing_of_the_old_life_is_left_at_an_entry() {
+fn an_entry_keeps_no_state_of_the_old_incarnation() {
     let mut harness = Harness::new();
     harness.obey(table(
         1,
         vec![route("q", RouteTarget::Service("desk".into()))],
     ));
-    harness.step(ForwardInput::Notice(life(10, 90)));
+    harness.step(ForwardInput::Notice(incarnation(10, 90)));
     for _ in 0..4 {
         harness.call("q");
         let send = harness.sends.len() - 1;
@@ -163,7 +168,7 @@
         harness.pass(5);
     }
     let old = harness.sends[0].server;
-    harness.step(ForwardInput::Notice(life(20, 1)));
+    harness.step(ForwardInput::Notice(incarnation(20, 1)));
     assert!(harness.closes > 0, "its idle connections are closed");
     assert_eq!(harness.machine.server_count(), 1);
     let first = harness.sends.len();
@@ -171,25 +176,25 @@
     assert_eq!(harness.sends.len(), first + 1);
     assert_ne!(
         harness.sends[first].server, old,
-        "it is a server of its own"
+        "the new incarnation is a separate server"
     );
     assert_eq!(&*harness.sends[first].instance, "desk-0");
-    // What the old life said comes late.
+    // The departure of the old incarnation arrives late.
     harness.step(ForwardInput::Notice(ServerAnnouncement::gone("desk-0", 10)));
     assert_eq!(harness.machine.server_count(), 1);
 }
 
-/// A server ended and came back at its address under another id; an entry that
-/// starts then is told of both, in no order. One shard had no server for good at
-/// such an entry: what was told last was taken for what lives, and the other one
-/// for gone.
+/// Guards against an entry that permanently has no server for a shard. A server
+/// stopped and another one started at its address under another id. An entry that
+/// starts afterwards is told about both in either order; it must not assume that the
+/// one announced last is alive and the other one gone.
 #[test]
-fn of_two_lifetimes_at_an_address_the_one_that_answers_is_asked() {
-    for told in [["desk-old", "desk-new"], ["desk-new", "desk-old"]] {
+fn of_two_servers_at_an_address_the_one_that_answers_is_used() {
+    for order in [["desk-old", "desk-new"], ["desk-new", "desk-old"]] {
         let mut harness = Harness::new();
         let target = RouteTarget::Service("desk".into());
         harness.obey(table(3, vec![route("q", target)]));
-        for id in told {
+        for id in order {
             harness.step(ForwardInput::Notice(notice(id, "desk", HOME, 1)));
         }
         for _ in 0..4 {
@@ -199,13 +204,13 @@
                 if *harness.sends[send].instance == *"desk-new" {
                     harness.end_well(send, b"");
                 } else {
-                    let mut other = answer(421, "", b"");
-                    other.not_run = true;
-                    harness.end(send, AttemptEnd::Answer(other));
+                    let mut misdirected = answer(421, "", b"");
+                    misdirected.not_run = true;
+                    harness.end(send, AttemptEnd::Answer(misdirected));
                 }
             }
             let is_served = matches!(harness.answer_to(call), Some(ForwardAnswer::Server(_)));
-            assert!(is_served, "{told:?}");
+            assert!(is_served, "told about them in the order {order:?}");
         }
     }
 }
--- a/crates/core/tests/forward/remember.rs
+++ b/crates/core/tests/forward/remember.rs
@@ -1,4 +1,5 @@
-//! Servers that were known before a restart.
+//! Leases in the server directory: servers remembered across a restart, servers that a
+//! peer observes, and synchronization of directories.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -14,16 +15,18 @@
 use crate::harness::{notice, Harness, HOME};
 
 const LEASE: Duration = Duration::from_secs(5);
-/// Time for which a server that was known before a restart is believed to live.
-const BELIEVE_TIME: Duration = Duration::from_millis(2500);
+/// Lease of a server that was loaded from disk after a restart: half of `LEASE`.
+const REMEMBERED_LEASE: Duration = Duration::from_millis(2500);
 const START: Duration = Duration::from_secs(1);
 
-fn remembering() -> ServerDirectory {
+/// Returns a directory with one server that was loaded from disk at `START`.
+fn remembered_directory() -> ServerDirectory {
     let mut directory = ServerDirectory::default();
     directory.remember(notice("desk-0", "desk", HOME, 1), START);
     directory
 }
 
+/// Returns an announcement of that server with this sequence number.
 fn later(sequence: u64) -> ServerAnnouncement {
     ServerAnnouncement {
         sequence,
@@ -32,21 +35,21 @@
 }
 
 #[test]
-fn who_is_not_heard_of_is_soon_silent() {
-    let mut directory = remembering();
+fn a_remembered_server_that_does_not_announce_itself_expires_early() {
+    let mut directory = remembered_directory();
     assert!(directory
-        .expire_leases(START + BELIEVE_TIME, LEASE, |_| None)
+        .expire_leases(START + REMEMBERED_LEASE, LEASE, |_| None)
         .is_empty());
-    let expired = directory.expire_leases(START + BELIEVE_TIME * 2, LEASE, |_| None);
+    let expired = directory.expire_leases(START + REMEMBERED_LEASE * 2, LEASE, |_| None);
     assert_eq!(expired, ["desk-0".into()]);
 }
 
 #[test]
-fn who_is_heard_of_has_a_whole_lease() {
+fn a_remembered_server_that_announces_itself_has_a_full_lease() {
     let now = START + Duration::from_secs(1);
-    let mut announced = remembering();
+    let mut announced = remembered_directory();
     assert_eq!(announced.apply(later(2), now), AnnouncementEffect::Renewed);
-    let mut renewed = remembering();
+    let mut renewed = remembered_directory();
     renewed.renew_lease("desk-0", later(2).position(), now);
     for mut directory in [announced, renewed] {
         assert!(directory
@@ -57,7 +60,7 @@
 }
 
 #[test]
-fn what_is_known_already_is_not_remembered_over() {
+fn remembering_does_not_overwrite_a_known_server() {
     let mut directory = ServerDirectory::default();
     directory.apply(ServerAnnouncement::gone("desk-0", 0), START);
     directory.remember(notice("desk-0", "desk", HOME, 1), START);
@@ -67,13 +70,14 @@
 }
 
 #[test]
-fn only_who_was_heard_of_is_kept_for_the_next_time() {
-    let directory = remembering();
+fn a_remembered_server_is_not_saved_until_it_announces_itself() {
+    let directory = remembered_directory();
     assert_eq!(directory.confirmed_alive().count(), 0);
 }
 
-/// A server that another control instance hears.
-fn kept_elsewhere() -> (ServerDirectory, SocketAddr) {
+/// Returns a directory with a server that another control instance observes, and the
+/// address of that instance.
+fn observed_at_peer() -> (ServerDirectory, SocketAddr) {
     let mut directory = ServerDirectory::default();
     let peer = ([10, 0, 0, 1], 7380).into();
     directory.apply(later(2), START);
@@ -82,29 +86,31 @@
 }
 
 #[test]
-fn a_server_is_heard_of_while_the_instance_that_hears_it_is() {
-    let (mut directory, _) = kept_elsewhere();
+fn a_server_counts_as_seen_while_its_observer_is_seen() {
+    let (mut directory, _) = observed_at_peer();
     let now = START + LEASE * 10;
-    let heard = |at: Duration| move |_: &SocketAddr| Some(at);
-    assert!(directory.expire_leases(now, LEASE, heard(now)).is_empty());
+    let peer_seen = |at: Duration| move |_: &SocketAddr| Some(at);
     assert!(directory
-        .expire_leases(now + LEASE, LEASE, heard(now))
+        .expire_leases(now, LEASE, peer_seen(now))
+        .is_empty());
+    assert!(directory
+        .expire_leases(now + LEASE, LEASE, peer_seen(now))
         .is_empty());
     let late = now + LEASE + Duration::from_millis(1);
     assert_eq!(
-        directory.expire_leases(late, LEASE, heard(now)),
+        directory.expire_leases(late, LEASE, peer_seen(now)),
         ["desk-0".into()]
     );
 }
 
 #[test]
-fn who_hears_a_server_says_when_it_falls_silent_and_nobody_else() {
+fn only_the_observer_reports_that_a_lease_has_expired() {
     let other = ([10, 0, 0, 2], 7380).into();
-    let (mut directory, peer) = kept_elsewhere();
+    let (mut directory, peer) = observed_at_peer();
     assert!(!directory.record_peer_expiry("desk-0", later(9).position(), other));
     assert!(directory.record_peer_expiry("desk-0", later(9).position(), peer));
     assert!(!directory.record_peer_expiry("desk-0", later(9).position(), peer));
-    // What it said before that, and what comes late, is old.
+    // An announcement that precedes the expiry is stale, even if it arrives late.
     assert_eq!(directory.apply(later(8), START), AnnouncementEffect::Stale);
     assert_eq!(
         directory.apply(later(10), START),
@@ -114,26 +120,26 @@
 }
 
 #[test]
-fn an_instance_that_was_restarted_hears_only_what_it_says() {
-    let (mut directory, peer) = kept_elsewhere();
+fn a_restarted_instance_observes_only_the_servers_that_it_lists() {
+    let (mut directory, peer) = observed_at_peer();
     let now = START + LEASE * 10;
     assert_ne!(directory.digest(ServerObserver::Peer(peer)), 0);
     directory.retain_observed_at_peer(peer, &HashSet::new(), now);
     assert_eq!(directory.digest(ServerObserver::Peer(peer)), 0);
-    let heard = |_: &SocketAddr| Some(now + LEASE * 2);
+    let peer_seen = |_: &SocketAddr| Some(now + LEASE * 2);
     assert!(directory
-        .expire_leases(now + LEASE, LEASE, heard)
+        .expire_leases(now + LEASE, LEASE, peer_seen)
         .is_empty());
     let late = now + LEASE + Duration::from_millis(1);
     assert_eq!(
-        directory.expire_leases(late, LEASE, heard),
+        directory.expire_leases(late, LEASE, peer_seen),
         ["desk-0".into()]
     );
 }
 
 #[test]
-fn a_server_that_announces_itself_elsewhere_changes_hands() {
-    let (mut directory, peer) = kept_elsewhere();
+fn a_server_that_announces_itself_elsewhere_changes_its_observer() {
+    let (mut directory, peer) = observed_at_peer();
     directory.apply(later(3), START);
     assert!(directory.observe_locally("desk-0"));
     assert!(!directory.observe_locally("desk-0"));
@@ -141,18 +147,18 @@
     assert!(!directory.record_peer_expiry("desk-0", later(9).position(), peer));
 }
 
-/// What callers and the control group saw: where servers announce themselves each
-/// five seconds, a lease of five seconds took each of 3,864 for silent once in each of
-/// these, and every entry was told so and told otherwise.
+/// Guards against a lease that is too short for the announcement interval. With an
+/// interval and a lease of 5 s each, every one of 3,864 servers expired once per
+/// interval, and every entry was notified of the expiry and of the recovery.
 #[test]
-fn a_server_that_announces_itself_in_time_is_never_silent() {
+fn a_server_that_announces_itself_in_time_never_expires() {
     for interval in [100, 1200, 5000, 20_000].map(Duration::from_millis) {
         let lease = lease_for(interval);
         let mut directory = ServerDirectory::default();
         let mut now = START;
         for sequence in 1..40 {
             directory.apply(later(sequence), now);
-            // It is looked after four times a second, and one in five comes late.
+            // Leases are checked four times a second; one announcement in five is late.
             let late = if sequence % 5 == 0 { 1200 } else { 60 };
             let next = now + interval + Duration::from_millis(late);
             while now < next {
@@ -167,7 +173,7 @@
 }
 
 #[test]
-fn an_entry_that_comes_back_is_told_only_of_the_servers_that_changed() {
+fn a_reconnecting_entry_is_sent_only_the_servers_in_changed_buckets() {
     let server = |number: usize| {
         let id = format!("desk-{number}");
         notice(&id, "desk", HOME, 1 + number as u16)
@@ -179,14 +185,14 @@
     }
     assert_eq!(group.records_to_sync(&entry.bucket_digests()).len(), 0);
     assert_eq!(group.records_to_sync(&[]).len(), 4000);
-    // One leaves, one comes, and one starts again.
+    // One server leaves, one joins and one restarts.
     group.apply(ServerAnnouncement::gone("desk-7", 0), START);
     group.apply(server(4000), START);
-    let again = ServerAnnouncement {
+    let restarted = ServerAnnouncement {
         born: 5,
         ..server(8)
     };
-    group.apply(again, START);
+    group.apply(restarted, START);
     let records_to_sync: Vec<ServerAnnouncement> = group
         .records_to_sync(&entry.bucket_digests())
         .into_iter()
@@ -199,46 +205,46 @@
     assert_eq!(group.records_to_sync(&entry.bucket_digests()).len(), 0);
 }
 
-struct ReusedCase {
+struct ReusedAddressCase {
     name: &'static str,
-    /// Time between the two servers.
+    /// Time between the announcements of the two servers.
     apart: Duration,
-    /// Whether the first one is known to be silent when the second one comes.
-    lapsed: bool,
-    /// Whether the instance that heard the first one names all that it hears.
-    renewed: bool,
+    /// Whether the first server's lease has expired when the second one announces itself.
+    has_expired: bool,
+    /// Whether the first server's observer lists all its servers, without the first one.
+    is_relisted: bool,
 }
 
-const REUSED_CASES: [ReusedCase; 4] = [
-    ReusedCase {
-        name: "silent, then named no more",
+const REUSED_ADDRESS_CASES: [ReusedAddressCase; 4] = [
+    ReusedAddressCase {
+        name: "silent and expired, then no longer listed",
         apart: LEASE,
-        lapsed: true,
-        renewed: true,
+        has_expired: true,
+        is_relisted: true,
     },
-    ReusedCase {
-        name: "not silent yet, then named no more",
+    ReusedAddressCase {
+        name: "silent but not expired yet, then no longer listed",
         apart: Duration::from_secs(2),
-        lapsed: false,
-        renewed: true,
+        has_expired: false,
+        is_relisted: true,
     },
-    ReusedCase {
-        name: "both in one message, the first silent",
+    ReusedAddressCase {
+        name: "both in one message, the first silent and expired",
         apart: Duration::ZERO,
-        lapsed: true,
-        renewed: false,
+        has_expired: true,
+        is_relisted: false,
     },
-    ReusedCase {
+    ReusedAddressCase {
         name: "both in one message",
         apart: Duration::ZERO,
-        lapsed: false,
-        renewed: false,
+        has_expired: false,
+        is_relisted: false,
     },
 ];
 
 #[test]
-fn a_dead_server_does_not_take_the_place_of_the_living_one_at_its_address() {
-    for case in &REUSED_CASES {
+fn a_dead_server_does_not_replace_the_live_one_at_its_address() {
+    for case in &REUSED_ADDRESS_CASES {
         let peer = ([10, 0, 0, 1], 7380).into();
         let mut group = ServerDirectory::default();
         let (first, second) = (START, START + case.apart);
@@ -248,12 +254,12 @@
         }
         for port in 0..50 {
             let dead = format!("desk-{port}");
-            if case.lapsed {
+            if case.has_expired {
                 assert!(group.record_peer_expiry(&dead, later(9).position(), peer));
             }
             group.apply(notice(&format!("till-{port}"), "till", HOME, port), second);
         }
-        if case.renewed {
+        if case.is_relisted {
             group.retain_observed_at_peer(peer, &HashSet::new(), second + LEASE);
         }
         let mut entry = Harness::new();
@@ -263,6 +269,6 @@
         let services = entry.machine.services(entry.now);
         let tills = services.filter(|(service, ..)| *service == "till");
         let tills: usize = tills.map(|(_, _, servers, _)| servers).sum();
-        assert_eq!(tills, 50, "{}: living servers", case.name);
+        assert_eq!(tills, 50, "{}: live servers", case.name);
     }
 }
--- a/crates/core/tests/forward/roll.rs
+++ b/crates/core/tests/forward/roll.rs
@@ -1,4 +1,4 @@
-//! Which other entries an entry is told of.
+//! Selection of the other entries that an entry is told about.
 
 use std::collections::BTreeMap;
 
@@ -25,13 +25,13 @@
 }
 
 #[test]
-fn an_entry_is_told_of_all_near_and_some_far_ones() {
+fn an_entry_is_told_about_all_entries_of_its_domain_and_some_of_others() {
     let all = all();
-    for own in [&all[0], &all[300]] {
-        let view = select_known_peers(own, &all);
-        let near = view.iter().filter(|peer| peer.domain == own.domain);
+    for local in [&all[0], &all[300]] {
+        let selected = select_known_peers(local, &all);
+        let near = selected.iter().filter(|peer| peer.domain == local.domain);
         assert_eq!(near.count(), usize::from(ENTRIES));
-        let far = view.iter().filter(|peer| peer.domain != own.domain);
+        let far = selected.iter().filter(|peer| peer.domain != local.domain);
         assert_eq!(
             far.count(),
             PEERS_PER_REMOTE_DOMAIN * usize::from(DOMAINS - 1)
@@ -40,19 +40,19 @@
 }
 
 #[test]
-fn far_entries_are_told_to_as_many() {
+fn each_entry_is_known_to_about_the_same_number_of_remote_entries() {
     let all = all();
-    let mut told: BTreeMap<Box<str>, usize> = BTreeMap::new();
-    for own in &all {
-        for peer in select_known_peers(own, &all) {
-            if peer.domain != own.domain {
-                *told.entry(peer.id()).or_default() += 1;
+    let mut known_by: BTreeMap<Box<str>, usize> = BTreeMap::new();
+    for local in &all {
+        for peer in select_known_peers(local, &all) {
+            if peer.domain != local.domain {
+                *known_by.entry(peer.id()).or_default() += 1;
             }
         }
     }
-    // On average 40 others are told of an entry.
-    let (least, most) = (told.values().min(), told.values().max());
-    assert_eq!(told.len(), all.len());
+    // On average, 40 remote entries know an entry.
+    let (least, most) = (known_by.values().min(), known_by.values().max());
+    assert_eq!(known_by.len(), all.len());
     assert!(
         *least.unwrap() >= 15 && *most.unwrap() <= 75,
         "{least:?} {most:?}"
@@ -60,16 +60,16 @@
 }
 
 #[test]
-fn an_entry_that_comes_changes_little() {
+fn an_additional_entry_changes_at_most_one_selected_entry() {
     let mut all = all();
-    let own = all[0].clone();
-    let before: Vec<EntryPeer> = select_known_peers(&own, &all)
+    let local = all[0].clone();
+    let before: Vec<EntryPeer> = select_known_peers(&local, &all)
         .into_iter()
         .cloned()
         .collect();
     all.push(peer(3, ENTRIES));
-    let after = select_known_peers(&own, &all);
-    let fresh = after.iter().filter(|peer| !before.contains(peer));
-    assert!(fresh.count() <= 1);
+    let after = select_known_peers(&local, &all);
+    let added = after.iter().filter(|peer| !before.contains(peer));
+    assert!(added.count() <= 1);
     assert_eq!(before.len(), after.len());
 }
--- a/crates/core/tests/forward/source.rs
+++ b/crates/core/tests/forward/source.rs
@@ -1,4 +1,5 @@
-//! Which control instance an entry hears everything from.
+//! Selection of an entry's control connections and of its source: the control instance
+//! that sends the entry all state.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,11 +11,14 @@
 
 struct SourceCase {
     name: &'static str,
-    /// Near, settled, way in ms; the address is the place.
+    /// Whether the instance is in the entry's domain, whether it has a quorum, and its
+    /// connect time in ms. The index determines the address.
     peers: &'static [(bool, bool, u64)],
-    /// Which one is fresh.
-    fresh: Option<usize>,
+    /// Index of the instance that has just started.
+    just_started: Option<usize>,
+    /// Index of the current source.
     current: Option<u16>,
+    /// Index of the expected source.
     want: Option<u16>,
 }
 
@@ -22,73 +26,73 @@
     SourceCase {
         name: "none is connected",
         peers: &[],
-        fresh: None,
+        just_started: None,
         current: Some(0),
         want: None,
     },
     SourceCase {
-        name: "the near one, though another is the source",
+        name: "the near one replaces a far source",
         peers: &[(false, true, 1), (true, true, 2)],
-        fresh: None,
+        just_started: None,
         current: Some(0),
         want: Some(1),
     },
     SourceCase {
-        name: "a far one that is settled before a near one that is cut off",
+        name: "a far one with a settled quorum before a near one that is cut off",
         peers: &[(true, false, 1), (false, true, 16)],
-        fresh: None,
+        just_started: None,
         current: Some(0),
         want: Some(1),
     },
     SourceCase {
-        name: "the nearest of the far ones",
+        name: "the far one with the shortest connect time",
         peers: &[(false, true, 16), (false, true, 2), (false, true, 17)],
-        fresh: None,
+        just_started: None,
         current: None,
         want: Some(1),
     },
     SourceCase {
-        name: "the source stays while none is better but by its way",
+        name: "the source stays if none is better except by connect time",
         peers: &[(false, true, 2), (false, true, 16)],
-        fresh: None,
+        just_started: None,
         current: Some(1),
         want: Some(1),
     },
     SourceCase {
-        name: "a near one that has just started is left alone",
+        name: "the source is left unchanged when a near one has just started",
         peers: &[(false, true, 16), (true, true, 1)],
-        fresh: Some(1),
+        just_started: Some(1),
         current: Some(0),
         want: Some(0),
     },
     SourceCase {
         name: "a near one that has just started stays the source",
         peers: &[(false, true, 16), (true, true, 1)],
-        fresh: Some(1),
+        just_started: Some(1),
         current: Some(1),
         want: Some(1),
     },
     SourceCase {
-        name: "all are unsettled after a loss of power: the near one",
+        name: "all are without a quorum after a loss of power: the near one",
         peers: &[(false, false, 2), (true, false, 16)],
-        fresh: None,
+        just_started: None,
         current: None,
         want: Some(1),
     },
 ];
 
-fn address(place: u16) -> SocketAddr {
-    ([127, 0, 0, 1], 1000 + place).into()
+fn address(index: u16) -> SocketAddr {
+    ([127, 0, 0, 1], 1000 + index).into()
 }
 
 #[test]
-fn the_source_is_settled_and_near() {
+fn the_source_has_a_quorum_and_is_near() {
     for case in CASES {
         let peers = case.peers.iter().enumerate();
         let peers: Vec<ControlPeer> = peers
-            .map(|(place, (is_near, has_quorum, connect_time))| ControlPeer {
-                started_recently: case.fresh == Some(place),
-                address: address(place as u16),
+            .map(|(index, (is_near, has_quorum, connect_time))| ControlPeer {
+                started_recently: case.just_started == Some(index),
+                address: address(index as u16),
                 is_near: *is_near,
                 has_quorum: *has_quorum,
                 connect_time: Duration::from_millis(*connect_time),
@@ -99,12 +103,13 @@
     }
 }
 
-const OWN_DOMAIN: &str = "a1";
+const LOCAL_DOMAIN: &str = "a1";
 
-/// Control instances in these failure domains; regions are their first letters.
+/// Returns one control instance per failure domain. The first letter of a domain is its
+/// region.
 fn sites(domains: &[&'static str]) -> Vec<ControlCandidate<'static>> {
     let place = |domain: &str| match domain {
-        OWN_DOMAIN => PlaceStep::Domain,
+        LOCAL_DOMAIN => PlaceStep::Domain,
         domain if domain.starts_with('a') => PlaceStep::Region,
         _ => PlaceStep::Elsewhere,
     };
@@ -118,61 +123,61 @@
         .collect()
 }
 
-struct LineCase {
+struct ConnectionCase {
     name: &'static str,
     domains: &'static [&'static str],
-    /// Places of the instances that fail.
+    /// Indexes of the instances that have failed.
     failing: &'static [usize],
-    /// Failure domains of the instances that are chosen, in this order.
+    /// Failure domains of the instances that are chosen, in order.
     chosen: &'static [&'static str],
 }
 
 #[test]
 fn an_entry_is_connected_to_two_near_instances_of_different_domains() {
     let cases = [
-        LineCase {
+        ConnectionCase {
             name: "one in each domain",
             domains: &["a1", "b1", "c1", "a2", "b2", "c2"],
             failing: &[],
             chosen: &["a1", "a2"],
         },
-        LineCase {
+        ConnectionCase {
             name: "several in each domain",
             domains: &["a1", "a1", "a2", "a2", "b1", "b1"],
             failing: &[],
             chosen: &["a1", "a2"],
         },
-        LineCase {
-            name: "one of the own domain fails",
+        ConnectionCase {
+            name: "one instance of the local domain fails",
             domains: &["a1", "a1", "a2", "b1"],
             failing: &[0],
             chosen: &["a1", "a2"],
         },
-        LineCase {
-            name: "the own domain fails",
+        ConnectionCase {
+            name: "the local domain fails",
             domains: &["a1", "a2", "b1"],
             failing: &[0],
             chosen: &["a2", "b1"],
         },
-        LineCase {
-            name: "the own region fails",
+        ConnectionCase {
+            name: "the local region fails",
             domains: &["a1", "a2", "b1", "c1", "c1"],
             failing: &[0, 1],
             chosen: &["b1", "c1"],
         },
-        LineCase {
+        ConnectionCase {
             name: "all but one fail",
             domains: &["a1", "a2", "b1"],
             failing: &[0, 2],
             chosen: &["a2", "a1"],
         },
-        LineCase {
+        ConnectionCase {
             name: "all in one domain",
             domains: &["a1", "a1", "a1"],
             failing: &[],
             chosen: &["a1", "a1"],
         },
-        LineCase {
+        ConnectionCase {
             name: "one alone",
             domains: &["b1"],
             failing: &[],
@@ -195,7 +200,7 @@
             .filter_map(|address| domain(*address))
             .collect();
         if case.failing.len() > 1 && case.chosen != ["a2", "a1"] {
-            // Which of two regions that are as far goes first differs.
+            // The order of two equally distant regions depends on the hash.
             domains.sort_unstable();
         }
         assert_eq!(domains, case.chosen, "{}", case.name);
@@ -203,7 +208,7 @@
 }
 
 #[test]
-fn instances_that_failed_before_go_before_those_that_have_lost_their_group_now() {
+fn instances_that_failed_earlier_are_preferred_to_those_that_have_just_lost_their_quorum() {
     let mut sites = sites(&["a1", "a2", "b1", "c1"]);
     for (site, last_failed_at) in sites.iter_mut().zip([9, 9, 6, 5]) {
         site.last_failed_at = Some(Duration::from_secs(last_failed_at));
@@ -213,7 +218,7 @@
 }
 
 #[test]
-fn connections_grow_with_the_entries_and_spread_over_the_instances() {
+fn connections_grow_with_the_entries_and_spread_over_the_near_instances() {
     let domains: Vec<&str> = (0..24)
         .map(|index| ["a1", "a2", "b1", "b2", "c1", "c2"][index % 6])
         .collect();
--- a/crates/core/tests/forward/unresponsive.rs
+++ b/crates/core/tests/forward/unresponsive.rs
@@ -1,17 +1,18 @@
-//! Connections that have gone silent for good, without a reset.
+//! Connections over which nothing arrives any more although they were not reset.
 
 use crate::harness::{route, shards, table, Harness};
 
-/// Asks two shards; the first send to s0 stays without an answer. Returns how
-/// often idle connections were closed when it was cut off.
-fn play(answers_elsewhere: bool) -> usize {
+/// Sends a request to two shards and leaves the first attempt at s0 unanswered.
+/// Returns how often idle connections were closed by the time that attempt was
+/// cancelled.
+fn count_closes(answers_elsewhere: bool) -> usize {
     let mut harness = Harness::new();
     harness.obey(table(3, vec![route("q", shards(2))]));
     harness.serve("s0", 1);
     harness.serve("s1", 1);
     harness.call("q");
     harness.end_well(1, b"");
-    // The answer goes out without s0, which is then asked once more.
+    // The request is answered without s0; the next request is sent to s0 again.
     harness.pass(100);
     assert_eq!(harness.answers.len(), 1);
     if answers_elsewhere {
@@ -26,11 +27,11 @@
 }
 
 #[test]
-fn a_server_that_says_nothing_is_asked_on_new_connections_only() {
-    assert_eq!(play(false), 1);
+fn an_unresponsive_server_gets_requests_on_new_connections_only() {
+    assert_eq!(count_closes(false), 1);
 }
 
 #[test]
-fn a_server_that_answers_others_keeps_its_connections() {
-    assert_eq!(play(true), 0);
+fn a_server_that_answers_other_requests_keeps_its_connections() {
+    assert_eq!(count_closes(true), 0);
 }
--- a/crates/core/tests/forward/versions.rs
+++ b/crates/core/tests/forward/versions.rs
@@ -1,4 +1,4 @@
-//! Versions of servers while a service is rolled out.
+//! Routing between server versions while a service is rolled out.
 
 use wheelmast_core::process::control::rollout::RolloutState;
 use wheelmast_core::process::forward::directory::ServerAnnouncement;
@@ -10,6 +10,7 @@
 
 use crate::harness::{answer, notice, route, table, Harness, HOME};
 
+/// Announces a server of the service `desk` with this id and version.
 fn serve(harness: &mut Harness, id: &str, version: &str) {
     let port = 2000 + id.bytes().map(u16::from).sum::<u16>();
     let plain = notice(id, "desk", HOME, port);
@@ -19,6 +20,7 @@
     }));
 }
 
+/// Returns the input that announces a roll-out of `desk` to version `v2`.
 fn view(state: RolloutState, order: u64) -> ForwardInput {
     ForwardInput::Rollouts(vec![RolloutView {
         service: "desk".into(),
@@ -28,7 +30,8 @@
     }])
 }
 
-/// One old server and one of the new version, and as many tries as one likes.
+/// Returns a harness with one server of the old and one of the new version. The canary
+/// bound is high enough not to limit the tests.
 fn world() -> Harness {
     let mut harness = Harness::with_options(ForwardOptions {
         domain: HOME.into(),
@@ -48,8 +51,8 @@
     harness
 }
 
-/// Makes requests that are answered at once; returns how many went to the new
-/// version.
+/// Makes `count` requests that are answered immediately. Returns how many went to the
+/// new version.
 fn requests(harness: &mut Harness, count: usize) -> usize {
     let mut new = 0;
     for _ in 0..count {
@@ -63,12 +66,12 @@
 
 struct StateCase {
     state: RolloutState,
-    /// Least and most of 200 requests that go to the new version.
+    /// Minimum and maximum number of 200 requests that go to the new version.
     new: (usize, usize),
 }
 
 #[test]
-fn each_state_of_a_roll_out_says_which_version_is_asked() {
+fn the_state_of_a_roll_out_determines_which_version_gets_requests() {
     let cases = [
         StateCase {
             state: RolloutState::Trying,
@@ -97,7 +100,7 @@
 }
 
 #[test]
-fn an_entry_that_hears_nothing_tries_no_new_version() {
+fn an_entry_without_control_contact_sends_nothing_to_a_new_version_under_test() {
     let mut harness = world();
     harness.step(view(RolloutState::Trying, 1));
     assert!(requests(&mut harness, 100) > 0);
@@ -126,7 +129,7 @@
 }
 
 #[test]
-fn a_server_of_a_rolled_back_version_that_comes_later_gets_nothing() {
+fn a_server_of_a_rolled_back_version_that_joins_later_gets_nothing() {
     let mut harness = world();
     harness.step(view(RolloutState::RolledBack, 1));
     serve(&mut harness, "new", "v2");
@@ -135,34 +138,34 @@
     requests(&mut harness, 50);
     let mut sent = harness.sends[before..].iter();
     assert!(sent.all(|send| &*send.instance == "old"));
-    // A new order tries it once more.
+    // A new roll-out order tests the version again.
     harness.step(view(RolloutState::Trying, 3));
     assert!(requests(&mut harness, 100) > 0);
 }
 
 #[test]
-fn servers_that_come_after_a_roll_out_are_asked_whatever_their_version() {
+fn servers_that_join_after_a_roll_out_get_requests_whatever_their_version() {
     let mut harness = world();
     harness.step(view(RolloutState::Completed, 1));
     serve(&mut harness, "next", "v3");
     let before = harness.sends.len();
     requests(&mut harness, 200);
-    let asked = |id: &str| {
+    let got_requests = |id: &str| {
         harness.sends[before..]
             .iter()
             .any(|send| &*send.instance == id)
     };
-    assert!(asked("next") && asked("new") && !asked("old"));
+    assert!(got_requests("next") && got_requests("new") && !got_requests("old"));
 }
 
 #[test]
-fn failures_and_slow_answers_are_told_by_version_and_route() {
+fn failures_and_slow_answers_are_counted_by_version_and_route() {
     let mut harness = world();
     harness.step(view(RolloutState::Moving, 7));
     for (number, status) in [200, 200, 500].into_iter().enumerate() {
         let send = harness.sends.len();
         harness.call("q");
-        // The route's usual time is not known yet: 15 ms are taken for it.
+        // The route's typical time is not known yet; 15 ms are assumed.
         harness.pass(if number == 1 { 90 } else { 5 });
         harness.end(send, AttemptEnd::Answer(answer(status, "s", b"")));
         for repeat in send + 1..harness.sends.len() {
@@ -177,12 +180,12 @@
     assert!(harness.machine.take_outcome_counts().is_empty());
 }
 
-/// What operators saw: beside a busy machine a good version was rolled back, as
-/// answers that usually take a millisecond took a few.
+/// Guards against the roll-back of a good version on a busy machine, where answers that
+/// usually take 1 ms take a few milliseconds.
 #[test]
 fn an_answer_that_is_far_within_the_objective_is_not_slow() {
     let mut harness = world();
-    // The route's usual time becomes a millisecond.
+    // The route's typical time becomes 1 ms.
     for _ in 0..200 {
         let send = harness.sends.len();
         harness.call("q");
