--- /dev/null
+++ b/crates/core/src/process/forward/announcements.rs
@@ -0,0 +1,190 @@
+//! Handling of server announcements, lease reports and evacuations by an entry.
+//!
+//! Keeps the set of usable servers of each upstream up to date: adds new and restarted
+//! servers, removes those that left or were replaced, and marks those whose lease
+//! expired or whose failure domain was taken out of use.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use crate::arena::ServerKey;
+use crate::process::forward::answer::ForwardAction;
+use crate::process::forward::directory::{AnnouncementEffect, ServerAnnouncement, ServerLifecycle};
+use crate::process::forward::machine::ForwardMachine;
+use crate::process::forward::pace::ServerPace;
+use crate::process::forward::place::DomainProximity;
+use crate::process::forward::server::ServerState;
+
+impl ForwardMachine {
+    /// Handles an announcement of a server, received directly or through a control
+    /// instance.
+    pub(super) fn notice(
+        &mut self,
+        announcement: ServerAnnouncement,
+        now: Duration,
+        out: &mut Vec<ForwardAction>,
+    ) {
+        let id = announcement.id.clone();
+        let effect = self.directory.apply(announcement, now);
+        if matches!(
+            effect,
+            AnnouncementEffect::Stale | AnnouncementEffect::Conflicting
+        ) {
+            return;
+        }
+        let Some(record) = self.directory.get(&id) else {
+            return;
+        };
+        let known = record.notice.clone();
+        if let Some(server) = self.servers_by_id.get(&id).copied() {
+            let state = &mut self.servers[server];
+            if known.born <= state.born {
+                state.warm_at = now + Duration::from_millis(known.cold_ms);
+                return self.advance_lifecycle(server, known.standing, out);
+            }
+            // The server restarted under the same id, so the state of its former
+            // incarnation no longer applies.
+            self.servers_by_id.remove(&id);
+            self.advance_lifecycle(server, ServerLifecycle::Gone, out);
+        }
+        let Some(address) = known.address else {
+            return;
+        };
+        if known.standing != ServerLifecycle::Ready {
+            return;
+        }
+        self.add_server(known, address, now, out);
+    }
+
+    /// Adds a server and starts requests that were waiting for one. A server known
+    /// under the same address is marked as expired, or as gone if it belonged to
+    /// another service.
+    fn add_server(
+        &mut self,
+        announcement: ServerAnnouncement,
+        address: SocketAddr,
+        now: Duration,
+        out: &mut Vec<ForwardAction>,
+    ) {
+        // A server that had the address before has most likely left. This is not
+        // certain: announcements do not tell which of two incarnations is the later
+        // one, and an entry that has just started receives them in any order. If the
+        // expired server is the live one, the process at the address answers 421
+        // (misdirected) to requests meant for the new server, and `mark_replaced` corrects the state.
+        let former = self.servers.iter_mut().find(|(_, server)| {
+            server.address == address && server.standing != ServerLifecycle::Gone
+        });
+        let former = former.map(|(former, state)| {
+            state.expired = true;
+            (former, state.upstream)
+        });
+        let upstream = self.upstream(&announcement.service);
+        match former {
+            Some((former, same)) if same == upstream => out.push(ForwardAction::CloseIdle(former)),
+            Some((former, _)) => self.advance_lifecycle(former, ServerLifecycle::Gone, out),
+            None => {}
+        }
+        let mut state = ServerState::new(announcement.id.clone().into(), upstream, address);
+        state.place = self.place_of(&announcement.domain);
+        state.region = self.options.regions.region_of(&announcement.domain);
+        state.is_evacuated = self.evacuated.contains(&announcement.domain);
+        state.domain = announcement.domain;
+        state.version = announcement.version;
+        state.slots = announcement.slots;
+        state.pace = ServerPace::new(self.options.pace);
+        state.born = announcement.born;
+        state.warm_at = now + Duration::from_millis(announcement.cold_ms);
+        let server = self.servers.push(state);
+        self.servers_by_id.insert(announcement.id, server);
+        self.update_rolled_back(server);
+        self.upstreams[upstream].servers.push(server);
+        self.retry_waiting_parts(upstream, now, out);
+    }
+
+    /// Handles a reply from a server's address which says that another server runs
+    /// there now. Marks the server as gone and other servers at the address as alive.
+    pub(super) fn mark_replaced(&mut self, server: ServerKey, out: &mut Vec<ForwardAction>) {
+        let address = self.servers[server].address;
+        self.advance_lifecycle(server, ServerLifecycle::Gone, out);
+        for (_, other) in self.servers.iter_mut() {
+            if other.address == address && other.standing != ServerLifecycle::Gone {
+                other.expired = false;
+            }
+        }
+    }
+
+    /// Returns the proximity of a failure domain to this entry: the same domain, the same
+    /// region or elsewhere.
+    pub fn place_of(&self, domain: &str) -> DomainProximity {
+        self.options.regions.proximity(&self.options.domain, domain)
+    }
+
+    /// Moves a server to a later lifecycle state, stops using it and closes its idle
+    /// connections. Does nothing if the state is not later: an incarnation never
+    /// becomes ready again.
+    pub(super) fn advance_lifecycle(
+        &mut self,
+        server: ServerKey,
+        standing: ServerLifecycle,
+        out: &mut Vec<ForwardAction>,
+    ) {
+        let state = &mut self.servers[server];
+        if standing <= state.standing {
+            return;
+        }
+        state.standing = standing;
+        let upstream = state.upstream;
+        let servers = &mut self.upstreams[upstream].servers;
+        servers.retain(|other| *other != server);
+        out.push(ForwardAction::CloseIdle(server));
+    }
+
+    /// Records whether the control group considers a server's lease expired. A server
+    /// whose lease is valid again is treated as cold for a while.
+    pub(super) fn set_expired(&mut self, id: &str, expired: bool, now: Duration) {
+        if let Some(server) = self.servers_by_id.get(id) {
+            let state = &mut self.servers[*server];
+            if state.expired && !expired {
+                state.assume_cold(now);
+            }
+            state.expired = expired;
+        }
+    }
+
+    /// Records which failure domains are evacuated, that is, taken out of use by the
+    /// operator. Servers there finish the requests that they have and get no new
+    /// ones. Entries there are not affected.
+    pub(super) fn set_evacuated(
+        &mut self,
+        domains: Vec<Box<str>>,
+        now: Duration,
+        out: &mut Vec<ForwardAction>,
+    ) {
+        let mut returned = Vec::new();
+        for (key, server) in self.servers.iter_mut() {
+            if self.upstreams[server.upstream].is_entry {
+                continue;
+            }
+            let is_evacuated = domains.contains(&server.domain);
+            if server.is_evacuated && !is_evacuated {
+                server.assume_cold(now);
+                if !returned.contains(&server.upstream) {
+                    returned.push(server.upstream);
+                }
+            }
+            server.is_evacuated = is_evacuated;
+            if is_evacuated {
+                out.push(ForwardAction::CloseIdle(key));
+            }
+        }
+        self.evacuated = domains;
+        for upstream in returned {
+            self.retry_waiting_parts(upstream, now, out);
+        }
+    }
+
+    /// Returns the failure domains that are evacuated.
+    pub fn evacuated_domains(&self) -> &[Box<str>] {
+        &self.evacuated
+    }
+}
--- a/crates/core/src/process/forward/begin.rs
+++ b/crates/core/src/process/forward/begin.rs
@@ -41,7 +41,7 @@
         if self.calls.len() >= self.options.max_in_flight {
             return self.reject_request(call.tag, ForwardFailure::Overload, out);
         }
-        let workspace = match access::asking_workspace(&table, &table.routes()[route], &call) {
+        let workspace = match access::find_workspace(&table, &table.routes()[route], &call) {
             Ok(workspace) => workspace,
             Err(failure) => return self.reject_request(call.tag, failure, out),
         };
--- a/crates/core/src/process/forward/bundle.rs
+++ b/crates/core/src/process/forward/bundle.rs
@@ -18,7 +18,7 @@
 use crate::arena::{ServerKey, SlotKey, UpstreamKey};
 use crate::process::forward::answer::ForwardAction;
 use crate::process::forward::choose::ServerChoice;
-use crate::process::forward::directory::ServerStanding;
+use crate::process::forward::directory::ServerLifecycle;
 use crate::process::forward::machine::ForwardMachine;
 use crate::process::forward::place::DomainProximity;
 use crate::process::forward::region_set::RegionSet;
@@ -196,12 +196,12 @@
         let servers = &self.upstreams[entries].servers;
         let available = servers.iter().filter(|server| {
             let state = &self.servers[**server];
-            state.standing == ServerStanding::Ready
-                && now >= state.rest_until
+            state.standing == ServerLifecycle::Ready
+                && now >= state.backoff_until
                 && !excluded.contains(server)
                 && regions.allows(state)
                 && state.outstanding.len() < MAX_RELAY_CONNECTIONS
-                && !state.is_still(typical, now)
+                && !state.is_stalled(typical, now)
         });
         let best = available.max_by_key(|server| rank(&self.servers[**server].id))?;
         let state = &self.servers[*best];
@@ -210,7 +210,7 @@
         }
         Some(ServerChoice {
             server: regions.permit(*best, state)?,
-            expected: state.way(),
+            expected: state.round_trip(),
             candidates: servers.len(),
         })
     }
@@ -226,7 +226,7 @@
         let mut servers = self.upstreams[upstream].servers.iter();
         servers.any(|server| {
             let state = &self.servers[*server];
-            *state.domain == *domain && !state.silent && regions.allows(state)
+            *state.domain == *domain && !state.expired && regions.allows(state)
         })
     }
 }
--- a/crates/core/src/process/forward/choose.rs
+++ b/crates/core/src/process/forward/choose.rs
@@ -9,12 +9,12 @@
 use crate::arena::{ServerKey, UpstreamKey};
 use crate::process::forward::bundle::MAX_RELAY_CONNECTIONS;
 use crate::process::forward::cold::{ColdShare, ColdView, FittingShare};
-use crate::process::forward::directory::ServerStanding;
+use crate::process::forward::directory::ServerLifecycle;
 use crate::process::forward::machine::ForwardMachine;
 use crate::process::forward::place::DomainProximity;
 use crate::process::forward::region_set::{PermittedServer, RegionSet};
 use crate::process::forward::server::ServerState;
-use crate::process::forward::version::VersionWish;
+use crate::process::forward::version::VersionPreference;
 
 /// Maximum fraction by which the random jitter raises a server's cost. Without jitter,
 /// entries with the same information would all choose the same server.
@@ -97,12 +97,14 @@
         criteria: SelectionCriteria,
         now: Duration,
     ) -> Result<ServerChoice, SelectionFailure> {
-        match self.wish_version(upstream, !tried.is_empty(), now) {
-            VersionWish::Any => self.choose_server_of_version(upstream, None, tried, criteria, now),
-            VersionWish::Old => {
+        match self.choose_version_preference(upstream, !tried.is_empty(), now) {
+            VersionPreference::Any => {
+                self.choose_server_of_version(upstream, None, tried, criteria, now)
+            }
+            VersionPreference::OldOnly => {
                 self.choose_server_of_version(upstream, Some(false), tried, criteria, now)
             }
-            VersionWish::NewFirst => {
+            VersionPreference::NewFirst => {
                 let new = self.choose_server_of_version(upstream, Some(true), tried, criteria, now);
                 new.or_else(|_| {
                     self.choose_server_of_version(upstream, Some(false), tried, criteria, now)
@@ -127,10 +129,10 @@
         let retry_cost = self.retry_cost(upstream, criteria, now);
         for server in &self.upstreams[upstream].servers {
             let state = &self.servers[*server];
-            if state.standing != ServerStanding::Ready || tried.contains(server) {
+            if state.standing != ServerLifecycle::Ready || tried.contains(server) {
                 continue;
             }
-            if target.is_some_and(|target| target != self.is_target(*server)) {
+            if target.is_some_and(|target| target != self.runs_target_version(*server)) {
                 continue;
             }
             let Some(permitted) = criteria.allowed_regions.permit(*server, state) else {
@@ -150,7 +152,8 @@
                 continue;
             }
             candidates += 1;
-            let expected = state.expect(criteria.typical, self.pause_vote.interval(), now);
+            let expected =
+                state.expected_response_time(criteria.typical, self.pause_vote.interval(), now);
             let jitter = 1.0 + MAX_JITTER * self.rng.random::<f64>();
             let failure_cost = retry_cost.map_or(FAILURE_COST, |cost| expected + cost);
             let penalty = selection_penalty(state, criteria, failure_cost, now);
@@ -259,7 +262,7 @@
     if state.idle == 0 {
         penalty += CONNECT_COST;
     }
-    if state.silent || now < state.rest_until {
+    if state.expired || now < state.backoff_until {
         penalty += UNAVAILABLE_COST;
     }
     if state.outstanding.iter().any(|attempt| attempt.is_canary) {
--- a/crates/core/src/process/forward/directory.rs
+++ b/crates/core/src/process/forward/directory.rs
@@ -1,8 +1,10 @@
-//! What upstream servers announced, ordered by their own sequence numbers.
+//! Directory of the upstream servers and of the newest announcement of each.
 //!
-//! A lifetime of a server has an id of its own, or the id of an earlier one and
-//! a later start. Within it the standing only ever goes from ready to draining
-//! to gone, so that late and doubled news undo nothing, whatever way they took.
+//! An incarnation (one run of a server process) is identified by its id and its
+//! start time; a later start under the same id is a new incarnation. Within one
+//! incarnation, announcements are ordered by sequence number, and the lifecycle
+//! state only moves from ready to draining to gone. Late or duplicate
+//! announcements therefore never undo a newer one, whichever path they took.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -11,98 +13,106 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// How long a server that left is remembered, so that late news of it are
-/// known to be old.
-pub const REMEMBER_TIME: Duration = Duration::from_secs(180);
-/// Parts that ids are divided into for digests.
-const DIGEST_PARTS: usize = 64;
-/// Part of a lease for which a server that was known before a restart is believed
-/// to live, unless it is heard of.
-const BELIEVE_PART: f64 = 0.5;
-/// Announcements that a server may miss in a row before it counts as silent, where
-/// they come seldom.
-const MISSED_ANNOUNCEMENTS: u32 = 1;
-/// How late an announcement may come.
-const LATE_ANNOUNCEMENT: Duration = Duration::from_millis(1500);
-/// Least lease: with announcements each second, one that comes seconds late is
-/// nothing unusual.
-const LEAST_LEASE: Duration = Duration::from_secs(5);
-
-/// Returns the part that an id falls to.
-fn part_of(id: &str) -> usize {
-    xxh3_64(id.as_bytes()) as usize % DIGEST_PARTS
+/// How long the record of a server that is draining, has left or has an expired lease
+/// is retained, so that late announcements are recognized as stale.
+pub const TOMBSTONE_RETENTION: Duration = Duration::from_secs(180);
+/// Number of buckets that server ids are hashed into when directories are compared.
+const DIGEST_BUCKETS: usize = 64;
+/// Fraction of a lease granted to a server that was loaded from disk after a
+/// restart and has not been heard from since.
+const REMEMBERED_LEASE_SHARE: f64 = 0.5;
+/// Consecutive announcements that a server may miss before its lease expires. This
+/// applies to long announcement intervals; `MIN_LEASE` governs short ones.
+const MAX_MISSED_ANNOUNCEMENTS: u32 = 1;
+/// Maximum expected delay of an announcement.
+const MAX_ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(1500);
+/// Minimum lease. Servers that announce themselves every second are often
+/// several seconds late.
+const MIN_LEASE: Duration = Duration::from_secs(5);
+
+/// Returns the digest bucket of a server id.
+fn bucket_of(id: &str) -> usize {
+    xxh3_64(id.as_bytes()) as usize % DIGEST_BUCKETS
 }
 
-/// Returns the time without an announcement after which a server counts as silent,
-/// where one comes in each `interval`.
+/// Returns the lease of a server that announces itself once per `interval`: the
+/// time without an announcement after which the server is considered unresponsive.
 pub fn lease_for(interval: Duration) -> Duration {
-    let missed = interval * (MISSED_ANNOUNCEMENTS + 1) + LATE_ANNOUNCEMENT;
-    missed.max(LEAST_LEASE)
+    let missed = interval * (MAX_MISSED_ANNOUNCEMENTS + 1) + MAX_ANNOUNCEMENT_DELAY;
+    missed.max(MIN_LEASE)
 }
 
-/// Whether a server takes work. The order is that of a lifetime.
+/// Lifecycle state of a server. The variants are in the order in which an
+/// incarnation passes through them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum ServerStanding {
-    /// It takes work.
+pub enum ServerLifecycle {
+    /// The server accepts requests.
     Ready,
-    /// It takes no new work.
+    /// The server finishes its requests and accepts no new ones.
     Draining,
-    /// It has left.
+    /// The server has left for good.
     Gone,
 }
 
-/// What a server says of itself.
+/// Announcement of a server: its address, capacity and lifecycle state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServerNotice {
-    /// Identity of this lifetime.
+pub struct ServerAnnouncement {
+    /// Server id. A restarted server may announce itself under the same id with a
+    /// later start time.
     pub id: Box<str>,
-    /// Its service; empty if only its leaving is known.
+    /// Service that the server belongs to; empty if only its departure is known.
     pub service: Box<str>,
-    /// Where it takes requests.
+    /// Address for requests; `None` if only the server's departure is known.
     pub address: Option<SocketAddr>,
-    /// Its failure domain.
+    /// Failure domain of the server.
     pub domain: Box<str>,
-    /// Version of its software; empty if it does not say.
+    /// Software version of the server; empty if not announced.
     pub version: Box<str>,
-    /// Requests it works on at once.
+    /// Number of requests that the server processes concurrently.
     pub slots: u32,
-    /// Whether it takes work.
-    pub standing: ServerStanding,
-    /// When this lifetime started, in Unix milliseconds; 0 if it does not say.
+    /// Lifecycle state of the server.
+    pub standing: ServerLifecycle,
+    /// Start time of the incarnation, in Unix milliseconds; 0 if not announced.
     pub born: u64,
-    /// Grows with each notice of this lifetime.
+    /// Sequence number, which increases with each announcement of the incarnation.
     pub sequence: u64,
-    /// How much longer it is slow after its start, in milliseconds.
+    /// Remaining time for which the server is still cold (slow after its start), in
+    /// milliseconds.
     pub cold_ms: u64,
 }
 
-impl ServerNotice {
-    /// Returns the notice that a server has left, of which nothing else need
-    /// be known; `born` is 0 if it does not say when it started.
-    pub fn gone(id: &str, born: u64) -> ServerNotice {
-        let mark = LifeMark {
+impl ServerAnnouncement {
+    /// Returns the announcement that a server has left. `born` is the start time of
+    /// the incarnation, or 0 if unknown.
+    pub fn gone(id: &str, born: u64) -> ServerAnnouncement {
+        let position = AnnouncementPosition {
             born,
             sequence: u64::MAX,
         };
-        ServerNotice::bare(id.into(), ServerStanding::Gone, mark)
+        ServerAnnouncement::without_details(id.into(), ServerLifecycle::Gone, position)
     }
 
-    /// Returns which lifetime it is of, and how new it is in that.
-    pub fn mark(&self) -> LifeMark {
-        LifeMark {
+    /// Returns the incarnation and sequence number of the announcement.
+    pub fn position(&self) -> AnnouncementPosition {
+        AnnouncementPosition {
             born: self.born,
             sequence: self.sequence,
         }
     }
 
-    /// Returns the part of the notice that must reach everybody at once: that
-    /// the server leaves.
-    pub fn urgent(&self) -> ServerNotice {
-        ServerNotice::bare(self.id.clone(), self.standing, self.mark())
+    /// Returns a copy with only the id, the lifecycle state and the position. A
+    /// server's departure is sent to every entry immediately in this short form.
+    pub fn lifecycle_only(&self) -> ServerAnnouncement {
+        ServerAnnouncement::without_details(self.id.clone(), self.standing, self.position())
     }
 
-    fn bare(id: Box<str>, standing: ServerStanding, mark: LifeMark) -> ServerNotice {
-        ServerNotice {
+    /// Returns an announcement that says nothing but the lifecycle state.
+    fn without_details(
+        id: Box<str>,
+        standing: ServerLifecycle,
+        position: AnnouncementPosition,
+    ) -> ServerAnnouncement {
+        ServerAnnouncement {
             id,
             service: "".into(),
             address: None,
@@ -110,316 +120,349 @@
             version: "".into(),
             slots: 0,
             standing,
-            born: mark.born,
-            sequence: mark.sequence,
+            born: position.born,
+            sequence: position.sequence,
             cold_ms: 0,
         }
     }
 
-    /// Tells whether another writer made one of these: a server's service,
-    /// address and failure domain are the same in a whole lifetime.
-    pub fn contradicts(&self, known: &ServerNotice) -> bool {
-        let are_whole = self.address.is_some() && known.address.is_some();
-        are_whole
+    /// Returns whether the two announcements cannot come from the same incarnation.
+    /// Its service, address and failure domain never change, so a difference
+    /// means that another process announced itself under the same id.
+    pub fn conflicts_with(&self, known: &ServerAnnouncement) -> bool {
+        let are_complete = self.address.is_some() && known.address.is_some();
+        are_complete
             && (self.address != known.address
                 || self.service != known.service
                 || self.domain != known.domain)
     }
 }
 
-/// A lifetime of a server, and how new a notice of it is.
+/// Position of an announcement in a server's history: its incarnation, and its
+/// sequence number within that incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct LifeMark {
-    /// When it started, in Unix milliseconds; 0 if it does not say.
+pub struct AnnouncementPosition {
+    /// Start time of the incarnation, in Unix milliseconds; 0 if not announced.
     pub born: u64,
-    /// Grows with each notice of it.
+    /// Sequence number within the incarnation.
     pub sequence: u64,
 }
 
-/// What a notice changed.
+/// Effect of an announcement on the directory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoticeEffect {
-    /// It was older than what is known.
+pub enum AnnouncementEffect {
+    /// The announcement was ignored because it is older than the recorded one.
     Stale,
-    /// It contradicts what the server said of itself before.
-    Foreign,
-    /// The server lives on as it was.
+    /// The announcement was ignored because it conflicts with an earlier one of the
+    /// same incarnation.
+    Conflicting,
+    /// The server's lease was renewed; nothing else changed.
     Renewed,
-    /// The server is new, or its standing changed, or it became cold again.
+    /// The server is new or restarted, its lifecycle state changed, its lease had
+    /// expired, or the server became cold again.
     Changed,
 }
 
-/// Which control instance hears a server, and says when it falls silent.
+/// The control instance that a server announces itself to. Only the observer
+/// tells the other control instances when the server's lease expires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ServerKeeper {
-    /// This one.
-    Own,
-    /// Another one, by its listener for other instances.
+pub enum ServerObserver {
+    /// This control instance.
+    Local,
+    /// Another control instance, identified by the address on which it listens for
+    /// other instances.
     Peer(SocketAddr),
-    /// Not known.
+    /// The observer is not known.
     Unknown,
 }
 
-/// A server as it is known.
+/// Record of one server in the directory.
 #[derive(Debug, Clone)]
 pub struct DirectoryRecord {
-    /// Its newest notice, with the standing that holds.
-    pub notice: ServerNotice,
-    /// When it was last heard of.
-    pub heard: Duration,
-    /// Since when it has a lease in any case.
-    leased: Duration,
-    /// Whether it is taken for silent.
-    pub silent: bool,
-    /// Whether it was known before a restart and not heard of since.
-    pub remembered: bool,
-    /// Who hears it.
-    pub keeper: ServerKeeper,
-    /// Its place in the order in which lifetimes became known.
-    place: u64,
+    /// Newest announcement of the server, with the lifecycle state in force.
+    pub notice: ServerAnnouncement,
+    /// When the server last announced itself or was reported alive.
+    pub last_seen_at: Duration,
+    /// When the server was granted a full lease, regardless of `last_seen_at`.
+    lease_granted_at: Duration,
+    /// Whether the server's lease has expired.
+    pub expired: bool,
+    /// Whether the record was loaded from disk after a restart and the server has
+    /// not been heard from since.
+    pub is_remembered: bool,
+    /// Control instance that the server announces itself to.
+    pub observer: ServerObserver,
+    /// Rank of this incarnation in the order in which incarnations became known.
+    arrival: u64,
 }
 
 impl DirectoryRecord {
-    fn new(notice: ServerNotice, now: Duration, place: u64) -> DirectoryRecord {
+    fn new(notice: ServerAnnouncement, now: Duration, arrival: u64) -> DirectoryRecord {
         DirectoryRecord {
-            place,
+            arrival,
             notice,
-            heard: now,
-            leased: now,
-            silent: false,
-            remembered: false,
-            keeper: ServerKeeper::Unknown,
+            last_seen_at: now,
+            lease_granted_at: now,
+            expired: false,
+            is_remembered: false,
+            observer: ServerObserver::Unknown,
         }
     }
 
-    /// Tells whether it takes work and is heard of.
-    fn lives(&self) -> bool {
-        self.notice.standing == ServerStanding::Ready && !self.silent
+    /// Returns whether the server accepts requests and its lease has not expired.
+    fn is_alive(&self) -> bool {
+        self.notice.standing == ServerLifecycle::Ready && !self.expired
     }
 }
 
-/// All servers known.
+/// Directory of all known servers, by server id.
 #[derive(Debug, Default)]
 pub struct ServerDirectory {
     records: HashMap<Box<str>, DirectoryRecord>,
-    /// Notices taken so far.
-    taken: u64,
+    /// Number of announcements applied or loaded so far.
+    arrivals: u64,
 }
 
 impl ServerDirectory {
-    /// Takes a notice.
-    pub fn apply(&mut self, notice: ServerNotice, now: Duration) -> NoticeEffect {
-        self.taken += 1;
-        let place = self.taken;
-        let Some(record) = self.records.get_mut(&notice.id) else {
-            let id = notice.id.clone();
-            let record = DirectoryRecord::new(notice, now, place);
+    /// Applies an announcement and returns its effect.
+    pub fn apply(&mut self, announcement: ServerAnnouncement, now: Duration) -> AnnouncementEffect {
+        self.arrivals += 1;
+        let arrival = self.arrivals;
+        let Some(record) = self.records.get_mut(&announcement.id) else {
+            let id = announcement.id.clone();
+            let record = DirectoryRecord::new(announcement, now, arrival);
             self.records.insert(id, record);
-            return NoticeEffect::Changed;
+            return AnnouncementEffect::Changed;
         };
         let known = &mut record.notice;
-        if notice.born > known.born {
-            // It started again under its id: nothing of before holds.
-            *record = DirectoryRecord::new(notice, now, place);
-            return NoticeEffect::Changed;
+        if announcement.born > known.born {
+            // The server restarted under the same id, so the old record is void.
+            *record = DirectoryRecord::new(announcement, now, arrival);
+            return AnnouncementEffect::Changed;
         }
-        if notice.born != 0 && notice.born < known.born {
-            return NoticeEffect::Stale;
+        if announcement.born != 0 && announcement.born < known.born {
+            return AnnouncementEffect::Stale;
         }
-        if notice.contradicts(known) {
-            return NoticeEffect::Foreign;
+        if announcement.conflicts_with(known) {
+            return AnnouncementEffect::Conflicting;
         }
-        if notice.standing > known.standing {
-            let sequence = known.sequence.max(notice.sequence);
-            known.standing = notice.standing;
+        if announcement.standing > known.standing {
+            let sequence = known.sequence.max(announcement.sequence);
+            known.standing = announcement.standing;
             known.sequence = sequence;
-            record.heard = now;
-            record.remembered = false;
-            return NoticeEffect::Changed;
+            record.last_seen_at = now;
+            record.is_remembered = false;
+            return AnnouncementEffect::Changed;
         }
-        if notice.sequence <= known.sequence || known.standing == ServerStanding::Gone {
-            return NoticeEffect::Stale;
+        if announcement.sequence <= known.sequence || known.standing == ServerLifecycle::Gone {
+            return AnnouncementEffect::Stale;
         }
-        let was_cold = now < record.heard + Duration::from_millis(known.cold_ms);
-        let is_cold_again = notice.cold_ms > 0 && !was_cold;
-        known.sequence = notice.sequence;
-        known.cold_ms = notice.cold_ms;
-        record.heard = now;
-        record.remembered = false;
-        if record.silent || is_cold_again {
-            record.silent = false;
-            return NoticeEffect::Changed;
+        let was_cold = now < record.last_seen_at + Duration::from_millis(known.cold_ms);
+        let is_cold_again = announcement.cold_ms > 0 && !was_cold;
+        known.sequence = announcement.sequence;
+        known.cold_ms = announcement.cold_ms;
+        record.last_seen_at = now;
+        record.is_remembered = false;
+        if record.expired || is_cold_again {
+            record.expired = false;
+            return AnnouncementEffect::Changed;
         }
-        NoticeEffect::Renewed
+        AnnouncementEffect::Renewed
     }
 
-    /// Takes a server that was known before a restart, unless something newer
-    /// is known. It is believed to live for a moment only: it may have left.
-    pub fn remember(&mut self, notice: ServerNotice, now: Duration) {
-        self.taken += 1;
-        let id = notice.id.clone();
+    /// Adds a server that was loaded from disk after a restart, unless the server is
+    /// already known. Its first lease is shortened by `REMEMBERED_LEASE_SHARE`,
+    /// because it may have left in the meantime.
+    pub fn remember(&mut self, announcement: ServerAnnouncement, now: Duration) {
+        self.arrivals += 1;
+        let id = announcement.id.clone();
         self.records.entry(id).or_insert(DirectoryRecord {
-            remembered: true,
-            ..DirectoryRecord::new(notice, now, self.taken)
+            is_remembered: true,
+            ..DirectoryRecord::new(announcement, now, self.arrivals)
         });
     }
 
-    /// Iterates over the notices of the servers that take work and are heard
-    /// of: what to remember over a restart.
-    pub fn living(&self) -> impl Iterator<Item = &ServerNotice> {
+    /// Iterates over the announcements of the live servers that were heard from since
+    /// the last restart. These are the servers to save for the next restart.
+    pub fn confirmed_alive(&self) -> impl Iterator<Item = &ServerAnnouncement> {
         let records = self.records.values();
-        let living = records.filter(|record| record.lives() && !record.remembered);
-        living.map(|record| &record.notice)
+        let alive = records.filter(|record| record.is_alive() && !record.is_remembered);
+        alive.map(|record| &record.notice)
     }
 
-    /// Takes a peer's word that a server was heard of. What it says of another
-    /// lifetime than the one that is known says nothing of this one.
-    pub fn renew(&mut self, id: &str, mark: LifeMark, now: Duration) {
+    /// Renews a server's lease after a peer reported that the server announced itself
+    /// at `position`. Ignores a report that is not newer than the record, or that is
+    /// about another incarnation.
+    pub fn renew_lease(&mut self, id: &str, position: AnnouncementPosition, now: Duration) {
         let Some(record) = self.records.get_mut(id) else {
             return;
         };
-        let is_newer = mark.born == record.notice.born && mark > record.notice.mark();
-        if is_newer && record.notice.standing != ServerStanding::Gone {
-            record.notice.sequence = mark.sequence;
-            record.heard = now;
-            record.silent = false;
-            record.remembered = false;
+        let is_newer = position.born == record.notice.born && position > record.notice.position();
+        if is_newer && record.notice.standing != ServerLifecycle::Gone {
+            record.notice.sequence = position.sequence;
+            record.last_seen_at = now;
+            record.expired = false;
+            record.is_remembered = false;
         }
     }
 
-    /// Tells whether a lifetime of a server, or a later one, is known.
-    pub fn knows(&self, id: &str, mark: LifeMark) -> bool {
+    /// Returns whether the server's incarnation at `position`, or a later one, is
+    /// known.
+    pub fn knows_incarnation(&self, id: &str, position: AnnouncementPosition) -> bool {
         let record = self.records.get(id);
-        record.is_some_and(|record| record.notice.born >= mark.born)
+        record.is_some_and(|record| record.notice.born >= position.born)
     }
 
-    /// Takes over that this instance hears a server. Returns whether another one
-    /// did before.
-    pub fn keep(&mut self, id: &str) -> bool {
+    /// Records that this instance observes a server. Returns whether the observer
+    /// changed.
+    pub fn observe_locally(&mut self, id: &str) -> bool {
         let Some(record) = self.records.get_mut(id) else {
             return false;
         };
-        let was_own = record.keeper == ServerKeeper::Own;
-        record.keeper = ServerKeeper::Own;
-        !was_own
+        let was_local = record.observer == ServerObserver::Local;
+        record.observer = ServerObserver::Local;
+        !was_local
     }
 
-    /// Takes over that another instance hears a server.
-    pub fn keep_at(&mut self, id: &str, peer: SocketAddr) {
+    /// Records that another control instance observes a server.
+    pub fn observe_at_peer(&mut self, id: &str, peer: SocketAddr) {
         if let Some(record) = self.records.get_mut(id) {
-            record.keeper = ServerKeeper::Peer(peer);
+            record.observer = ServerObserver::Peer(peer);
         }
     }
 
-    /// Takes over that another instance hears these servers and no others.
-    /// Those that it heard before have a whole lease from now on.
-    pub fn keep_only(&mut self, peer: SocketAddr, ids: &HashSet<Box<str>>, now: Duration) {
+    /// Records that `peer` observes no servers but those in `ids`. Servers that
+    /// `peer` observed until now get a full lease, starting at `now`.
+    pub fn retain_observed_at_peer(
+        &mut self,
+        peer: SocketAddr,
+        ids: &HashSet<Box<str>>,
+        now: Duration,
+    ) {
         for (id, record) in &mut self.records {
-            if record.keeper == ServerKeeper::Peer(peer) && !ids.contains(id) {
-                record.keeper = ServerKeeper::Unknown;
-                record.leased = now;
+            if record.observer == ServerObserver::Peer(peer) && !ids.contains(id) {
+                record.observer = ServerObserver::Unknown;
+                record.lease_granted_at = now;
             }
         }
     }
 
-    /// Iterates over the servers that this instance hears, with how new that is.
-    pub fn kept(&self) -> impl Iterator<Item = (&str, LifeMark)> {
-        let own = self.records.iter();
-        let own = own.filter(|(_, record)| record.keeper == ServerKeeper::Own && record.lives());
-        own.map(|(id, record)| (&**id, record.notice.mark()))
+    /// Iterates over the ids of the live servers that this instance observes, with
+    /// the positions of their newest announcements.
+    pub fn observed(&self) -> impl Iterator<Item = (&str, AnnouncementPosition)> {
+        let local = self.records.iter();
+        let local = local
+            .filter(|(_, record)| record.observer == ServerObserver::Local && record.is_alive());
+        local.map(|(id, record)| (&**id, record.notice.position()))
     }
 
-    /// Returns a digest of the servers that a control instance hears. It does not
-    /// depend on how new that is.
-    pub fn digest(&self, keeper: ServerKeeper) -> u64 {
-        let kept = self.records.iter();
-        let kept = kept.filter(|(_, record)| record.keeper == keeper && record.lives());
-        let digests = kept.map(|(id, _)| xxh3_64(id.as_bytes()));
+    /// Returns a digest of the ids of the live servers with the given observer. The
+    /// digest does not depend on sequence numbers, so lease renewals don't change it.
+    pub fn digest(&self, observer: ServerObserver) -> u64 {
+        let observed = self.records.iter();
+        let observed =
+            observed.filter(|(_, record)| record.observer == observer && record.is_alive());
+        let digests = observed.map(|(id, _)| xxh3_64(id.as_bytes()));
         digests.fold(0, u64::wrapping_add)
     }
 
-    /// Takes another instance's word that it does not hear a server any more.
-    /// Returns whether that is news.
-    pub fn lapse(&mut self, id: &str, mark: LifeMark, peer: SocketAddr) -> bool {
+    /// Records that `peer` reported a server's lease as expired. Ignores the report
+    /// unless `peer` observes the server, the incarnation is the recorded one and the
+    /// server counted as alive. Returns whether the server's state changed.
+    pub fn record_peer_expiry(
+        &mut self,
+        id: &str,
+        position: AnnouncementPosition,
+        peer: SocketAddr,
+    ) -> bool {
         let Some(record) = self.records.get_mut(id) else {
             return false;
         };
-        let is_its = record.keeper == ServerKeeper::Peer(peer);
-        if !is_its || record.notice.born != mark.born || !record.lives() {
+        let is_observer = record.observer == ServerObserver::Peer(peer);
+        if !is_observer || record.notice.born != position.born || !record.is_alive() {
             return false;
         }
-        record.notice.sequence = record.notice.sequence.max(mark.sequence);
-        record.silent = true;
+        record.notice.sequence = record.notice.sequence.max(position.sequence);
+        record.expired = true;
         true
     }
 
-    /// Marks servers that were not heard of for `lease` as silent and returns
-    /// those that newly are; forgets what left long ago. A server that another
-    /// instance hears counts as heard of while that one is (`heard_peer`).
-    pub fn sweep(
+    /// Marks servers that have not been seen for `lease` as expired and returns the ids
+    /// of the newly expired ones. Drops the records of draining, departed and expired
+    /// servers that were last seen `TOMBSTONE_RETENTION` ago or earlier.
+    ///
+    /// A server that a peer observes counts as seen whenever that peer was seen
+    /// (`peer_last_seen`), because peers report their servers only when something
+    /// changes.
+    pub fn expire_leases(
         &mut self,
         now: Duration,
         lease: Duration,
-        heard_peer: impl Fn(&SocketAddr) -> Option<Duration>,
+        peer_last_seen: impl Fn(&SocketAddr) -> Option<Duration>,
     ) -> Vec<Box<str>> {
         self.records.retain(|_, record| {
-            let lives = record.notice.standing == ServerStanding::Ready && !record.silent;
-            lives || now < record.heard + REMEMBER_TIME
+            let is_alive = record.notice.standing == ServerLifecycle::Ready && !record.expired;
+            is_alive || now < record.last_seen_at + TOMBSTONE_RETENTION
         });
-        let mut silent = Vec::new();
+        let mut expired = Vec::new();
         for (id, record) in &mut self.records {
-            let lease = if record.remembered {
-                lease.mul_f64(BELIEVE_PART)
+            let lease = if record.is_remembered {
+                lease.mul_f64(REMEMBERED_LEASE_SHARE)
             } else {
                 lease
             };
-            let heard = match record.keeper {
-                ServerKeeper::Peer(peer) => heard_peer(&peer).unwrap_or(Duration::ZERO),
-                ServerKeeper::Own | ServerKeeper::Unknown => Duration::ZERO,
+            let observer_seen_at = match record.observer {
+                ServerObserver::Peer(peer) => peer_last_seen(&peer).unwrap_or(Duration::ZERO),
+                ServerObserver::Local | ServerObserver::Unknown => Duration::ZERO,
             };
-            let heard = record.heard.max(record.leased).max(heard);
-            let is_late = now > heard + lease;
-            if is_late && !record.silent && record.notice.standing == ServerStanding::Ready {
-                record.silent = true;
-                silent.push(id.clone());
+            let renewed_at = record
+                .last_seen_at
+                .max(record.lease_granted_at)
+                .max(observer_seen_at);
+            let is_late = now > renewed_at + lease;
+            if is_late && !record.expired && record.notice.standing == ServerLifecycle::Ready {
+                record.expired = true;
+                expired.push(id.clone());
             }
         }
-        silent
+        expired
     }
 
-    /// Returns digests of the servers that take work, by part of their ids. Two
-    /// directories that have a digest in common know the same servers there.
-    pub fn part_digests(&self) -> Vec<u64> {
-        let mut digests = vec![0_u64; DIGEST_PARTS];
+    /// Returns one digest per bucket of server ids, made of the ids and start times of
+    /// the servers that accept requests. Two directories with the same digest for a
+    /// bucket know the same servers in that bucket.
+    pub fn bucket_digests(&self) -> Vec<u64> {
+        let mut digests = vec![0_u64; DIGEST_BUCKETS];
         for (id, record) in &self.records {
-            if record.notice.standing == ServerStanding::Ready {
+            if record.notice.standing == ServerLifecycle::Ready {
                 let digest = xxh3_64_with_seed(id.as_bytes(), record.notice.born);
-                let part = &mut digests[part_of(id)];
-                *part = part.wrapping_add(digest);
+                let bucket = &mut digests[bucket_of(id)];
+                *bucket = bucket.wrapping_add(digest);
             }
         }
         digests
     }
 
-    /// Returns the records that another directory with these digests may lack.
+    /// Returns the records that a directory with the given bucket digests may lack.
     ///
-    /// Of two lifetimes at an address the later one stands behind: whoever takes
-    /// the records in order takes the earlier one for replaced. Those that are
-    /// taken for dead go first, then those that were heard of longer ago; what
-    /// came in one message was heard of at one time.
-    pub fn lacking(&self, digests: &[u64]) -> Vec<&DirectoryRecord> {
-        let own = self.part_digests();
+    /// If two incarnations share an address, the later one comes last: a receiver
+    /// that applies the records in order considers the earlier one replaced. Servers
+    /// that are not alive come first, then servers in the order in which they were
+    /// last seen. Servers reported in one message share one `last_seen_at`; their
+    /// `arrival` breaks the tie.
+    pub fn records_to_sync(&self, digests: &[u64]) -> Vec<&DirectoryRecord> {
+        let local_digests = self.bucket_digests();
         let records = self.records.iter();
-        let lacking = records.filter(|(id, _)| {
-            let part = part_of(id);
-            digests.get(part) != Some(&own[part])
+        let records = records.filter(|(id, _)| {
+            let bucket = bucket_of(id);
+            digests.get(bucket) != Some(&local_digests[bucket])
         });
-        let mut lacking: Vec<&DirectoryRecord> = lacking.map(|(_, record)| record).collect();
-        lacking.sort_by_key(|record| (record.lives(), record.heard, record.place));
-        lacking
+        let mut records: Vec<&DirectoryRecord> = records.map(|(_, record)| record).collect();
+        records.sort_by_key(|record| (record.is_alive(), record.last_seen_at, record.arrival));
+        records
     }
 
-    /// Returns the record of a server.
+    /// Returns the record of the server with this id.
     pub fn get(&self, id: &str) -> Option<&DirectoryRecord> {
         self.records.get(id)
     }
@@ -429,12 +472,12 @@
         self.records.values()
     }
 
-    /// Returns the number of servers known.
+    /// Returns the number of records, including those of servers that left.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Tells whether no server is known.
+    /// Returns whether the directory holds no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
--- a/crates/core/src/process/forward/input.rs
+++ b/crates/core/src/process/forward/input.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::arena::{ServerKey, SlotKey};
-use crate::process::forward::directory::ServerNotice;
+use crate::process::forward::directory::ServerAnnouncement;
 use crate::process::forward::suspect::record::SuspectRecord;
 use crate::process::input::CallTag;
 use crate::process::rollout::RolloutView;
@@ -157,7 +157,7 @@
     Table(Arc<RouteTable>),
     /// An announcement that a server made about itself, or the control group about
     /// a server.
-    Announcement(ServerNotice),
+    Announcement(ServerAnnouncement),
     /// Whether the lease of the server with this id has expired at the control
     /// group: the group has received nothing from the server.
     Silent(Box<str>, bool),
--- a/crates/core/src/process/forward/machine.rs
+++ b/crates/core/src/process/forward/machine.rs
@@ -18,7 +18,7 @@
 use crate::process::forward::canary::CanaryWay;
 use crate::process::forward::cold::ColdBound;
 use crate::process::forward::counts::{ForwardCounters, UpstreamCounts};
-use crate::process::forward::directory::{ServerDirectory, ServerStanding};
+use crate::process::forward::directory::{ServerDirectory, ServerLifecycle};
 use crate::process::forward::expectation::ExpectationBook;
 use crate::process::forward::extra::{ExtraBound, ExtraBudget};
 use crate::process::forward::fading::FadingShare;
@@ -243,7 +243,7 @@
         match input {
             ForwardInput::Table(table) => self.set_table(table, now, out),
             ForwardInput::Announcement(notice) => self.notice(notice, now, out),
-            ForwardInput::Silent(id, silent) => self.set_silent(&id, silent, now),
+            ForwardInput::Silent(id, silent) => self.set_expired(&id, silent, now),
             ForwardInput::EvacuatedDomains(domains) => self.set_evacuated(domains, now, out),
             ForwardInput::Rollouts(views) => self.set_rollouts(views, out),
             ForwardInput::ControlContact => self.control_seen_at = now,
@@ -259,7 +259,9 @@
             }
             ForwardInput::CallerLeft(tag) => self.caller_left(tag, now, out),
             ForwardInput::AttemptEnded { attempt, end } => self.ended(attempt, end, now, out),
-            ForwardInput::Connected { server, took } => self.servers[server].connected(took),
+            ForwardInput::Connected { server, took } => {
+                self.servers[server].record_connection(took)
+            }
             ForwardInput::IdleConnections { server, idle } => self.servers[server].idle = idle,
             ForwardInput::Wake => {}
         }
@@ -282,7 +284,7 @@
         if self.directory.is_empty() {
             return Vec::new();
         }
-        self.directory.part_digests()
+        self.directory.bucket_digests()
     }
 
     /// Returns the current route table.
@@ -344,7 +346,7 @@
     pub fn server_count(&self) -> usize {
         let servers = self.servers.iter();
         servers
-            .filter(|(_, server)| server.standing == ServerStanding::Ready)
+            .filter(|(_, server)| server.standing == ServerLifecycle::Ready)
             .count()
     }
 
@@ -372,7 +374,7 @@
             self.upstreams[upstream].cold_per_s = service.cold_per_s;
         }
         self.assign_shard_groups(&table);
-        self.end_keyless(&table, now, out);
+        self.end_unauthorized(&table, now, out);
         self.table = Some(table);
     }
 
--- a/crates/core/src/process/forward/mod.rs
+++ b/crates/core/src/process/forward/mod.rs
@@ -7,6 +7,7 @@
 
 mod access;
 mod admit;
+mod announcements;
 pub mod answer;
 pub mod backlog;
 mod begin;
@@ -25,7 +26,6 @@
 pub mod input;
 mod judge;
 pub mod machine;
-mod notices;
 pub mod pace;
 pub mod pause;
 pub mod place;
--- a/crates/core/src/process/forward/region_set.rs
+++ b/crates/core/src/process/forward/region_set.rs
@@ -58,7 +58,7 @@
     /// entry: its region is in the set, its failure domain is not evacuated, and its
     /// version was not rolled back.
     pub(super) fn allows(self, state: &ServerState) -> bool {
-        !state.evacuated && !state.barred && self.contains(state.region)
+        !state.is_evacuated && !state.is_rolled_back && self.contains(state.region)
     }
 
     /// Returns the permission to send a request to a server or an entry, or `None` if
--- a/crates/core/src/process/forward/relay.rs
+++ b/crates/core/src/process/forward/relay.rs
@@ -11,7 +11,7 @@
 use crate::process::forward::answer::{AttemptCause, ForwardAction};
 use crate::process::forward::bundle::BundlePlan;
 use crate::process::forward::call::PartStatus;
-use crate::process::forward::directory::ServerStanding;
+use crate::process::forward::directory::ServerLifecycle;
 use crate::process::forward::input::{BundleAnswer, EntryPeer, RelayOrder};
 use crate::process::forward::machine::ForwardMachine;
 use crate::process::forward::place::DomainProximity;
@@ -64,7 +64,7 @@
                 if !current_ids.contains(&*id) {
                     self.servers_by_id.remove(&*id);
                     self.end_watch.note_lost_entry(now);
-                    self.set_standing(server, ServerStanding::Gone, out);
+                    self.advance_lifecycle(server, ServerLifecycle::Gone, out);
                 }
             }
         }
@@ -115,11 +115,13 @@
             may_divide,
         } = plan;
         let entry = &self.servers[choice.server.key()];
-        let round_trip = entry.way();
+        let round_trip = entry.round_trip();
         // Within a failure domain the round trip is short, so the default time is used
         // if none was measured.
         let is_near = entry.place == DomainProximity::Domain;
-        let known_rtt = entry.known_way().or(is_near.then_some(round_trip));
+        let known_rtt = entry
+            .measured_round_trip()
+            .or(is_near.then_some(round_trip));
         let allowance = ForwardMachine::compute_allowance(state, &parts, known_rtt, now);
         let shards = parts.iter().map(|part| {
             let upstream = state.parts[*part].upstream;
--- a/crates/core/src/process/forward/reroute.rs
+++ b/crates/core/src/process/forward/reroute.rs
@@ -289,7 +289,7 @@
         relay.call = None;
         relay.is_cancelled = true;
         let (server, sent_at, parts) = (relay.server, relay.sent_at, relay.parts.clone());
-        self.servers[server].rest_at_least(UNRESPONSIVE_BACKOFF, now);
+        self.servers[server].back_off_at_least(UNRESPONSIVE_BACKOFF, now);
         let Some(state) = self.calls.get_mut(call) else {
             return;
         };
@@ -314,7 +314,7 @@
         now: Duration,
     ) {
         if self.servers[server].answered_at < sent_at {
-            self.servers[server].rest_at_least(UNRESPONSIVE_BACKOFF, now);
+            self.servers[server].back_off_at_least(UNRESPONSIVE_BACKOFF, now);
         }
     }
 
--- a/crates/core/src/process/forward/send.rs
+++ b/crates/core/src/process/forward/send.rs
@@ -101,7 +101,7 @@
             cause,
             choice,
             timing,
-            check_after: self.servers[choice.server.key()].way() + hedge_after,
+            check_after: self.servers[choice.server.key()].round_trip() + hedge_after,
             runs: 1,
             relay: None,
         };
--- a/crates/core/tests/forward/ends.rs
+++ b/crates/core/tests/forward/ends.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use wheelmast_core::process::forward::answer::{ForwardAnswer, ForwardFailure};
-use wheelmast_core::process::forward::directory::ServerNotice;
+use wheelmast_core::process::forward::directory::ServerAnnouncement;
 use wheelmast_core::process::forward::extra::ExtraBound;
 use wheelmast_core::process::forward::input::{AttemptResult, ForwardInput, ServerAnswer};
 use wheelmast_core::version::route_table::RouteTarget;
@@ -199,8 +199,10 @@
         vec![route("a", RouteTarget::Service("desk".into()))],
     ));
     harness.add_servers("desk", 1);
-    harness.step(ForwardInput::Announcement(ServerNotice::gone("desk-0", 0)));
-    let outdated = ServerNotice {
+    harness.step(ForwardInput::Announcement(ServerAnnouncement::gone(
+        "desk-0", 0,
+    )));
+    let outdated = ServerAnnouncement {
         sequence: 50,
         ..notice("desk-0", "desk", LOCAL_DOMAIN, 1000)
     };
