--- a/crates/core/src/process/forward/admit.rs
+++ b/crates/core/src/process/forward/admit.rs
@@ -61,9 +61,9 @@
 
 /// What becomes of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum AdmitVerdict {
+pub(super) enum AdmissionDecision {
     /// It is taken, without these of its parts.
-    Take(Vec<usize>),
+    Accept(Vec<usize>),
     /// It has enough shards only if some answer that did not lately; it is
     /// taken, without these of its parts, from time to time.
     Probe(Vec<usize>),
@@ -73,14 +73,18 @@
 
 impl ForwardMachine {
     /// Decides whether a request is taken, and which parts are left out.
-    pub(super) fn weigh(&mut self, state: &CallState, now: Duration) -> AdmitVerdict {
+    pub(super) fn decide_admission(
+        &mut self,
+        state: &CallState,
+        now: Duration,
+    ) -> AdmissionDecision {
         // What another entry asks for is taken: that one alone knows which of
         // its shards it can do without.
         if !state.gathers || state.relayed {
-            return AdmitVerdict::Take(Vec::new());
+            return AdmissionDecision::Accept(Vec::new());
         }
         let times = self.first_times(state);
-        let left = state.plan.aim.saturating_sub(now);
+        let left = state.plan.soft_deadline.saturating_sub(now);
         // A caller that came back is late already; it takes no room from those
         // that are not.
         let left = left.max(times.objective.mul_f64(RETURN_USE));
@@ -93,10 +97,10 @@
         let needed = (least - 1e-9).ceil() as usize;
         // What depends on doubtful shards goes out now and then.
         match divide_room(&outlooks, needed) {
-            AdmitVerdict::Probe(_) if now < self.probe_at => AdmitVerdict::Refuse,
-            AdmitVerdict::Probe(without) => {
+            AdmissionDecision::Probe(_) if now < self.probe_at => AdmissionDecision::Refuse,
+            AdmissionDecision::Probe(without) => {
                 self.probe_at = now + PROBE_PAUSE;
-                AdmitVerdict::Take(without)
+                AdmissionDecision::Accept(without)
             }
             verdict => verdict,
         }
@@ -174,7 +178,7 @@
     }
 
     /// Leaves parts of a request out before anything is sent.
-    pub(super) fn leave_out(
+    pub(super) fn omit_parts(
         &mut self,
         call: SlotKey,
         parts: &[usize],
@@ -206,12 +210,12 @@
     /// Takes note of which of the shards that other entries were asked for a
     /// request had in the end. What was still open when it ended early says
     /// nothing.
-    pub(super) fn count_bundled(&mut self, state: &CallState, now: Duration) {
+    pub(super) fn record_bundle_misses(&mut self, state: &CallState, now: Duration) {
         for part in state.parts.iter().filter(|part| part.bundled) {
             let sample = match part.status {
                 PartStatus::Answered { .. } => 0.0,
                 PartStatus::Missing => 1.0,
-                PartStatus::Open if now >= state.plan.aim => 1.0,
+                PartStatus::Open if now >= state.plan.soft_deadline => 1.0,
                 PartStatus::Open => continue,
             };
             let misses = &mut self.upstreams[part.upstream].bundle_misses;
@@ -221,7 +225,7 @@
 }
 
 /// Decides by the outlooks which parts are left out, or that too few are left.
-fn divide_room(outlooks: &[PartOutlook], needed: usize) -> AdmitVerdict {
+fn divide_room(outlooks: &[PartOutlook], needed: usize) -> AdmissionDecision {
     let (mut plenty, mut unsure) = (0, 0);
     let mut scarce: Vec<(Duration, usize)> = Vec::new();
     let mut without = Vec::new();
@@ -235,10 +239,10 @@
     }
     let mut lacking = needed.saturating_sub(plenty);
     if lacking > scarce.len() + unsure {
-        return AdmitVerdict::Refuse;
+        return AdmissionDecision::Refuse;
     }
     if lacking > scarce.len() {
-        return AdmitVerdict::Probe(without);
+        return AdmissionDecision::Probe(without);
     }
     scarce.sort();
     for (_, part) in scarce {
@@ -248,5 +252,5 @@
             without.push(part);
         }
     }
-    AdmitVerdict::Take(without)
+    AdmissionDecision::Accept(without)
 }
--- a/crates/core/src/process/forward/around.rs
+++ b/crates/core/src/process/forward/around.rs
@@ -53,7 +53,7 @@
         way: Option<Duration>,
         now: Duration,
     ) -> RelayLoan {
-        let left = state.plan.aim.saturating_sub(now);
+        let left = state.plan.soft_deadline.saturating_sub(now);
         let sign_time = left.mul_f64(SIGN_TIME).max(LEAST_SIGN_TIME);
         // A connection may have to be opened first. Without that, entries 12 ms
         // away were all taken for silent, and a tenth of the requests was lost.
@@ -132,7 +132,7 @@
         for attempt in self.relays_of(call) {
             self.grant(attempt, out);
         }
-        self.plan_sweep(call, now);
+        self.schedule_sweep(call, now);
     }
 
     /// Looks after the entries that a request waits for: those that are late
@@ -248,7 +248,7 @@
             return;
         };
         let parts = open.into_iter();
-        let parts = parts.filter(|part| self.afford(call, *part, now, out));
+        let parts = parts.filter(|part| self.try_spend_budget(call, *part, now, out));
         let plan = BundlePlan {
             choice,
             parts: parts.collect(),
@@ -327,5 +327,5 @@
 
 /// Returns when an entry that is silent is given up.
 fn give_up_time(state: &CallState) -> Duration {
-    state.plan.aim + state.rule().objective().mul_f64(LATE_TIME)
+    state.plan.soft_deadline + state.rule().objective().mul_f64(LATE_TIME)
 }
--- a/crates/core/src/process/forward/begin.rs
+++ b/crates/core/src/process/forward/begin.rs
@@ -5,7 +5,7 @@
 
 use crate::arena::{SlotKey, UpstreamKey};
 use crate::process::forward::access;
-use crate::process::forward::admit::AdmitVerdict;
+use crate::process::forward::admit::AdmissionDecision;
 use crate::process::forward::answer::{
     AttemptCause, ForwardAction, ForwardDecision, ForwardFailure,
 };
@@ -38,7 +38,8 @@
             Err(failure) => return self.turn_away(call.tag, failure, out),
         };
         let state = self.lay_out(&call, table, route, workspace, now);
-        let is_too_late = now >= state.plan.limit || (state.relayed && now >= state.plan.aim);
+        let is_too_late =
+            now >= state.plan.hard_deadline || (state.relayed && now >= state.plan.soft_deadline);
         if is_too_late {
             // It lay unread until its time was over: no server works for it.
             return self.turn_away(call.tag, ForwardFailure::LateUnrun, out);
@@ -46,7 +47,7 @@
         if let Some(failure) = self.bar(&state, now) {
             return self.turn_away(call.tag, failure, out);
         }
-        let AdmitVerdict::Take(without) = self.weigh(&state, now) else {
+        let AdmissionDecision::Accept(without) = self.decide_admission(&state, now) else {
             self.count_refused(&state, now);
             return self.turn_away(call.tag, ForwardFailure::Overload, out);
         };
@@ -56,13 +57,13 @@
         self.decide(call.tag, out, || ForwardDecision::Admit {
             route: name,
             version,
-            time_left: plan.given_up.saturating_sub(now),
+            time_left: plan.caller_deadline.saturating_sub(now),
             mark: call.mark,
             relayed: call.relayed.is_some(),
         });
         let key = self.calls.insert(state);
         self.tags.insert(call.tag, key);
-        self.leave_out(key, &without, out);
+        self.omit_parts(key, &without, out);
         if is_doubted {
             self.count_direct(key, now);
             self.examine(key, now, out);
@@ -73,11 +74,12 @@
                 self.send_first(key, part, now, out);
             }
         }
-        self.timers.set(plan.limit, ForwardTimer::Limit(key));
-        if plan.aim > now {
-            self.timers.set(plan.aim, ForwardTimer::Aim(key));
+        self.timers
+            .set(plan.hard_deadline, ForwardTimer::Limit(key));
+        if plan.soft_deadline > now {
+            self.timers.set(plan.soft_deadline, ForwardTimer::Aim(key));
         }
-        self.plan_sweep(key, now);
+        self.schedule_sweep(key, now);
         self.check_end(key, now, out);
     }
 
@@ -100,7 +102,7 @@
         let mut plan = self.timings[timing].plan(rule, call.time_left, call.arrived);
         let upstreams = match &call.relayed {
             Some(order) => {
-                plan.aim = order.answer_by;
+                plan.soft_deadline = order.answer_by;
                 let shards = order.shards.iter();
                 shards.map(|name| self.upstream(name)).collect()
             }
--- a/crates/core/src/process/forward/bundle.rs
+++ b/crates/core/src/process/forward/bundle.rs
@@ -56,7 +56,7 @@
         let Some(state) = self.calls.get(call) else {
             return;
         };
-        if !state.gathers || self.peer_domains.is_empty() || state.plan.aim <= now {
+        if !state.gathers || self.peer_domains.is_empty() || state.plan.soft_deadline <= now {
             return;
         }
         let (relayed, divides, homes) = (state.relayed, state.divides, state.homes);
@@ -167,7 +167,7 @@
         without: &[ServerKey],
         now: Duration,
     ) -> Option<ServerChoice> {
-        let typical = self.timings[self.relay_timing].relay();
+        let typical = self.timings[self.relay_timing].median_relay_time();
         let rank = |id: &str| rank(key, id);
         let servers = &self.upstreams[entries].servers;
         let able = servers.iter().filter(|server| {
--- a/crates/core/src/process/forward/call.rs
+++ b/crates/core/src/process/forward/call.rs
@@ -12,7 +12,7 @@
 use crate::process::forward::expectation::ExpectationBasis;
 use crate::process::forward::home::HomeSet;
 use crate::process::forward::input::ServerAnswer;
-use crate::process::forward::timing::AnswerPlan;
+use crate::process::forward::timing::AnswerDeadlines;
 use crate::process::input::CallTag;
 use crate::request::mark::RequestMark;
 use crate::version::route_table::{RouteRule, RouteTable, RouteTarget};
@@ -126,7 +126,7 @@
     /// When it came.
     pub arrived: Duration,
     /// When it should be answered.
-    pub plan: AnswerPlan,
+    pub plan: AnswerDeadlines,
     /// Its parts.
     pub parts: Vec<PartState>,
     /// Parts answered.
--- a/crates/core/src/process/forward/canary.rs
+++ b/crates/core/src/process/forward/canary.rs
@@ -14,7 +14,7 @@
 use crate::process::forward::answer::{AttemptCause, ForwardAction, ForwardFailure};
 use crate::process::forward::call::CallState;
 use crate::process::forward::choose::NoChoice;
-use crate::process::forward::hedge::LOOK_AGAIN;
+use crate::process::forward::hedge::RECHECK_INTERVAL;
 use crate::process::forward::input::ForwardCall;
 use crate::process::forward::machine::ForwardMachine;
 use crate::process::forward::suspect::book::SuspectStanding;
@@ -178,7 +178,7 @@
         let Some(state) = self.calls.get(call) else {
             return false;
         };
-        if now >= state.plan.limit {
+        if now >= state.plan.hard_deadline {
             return false;
         }
         let open = (0..state.parts.len()).filter(|part| {
@@ -199,7 +199,7 @@
         let mut may_wait = false;
         for part in open {
             match self.choose_for(call, part, now) {
-                Ok(choice) if self.afford(call, part, now, out) => {
+                Ok(choice) if self.try_spend_budget(call, part, now, out) => {
                     let cause = self.cause_for(call, part);
                     self.send_to(call, part, cause, choice, now, out);
                     return true;
@@ -209,7 +209,7 @@
             }
         }
         if may_wait {
-            self.look_at(call, now + LOOK_AGAIN);
+            self.look_at(call, now + RECHECK_INTERVAL);
         } else {
             self.end_unanswered(call, now, out);
         }
@@ -261,7 +261,7 @@
         };
         for part in &mut state.parts {
             // It was not looked at while the request was doubted.
-            part.hedge_at = part.hedge_at.min(now + LOOK_AGAIN);
+            part.hedge_at = part.hedge_at.min(now + RECHECK_INTERVAL);
         }
         for part in 0..state.parts.len() {
             let is_left = self.calls.get(call).is_some_and(|state| {
@@ -276,6 +276,6 @@
                 _ => self.try_again(call, part, now, out),
             }
         }
-        self.plan_sweep(call, now);
+        self.schedule_sweep(call, now);
     }
 }
--- a/crates/core/src/process/forward/choose.rs
+++ b/crates/core/src/process/forward/choose.rs
@@ -6,7 +6,7 @@
 
 use crate::arena::{ServerKey, UpstreamKey};
 use crate::process::forward::bundle::RELAY_CONNECTIONS;
-use crate::process::forward::cold::{ColdShare, ColdView, FittingShare};
+use crate::process::forward::cold::{AdaptiveShare, ColdView, ShareStrategy};
 use crate::process::forward::directory::ServerStanding;
 use crate::process::forward::home::{HomeSet, PermittedServer};
 use crate::process::forward::machine::ForwardMachine;
@@ -184,13 +184,13 @@
         if per_s <= 0.0 || !state.is_cold(now) {
             return true;
         }
-        let most = self.options.cold.most(per_s);
+        let max_per_second = self.options.cold.max_per_second(per_s);
         let view = ColdView {
             entries: self.entries,
-            is_holder: self.holds(state),
+            is_owner: self.holds(state),
         };
-        let allowance = FittingShare.allowance(most, view);
-        state.cold.has_room(allowance, now)
+        let allowance = AdaptiveShare.allowance(max_per_second, view);
+        state.cold.has_capacity(allowance, now)
     }
 
     /// Tells whether a server falls to this entry among the entries of the
--- a/crates/core/src/process/forward/cold.rs
+++ b/crates/core/src/process/forward/cold.rs
@@ -19,7 +19,7 @@
 const COLD_WINDOW: Duration = Duration::from_millis(1100);
 /// Time for which a server is taken for cold whose failure domain came back
 /// into use or that was silent: it says so itself with its next sign of life.
-pub(super) const DOUBT_TIME: Duration = Duration::from_millis(2500);
+pub(super) const ASSUMED_COLD_TIME: Duration = Duration::from_millis(2500);
 
 /// The bound on what a cold server gets, as the operator sets it.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -42,7 +42,7 @@
 impl ColdBound {
     /// Returns the most requests that all entries may send in a second to a
     /// server of a service that takes `per_s` while it is cold.
-    pub fn most(&self, per_s: f64) -> f64 {
+    pub fn max_per_second(&self, per_s: f64) -> f64 {
         per_s * self.excess + self.slack
     }
 }
@@ -54,33 +54,33 @@
     pub entries: u32,
     /// Whether the server falls to this one among the entries of the server's
     /// failure domain.
-    pub is_holder: bool,
+    pub is_owner: bool,
 }
 
 /// What one entry may send to a cold server in a second.
-pub trait ColdShare {
-    /// Returns the number, out of `most` for all entries.
-    fn allowance(&self, most: f64, view: ColdView) -> usize;
+pub trait ShareStrategy {
+    /// Returns the number, out of `max_per_second` for all entries.
+    fn allowance(&self, max_per_second: f64, view: ColdView) -> usize;
 }
 
 /// An equal part for each entry. Of many entries none has a whole request.
 #[derive(Debug, Clone, Copy)]
 pub struct EqualShare;
 
-impl ColdShare for EqualShare {
-    fn allowance(&self, most: f64, view: ColdView) -> usize {
-        (most * VIEW_PART / f64::from(view.entries.max(1))) as usize
+impl ShareStrategy for EqualShare {
+    fn allowance(&self, max_per_second: f64, view: ColdView) -> usize {
+        (max_per_second * VIEW_PART / f64::from(view.entries.max(1))) as usize
     }
 }
 
 /// All for the one entry to which the server falls.
 #[derive(Debug, Clone, Copy)]
-pub struct HolderShare;
+pub struct OwnerShare;
 
-impl ColdShare for HolderShare {
-    fn allowance(&self, most: f64, view: ColdView) -> usize {
-        if view.is_holder {
-            (most * VIEW_PART) as usize
+impl ShareStrategy for OwnerShare {
+    fn allowance(&self, max_per_second: f64, view: ColdView) -> usize {
+        if view.is_owner {
+            (max_per_second * VIEW_PART) as usize
         } else {
             0
         }
@@ -92,12 +92,12 @@
 /// holder sends 10; 5 entries can send 2 each, where one holder would have 10
 /// for a fifth of the callers.
 #[derive(Debug, Clone, Copy)]
-pub struct FittingShare;
+pub struct AdaptiveShare;
 
-impl ColdShare for FittingShare {
-    fn allowance(&self, most: f64, view: ColdView) -> usize {
-        match EqualShare.allowance(most, view) {
-            0 => HolderShare.allowance(most, view),
+impl ShareStrategy for AdaptiveShare {
+    fn allowance(&self, max_per_second: f64, view: ColdView) -> usize {
+        match EqualShare.allowance(max_per_second, view) {
+            0 => OwnerShare.allowance(max_per_second, view),
             equal => equal,
         }
     }
@@ -105,30 +105,37 @@
 
 /// What was sent to a server in the last second.
 #[derive(Debug, Clone, Default)]
-pub struct ColdWindow {
-    sent: VecDeque<Duration>,
+pub struct SendWindow {
+    record_send: VecDeque<Duration>,
 }
 
-impl ColdWindow {
+impl SendWindow {
     /// Takes note of a send.
-    pub fn sent(&mut self, now: Duration) {
+    pub fn record_send(&mut self, now: Duration) {
         self.forget(now);
-        self.sent.push_back(now);
+        self.record_send.push_back(now);
     }
 
     /// Tells whether one more may be sent where `allowance` are allowed.
-    pub fn has_room(&self, allowance: usize, now: Duration) -> bool {
-        let live = self.sent.iter().filter(|sent| is_live(**sent, now));
+    pub fn has_capacity(&self, allowance: usize, now: Duration) -> bool {
+        let live = self
+            .record_send
+            .iter()
+            .filter(|record_send| is_live(**record_send, now));
         live.count() < allowance
     }
 
     fn forget(&mut self, now: Duration) {
-        while self.sent.front().is_some_and(|sent| !is_live(*sent, now)) {
-            self.sent.pop_front();
+        while self
+            .record_send
+            .front()
+            .is_some_and(|record_send| !is_live(*record_send, now))
+        {
+            self.record_send.pop_front();
         }
     }
 }
 
-fn is_live(sent: Duration, now: Duration) -> bool {
-    now < sent + COLD_WINDOW
+fn is_live(record_send: Duration, now: Duration) -> bool {
+    now < record_send + COLD_WINDOW
 }
--- a/crates/core/src/process/forward/fading.rs
+++ b/crates/core/src/process/forward/decay.rs
@@ -13,12 +13,12 @@
 
 /// The share of recent events of one kind, from 0 to 1.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct FadingShare {
+pub struct DecayingRate {
     share: f64,
     noted_at: Duration,
 }
 
-impl FadingShare {
+impl DecayingRate {
     /// Takes an event: 1 if it is of the kind, else 0.
     pub fn add(&mut self, sample: f64, now: Duration) {
         let share = self.at(now);
--- a/crates/core/src/process/forward/end.rs
+++ b/crates/core/src/process/forward/end.rs
@@ -45,7 +45,7 @@
             }
             return;
         }
-        let is_late = now >= state.plan.aim;
+        let is_late = now >= state.plan.soft_deadline;
         if state.open() == 0 {
             if state.is_covered() {
                 return self.end_gathered(call, now, out);
@@ -71,7 +71,7 @@
     /// Tells whether a request has no time for an answer any more.
     pub(super) fn is_over(&self, call: SlotKey, now: Duration) -> bool {
         let call = self.calls.get(call);
-        call.is_some_and(|state| now >= state.plan.limit)
+        call.is_some_and(|state| now >= state.plan.hard_deadline)
     }
 
     pub(super) fn limit_due(&mut self, call: SlotKey, now: Duration, out: &mut Vec<ForwardAction>) {
@@ -263,7 +263,7 @@
     ) -> Option<CallState> {
         let state = self.calls.remove(call)?;
         self.tags.remove(&state.tag);
-        self.count_bundled(&state, now);
+        self.record_bundle_misses(&state, now);
         for attempt in state.parts.iter().flat_map(|part| &part.attempts) {
             let Some(orphan) = self.attempts.get_mut(*attempt) else {
                 continue;
--- a/crates/core/src/process/forward/expectation.rs
+++ b/crates/core/src/process/forward/expectation.rs
@@ -53,7 +53,7 @@
 struct CellCount {
     samples: u64,
     expected: f64,
-    real: f64,
+    actual: f64,
     errors: [u32; ERROR_BUCKETS],
 }
 
@@ -62,7 +62,7 @@
         CellCount {
             samples: 0,
             expected: 0.0,
-            real: 0.0,
+            actual: 0.0,
             errors: [0; ERROR_BUCKETS],
         }
     }
@@ -82,7 +82,7 @@
     /// Mean of the times expected, in seconds.
     pub expected: f64,
     /// Mean of the real times, in seconds.
-    pub real: f64,
+    pub actual: f64,
     /// Median of the error, as a fraction of the real time, to a twentieth; 1
     /// stands for 1 and more.
     pub median_error: f64,
@@ -92,43 +92,43 @@
     /// Returns by which fraction of the real time the expectation is too high
     /// on average; negative if it is too low.
     pub fn bias(&self) -> f64 {
-        self.expected / self.real.max(f64::MIN_POSITIVE) - 1.0
+        self.expected / self.actual.max(f64::MIN_POSITIVE) - 1.0
     }
 }
 
 /// The account of expected against real times.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ExpectationBook {
+pub struct ExpectationStats {
     cells: Vec<CellCount>,
 }
 
-impl Default for ExpectationBook {
+impl Default for ExpectationStats {
     fn default() -> Self {
-        ExpectationBook {
+        ExpectationStats {
             cells: vec![CellCount::default(); CELLS],
         }
     }
 }
 
-impl ExpectationBook {
-    /// Takes an answer that came after `real`.
-    pub fn add(&mut self, basis: &ExpectationBasis, real: Duration) {
+impl ExpectationStats {
+    /// Takes an answer that came after `actual`.
+    pub fn add(&mut self, basis: &ExpectationBasis, actual: Duration) {
         let cell = &mut self.cells[basis.cell()];
-        let (expected, real) = (basis.expected.as_secs_f64(), real.as_secs_f64());
-        let error = (expected - real).abs() / real.max(1e-6);
+        let (expected, actual) = (basis.expected.as_secs_f64(), actual.as_secs_f64());
+        let error = (expected - actual).abs() / actual.max(1e-6);
         let bucket = ((error / ERROR_STEP) as usize).min(ERROR_BUCKETS - 1);
         cell.samples += 1;
         cell.expected += expected;
-        cell.real += real;
+        cell.actual += actual;
         cell.errors[bucket] += 1;
     }
 
     /// Adds another account to this one.
-    pub fn merge(&mut self, other: &ExpectationBook) {
+    pub fn merge(&mut self, other: &ExpectationStats) {
         for (cell, more) in self.cells.iter_mut().zip(&other.cells) {
             cell.samples += more.samples;
             cell.expected += more.expected;
-            cell.real += more.real;
+            cell.actual += more.actual;
             for (count, more) in cell.errors.iter_mut().zip(more.errors) {
                 *count += more;
             }
@@ -148,7 +148,7 @@
                 age: AGE_NAMES[place % AGE_NAMES.len()],
                 samples: cell.samples,
                 expected: cell.expected / samples,
-                real: cell.real / samples,
+                actual: cell.actual / samples,
                 median_error: cell.median_error(),
             }
         })
--- a/crates/core/src/process/forward/hedge.rs
+++ b/crates/core/src/process/forward/hedge.rs
@@ -12,7 +12,7 @@
 
 /// Time between two looks at a part that could not be hedged, or for a server that
 /// may try a request.
-pub(super) const LOOK_AGAIN: Duration = Duration::from_millis(10);
+pub(super) const RECHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// Shards of a route up to which each is worth a far hedge as soon as it is
 /// slow: what is left out of so few costs a tenth of the answer.
 const DEAR_SHARDS: f64 = 20.0;
@@ -26,7 +26,7 @@
 
 impl ForwardMachine {
     /// Sets the timer for the next look at a request.
-    pub(super) fn plan_sweep(&mut self, call: SlotKey, now: Duration) {
+    pub(super) fn schedule_sweep(&mut self, call: SlotKey, now: Duration) {
         let Some(state) = self.calls.get(call) else {
             return;
         };
@@ -36,7 +36,7 @@
         let open = state.parts.iter().filter(|part| part.is_open());
         let next = open.map(|part| part.hedge_at).min();
         let next = next.into_iter().chain(self.give_up_at(state)).min();
-        let Some(next) = next.filter(|next| *next < state.plan.limit) else {
+        let Some(next) = next.filter(|next| *next < state.plan.hard_deadline) else {
             return;
         };
         let at = next.max(now + Duration::from_millis(1));
@@ -54,7 +54,7 @@
         for part in 0..count {
             self.hedge_if_slow(call, part, now, out);
         }
-        self.plan_sweep(call, now);
+        self.schedule_sweep(call, now);
         self.check_end(call, now, out);
     }
 
@@ -87,7 +87,7 @@
             return;
         }
         if let Some(state) = self.calls.get_mut(call) {
-            state.parts[part].hedge_at = now + LOOK_AGAIN;
+            state.parts[part].hedge_at = now + RECHECK_INTERVAL;
         }
         let Ok(choice) = self.choose_for(call, part, now) else {
             return;
@@ -99,7 +99,7 @@
             }
             return;
         }
-        if !self.pays(call, part, choice, now) || !self.afford(call, part, now, out) {
+        if !self.pays(call, part, choice, now) || !self.try_spend_budget(call, part, now, out) {
             return;
         }
         let is_lost = self
@@ -117,7 +117,7 @@
     /// Keeps a part whose repeat the bound on extra load does not allow yet: the
     /// bound leaves room again with the next requests, and a shard given up may
     /// cost the whole answer.
-    pub(super) fn look_again(
+    pub(super) fn schedule_recheck(
         &mut self,
         call: SlotKey,
         part: usize,
@@ -125,9 +125,9 @@
         out: &mut Vec<ForwardAction>,
     ) {
         if let Some(state) = self.calls.get_mut(call) {
-            state.parts[part].hedge_at = now + LOOK_AGAIN;
+            state.parts[part].hedge_at = now + RECHECK_INTERVAL;
         }
-        self.plan_sweep(call, now);
+        self.schedule_sweep(call, now);
         self.check_end(call, now, out);
     }
 
@@ -159,9 +159,9 @@
         let count = state.gathered().len() as f64;
         let patience = (1.0 - DEAR_SHARDS / count).max(0.0);
         let needed = choice.expected.mul_f64(HEDGE_MARGIN) + HEDGE_SPARE;
-        let latest = state.plan.aim.saturating_sub(needed);
-        let slow = first + self.timings[state.timing].slow(state.rule());
-        slow + latest.saturating_sub(slow).mul_f64(patience)
+        let latest = state.plan.soft_deadline.saturating_sub(needed);
+        let hedge_delay = first + self.timings[state.timing].hedge_delay(state.rule());
+        hedge_delay + latest.saturating_sub(hedge_delay).mul_f64(patience)
     }
 
     /// Tells whether a hedge is likely to answer before what is outstanding.
@@ -192,7 +192,7 @@
     }
 
     /// Takes one repeat of a part out of the budget for extra load.
-    pub(super) fn afford(
+    pub(super) fn try_spend_budget(
         &mut self,
         call: SlotKey,
         part: usize,
--- a/crates/core/src/process/forward/judge.rs
+++ b/crates/core/src/process/forward/judge.rs
@@ -51,7 +51,7 @@
         if let Some(state) = self.calls.get_mut(call) {
             state.doubt.ends = state.doubt.ends.max(ends);
             if self.examine(call, now, out) {
-                self.plan_sweep(call, now);
+                self.schedule_sweep(call, now);
             }
         }
     }
--- a/crates/core/src/process/forward/machine.rs
+++ b/crates/core/src/process/forward/machine.rs
@@ -18,13 +18,13 @@
 use crate::process::forward::canary::CanaryWay;
 use crate::process::forward::cold::ColdBound;
 use crate::process::forward::counts::{ForwardCounters, UpstreamCounts};
+use crate::process::forward::decay::DecayingRate;
 use crate::process::forward::directory::{ServerDirectory, ServerStanding};
-use crate::process::forward::expectation::ExpectationBook;
+use crate::process::forward::expectation::ExpectationStats;
 use crate::process::forward::extra::{ExtraBound, ExtraBudget};
-use crate::process::forward::fading::FadingShare;
 use crate::process::forward::input::ForwardInput;
-use crate::process::forward::pace::PaceWay;
-use crate::process::forward::pause::{IntervalVote, PauseWay};
+use crate::process::forward::pace::SlownessStrategy;
+use crate::process::forward::pause::{IntervalHistogram, StallStrategy};
 use crate::process::forward::place::RegionMap;
 use crate::process::forward::server::ServerState;
 use crate::process::forward::split::SplitCounter;
@@ -77,9 +77,9 @@
     /// Whether decisions are recorded.
     pub records: bool,
     /// How it is estimated how fast a server is.
-    pub pace: PaceWay,
+    pub pace: SlownessStrategy,
     /// How pauses of servers are met.
-    pub pauses: PauseWay,
+    pub pauses: StallStrategy,
     /// Which requests one server tries before the others get them.
     pub canary: CanaryWay,
 }
@@ -96,8 +96,8 @@
             in_flight: 512,
             seed: 1,
             records: true,
-            pace: PaceWay::default(),
-            pauses: PauseWay::default(),
+            pace: SlownessStrategy::default(),
+            pauses: StallStrategy::default(),
             canary: CanaryWay::default(),
         }
     }
@@ -118,9 +118,9 @@
     /// Parts that wait for a server with room.
     pub(super) waiting: VecDeque<(SlotKey, usize)>,
     /// Fraction of the last requests that it had no room for.
-    pub(super) shortage: FadingShare,
+    pub(super) shortage: DecayingRate,
     /// Fraction of the bundles that came without it lately.
-    pub(super) bundle_misses: FadingShare,
+    pub(super) bundle_misses: DecayingRate,
     /// Counts since the start.
     pub(super) counts: UpstreamCounts,
     /// What the entries of a failure domain divide it by, if it is a shard that
@@ -162,13 +162,13 @@
     pub(super) splits: HashMap<Box<str>, SplitCounter>,
     pub(super) timers: TimerHeap<ForwardTimer>,
     pub(super) counters: ForwardCounters,
-    pub(super) expectations: ExpectationBook,
+    pub(super) expectations: ExpectationStats,
     /// Requests under which servers ended.
     pub(super) suspects: SuspectBook,
     /// Servers that ended lately.
     pub(super) end_watch: EndWatch,
     /// What the servers say of the interval of their pauses.
-    pub(super) pause_vote: IntervalVote,
+    pub(super) pause_vote: IntervalHistogram,
     /// When a request may be let in again that depends on doubtful shards.
     pub(super) probe_at: Duration,
     /// Until when the load is taken to shift between entries.
@@ -205,10 +205,10 @@
             splits: HashMap::new(),
             timers: TimerHeap::default(),
             counters: ForwardCounters::default(),
-            expectations: ExpectationBook::default(),
+            expectations: ExpectationStats::default(),
             suspects: SuspectBook::default(),
             end_watch: EndWatch::default(),
-            pause_vote: IntervalVote::default(),
+            pause_vote: IntervalHistogram::default(),
             probe_at: Duration::ZERO,
             shifts_until: Duration::ZERO,
             heard_at: Duration::ZERO,
@@ -272,7 +272,7 @@
     }
 
     /// Returns the account of expected against real times.
-    pub fn expectations(&self) -> &ExpectationBook {
+    pub fn expectations(&self) -> &ExpectationStats {
         &self.expectations
     }
 
--- a/crates/core/src/process/forward/notices.rs
+++ b/crates/core/src/process/forward/notices.rs
@@ -8,7 +8,7 @@
 use crate::process::forward::answer::ForwardAction;
 use crate::process::forward::directory::{NoticeEffect, ServerNotice, ServerStanding};
 use crate::process::forward::machine::ForwardMachine;
-use crate::process::forward::pace::ServerPace;
+use crate::process::forward::pace::ServerSlowness;
 use crate::process::forward::place::PlaceStep;
 use crate::process::forward::server::ServerState;
 
@@ -79,7 +79,7 @@
         state.domain = notice.domain;
         state.version = notice.version;
         state.slots = notice.slots;
-        state.pace = ServerPace::new(self.options.pace);
+        state.pace = ServerSlowness::new(self.options.pace);
         state.born = notice.born;
         state.warm_at = now + Duration::from_millis(notice.cold_ms);
         let server = self.servers.push(state);
--- a/crates/core/src/process/forward/pace.rs
+++ b/crates/core/src/process/forward/pace.rs
@@ -21,12 +21,12 @@
 const USUAL_PACE: f64 = 100.0;
 
 /// An estimate of a server's slowness: 2 is half as fast as its peers.
-pub trait PaceEstimate {
+pub trait SlownessEstimate {
     /// Takes an answer that took `ratio` of what is usual.
     fn answered(&mut self, ratio: f64, now: Duration);
 
     /// Takes the server's own word, in hundredths of the usual time.
-    fn told(&mut self, pace: u32, now: Duration);
+    fn record_report(&mut self, pace: u32, now: Duration);
 
     /// Returns the slowness to expect.
     fn slowness(&self, now: Duration) -> f64;
@@ -37,12 +37,12 @@
 /// A moving average of logarithms is not carried away by one answer of many
 /// times the usual.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct LearnedPace {
+pub struct ObservedSlowness {
     logarithm: f64,
     learned_at: Duration,
 }
 
-impl PaceEstimate for LearnedPace {
+impl SlownessEstimate for ObservedSlowness {
     fn answered(&mut self, ratio: f64, now: Duration) {
         let known = fade(
             self.logarithm,
@@ -54,7 +54,7 @@
         self.learned_at = now;
     }
 
-    fn told(&mut self, _pace: u32, _now: Duration) {}
+    fn record_report(&mut self, _pace: u32, _now: Duration) {}
 
     fn slowness(&self, now: Duration) -> f64 {
         fade(
@@ -69,14 +69,14 @@
 /// What the server says, and what the times of its answers say besides: that
 /// it is slower than its peers at all times, for one.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct ToldPace {
-    beside: LearnedPace,
+pub struct ReportedSlowness {
+    beside: ObservedSlowness,
     /// Logarithm of its word.
     logarithm: f64,
     told_at: Duration,
 }
 
-impl ToldPace {
+impl ReportedSlowness {
     fn word(&self, now: Duration) -> f64 {
         fade(
             self.logarithm,
@@ -87,12 +87,12 @@
     }
 }
 
-impl PaceEstimate for ToldPace {
+impl SlownessEstimate for ReportedSlowness {
     fn answered(&mut self, ratio: f64, now: Duration) {
         self.beside.answered(ratio / self.word(now), now);
     }
 
-    fn told(&mut self, pace: u32, now: Duration) {
+    fn record_report(&mut self, pace: u32, now: Duration) {
         let times = f64::from(pace.max(1)) / USUAL_PACE;
         self.logarithm = times.ln();
         self.told_at = now;
@@ -110,65 +110,65 @@
 
 /// Which estimate is used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum PaceWay {
-    /// [`LearnedPace`].
-    Learned,
-    /// [`ToldPace`]; the same as the other where servers say nothing.
+pub enum SlownessStrategy {
+    /// [`ObservedSlowness`].
+    Observed,
+    /// [`ReportedSlowness`]; the same as the other where servers say nothing.
     #[default]
-    Told,
+    Reported,
 }
 
-impl PaceWay {
+impl SlownessStrategy {
     /// Names of the ways in the settings.
-    pub const WORDS: [&'static str; 2] = ["learned", "told"];
+    pub const NAMES: [&'static str; 2] = ["learned", "told"];
 
     /// Returns the way of a name; the usual one if there is none of that name.
-    pub fn of_word(word: &str) -> PaceWay {
+    pub fn from_name(word: &str) -> SlownessStrategy {
         match word {
-            "learned" => PaceWay::Learned,
-            _ => PaceWay::Told,
+            "learned" => SlownessStrategy::Observed,
+            _ => SlownessStrategy::Reported,
         }
     }
 }
 
 /// The estimate of one server, in the way that the settings name.
 #[derive(Debug, Clone, Copy)]
-pub enum ServerPace {
+pub enum ServerSlowness {
     /// Learned.
-    Learned(LearnedPace),
+    Observed(ObservedSlowness),
     /// Told.
-    Told(ToldPace),
+    Reported(ReportedSlowness),
 }
 
-impl ServerPace {
+impl ServerSlowness {
     /// Returns the estimate of a server of which nothing is known.
-    pub fn new(way: PaceWay) -> ServerPace {
+    pub fn new(way: SlownessStrategy) -> ServerSlowness {
         match way {
-            PaceWay::Learned => ServerPace::Learned(LearnedPace::default()),
-            PaceWay::Told => ServerPace::Told(ToldPace::default()),
+            SlownessStrategy::Observed => ServerSlowness::Observed(ObservedSlowness::default()),
+            SlownessStrategy::Reported => ServerSlowness::Reported(ReportedSlowness::default()),
         }
     }
 }
 
-impl PaceEstimate for ServerPace {
+impl SlownessEstimate for ServerSlowness {
     fn answered(&mut self, ratio: f64, now: Duration) {
         match self {
-            ServerPace::Learned(pace) => pace.answered(ratio, now),
-            ServerPace::Told(pace) => pace.answered(ratio, now),
+            ServerSlowness::Observed(pace) => pace.answered(ratio, now),
+            ServerSlowness::Reported(pace) => pace.answered(ratio, now),
         }
     }
 
-    fn told(&mut self, pace: u32, now: Duration) {
+    fn record_report(&mut self, pace: u32, now: Duration) {
         match self {
-            ServerPace::Learned(estimate) => estimate.told(pace, now),
-            ServerPace::Told(estimate) => estimate.told(pace, now),
+            ServerSlowness::Observed(estimate) => estimate.record_report(pace, now),
+            ServerSlowness::Reported(estimate) => estimate.record_report(pace, now),
         }
     }
 
     fn slowness(&self, now: Duration) -> f64 {
         match self {
-            ServerPace::Learned(pace) => pace.slowness(now),
-            ServerPace::Told(pace) => pace.slowness(now),
+            ServerSlowness::Observed(pace) => pace.slowness(now),
+            ServerSlowness::Reported(pace) => pace.slowness(now),
         }
     }
 }
--- a/crates/core/src/process/forward/pause.rs
+++ b/crates/core/src/process/forward/pause.rs
@@ -40,29 +40,29 @@
 /// Pauses in a row that do not come, after which a forecast is dropped.
 const MOST_MISSES: u32 = 2;
 /// Time beyond which an answer is late by a pause and not by its work.
-pub(super) const LATE_BY: Duration = Duration::from_millis(15);
+pub(super) const MIN_STALL: Duration = Duration::from_millis(15);
 /// Longest delay that is taken for a pause.
 const LONGEST_PAUSE: Duration = Duration::from_millis(600);
 
 /// How pauses are met.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum PauseWay {
+pub enum StallStrategy {
     /// They are noticed, by the age of the oldest request without an answer.
-    Noticed,
+    Reactive,
     /// They are foretold where they come at an interval, else noticed.
     #[default]
-    Foretold,
+    Predictive,
 }
 
-impl PauseWay {
+impl StallStrategy {
     /// Names of the ways in the settings.
-    pub const WORDS: [&'static str; 2] = ["noticed", "foretold"];
+    pub const NAMES: [&'static str; 2] = ["noticed", "foretold"];
 
     /// Returns the way of a name; the usual one if there is none of that name.
-    pub fn of_word(word: &str) -> PauseWay {
+    pub fn from_name(word: &str) -> StallStrategy {
         match word {
-            "noticed" => PauseWay::Noticed,
-            _ => PauseWay::Foretold,
+            "noticed" => StallStrategy::Reactive,
+            _ => StallStrategy::Predictive,
         }
     }
 }
@@ -77,15 +77,15 @@
 
 /// The vote of all servers on the interval of their pauses.
 #[derive(Debug, Clone)]
-pub struct IntervalVote {
+pub struct IntervalHistogram {
     places: Vec<VotePlace>,
     votes: u32,
     found: Option<Duration>,
 }
 
-impl Default for IntervalVote {
+impl Default for IntervalHistogram {
     fn default() -> Self {
-        IntervalVote {
+        IntervalHistogram {
             places: vec![VotePlace::default(); VOTE_PLACES],
             votes: 0,
             found: None,
@@ -93,7 +93,7 @@
     }
 }
 
-impl IntervalVote {
+impl IntervalHistogram {
     /// Returns the interval, once it is known.
     pub fn interval(&self) -> Option<Duration> {
         self.found
@@ -141,7 +141,7 @@
 
 /// What is known of one server's pauses.
 #[derive(Debug, Clone, Default)]
-pub struct PauseBook {
+pub struct StallPredictor {
     /// Ends of its last pauses, oldest first.
     ends: ArrayVec<Duration, KEPT_ENDS>,
     /// The longest wait for one of these.
@@ -149,12 +149,12 @@
     misses: u32,
 }
 
-impl PauseBook {
+impl StallPredictor {
     /// Takes a request that came to the server at `came` and was worked on from
     /// `begun`, later than anything but a pause explains.
-    pub fn late(&mut self, came: Duration, begun: Duration, vote: &mut IntervalVote) {
+    pub fn record_stall(&mut self, came: Duration, begun: Duration, vote: &mut IntervalHistogram) {
         let delay = begun.saturating_sub(came);
-        if delay < LATE_BY || delay > LONGEST_PAUSE {
+        if delay < MIN_STALL || delay > LONGEST_PAUSE {
             return;
         }
         let last = self.ends.last().copied();
@@ -182,7 +182,7 @@
     }
 
     /// Takes a request that was worked on at once at `begun`: no pause was there.
-    pub fn prompt(&mut self, begun: Duration, interval: Option<Duration>) {
+    pub fn record_prompt_start(&mut self, begun: Duration, interval: Option<Duration>) {
         let Some(end) = self.next_end(begun, interval) else {
             return;
         };
@@ -193,13 +193,18 @@
         }
         self.misses += 1;
         if self.misses >= MOST_MISSES {
-            *self = PauseBook::default();
+            *self = StallPredictor::default();
         }
     }
 
     /// Returns how long a request waits for a pause that comes to the server at
     /// `at` and takes `work`.
-    pub fn wait(&self, at: Duration, work: Duration, interval: Option<Duration>) -> Duration {
+    pub fn expected_wait(
+        &self,
+        at: Duration,
+        work: Duration,
+        interval: Option<Duration>,
+    ) -> Duration {
         let Some(end) = self.next_end(at, interval) else {
             return Duration::ZERO;
         };
--- a/crates/core/src/process/forward/relay.rs
+++ b/crates/core/src/process/forward/relay.rs
@@ -116,7 +116,7 @@
         });
         let relay = RelayOrder {
             version: state.table.version(),
-            answer_by: state.plan.aim.saturating_sub(way + BUNDLE_MARGIN),
+            answer_by: state.plan.soft_deadline.saturating_sub(way + BUNDLE_MARGIN),
             attempts: loan.attempts,
             earns: state.earns && parts.iter().all(|part| state.parts[*part].arrivals == 0),
             divides,
--- a/crates/core/src/process/forward/reply.rs
+++ b/crates/core/src/process/forward/reply.rs
@@ -8,8 +8,8 @@
 use crate::process::forward::choose::NoChoice;
 use crate::process::forward::input::{AttemptEnd, ServerAnswer};
 use crate::process::forward::machine::ForwardMachine;
-use crate::process::forward::pace::PaceEstimate;
-use crate::process::forward::pause::{IntervalVote, PauseWay, LATE_BY};
+use crate::process::forward::pace::SlownessEstimate;
+use crate::process::forward::pause::{IntervalHistogram, StallStrategy, MIN_STALL};
 use crate::process::forward::relay::SILENT_REST;
 use crate::process::forward::server::ServerState;
 use crate::process::forward::version::AnswerVerdict;
@@ -114,7 +114,7 @@
     server: &mut ServerState,
     state: &ForwardAttempt,
     end: &AttemptEnd,
-    vote: &mut IntervalVote,
+    vote: &mut IntervalHistogram,
     now: Duration,
 ) {
     if queue_factor(end) > 1.0 {
@@ -123,10 +123,10 @@
     let came = state.sent_at + server.way() / 2;
     let work = server.work(state.typical, now);
     let begun = now.saturating_sub(server.way() / 2 + work).max(came);
-    if begun < came + LATE_BY + work * 2 {
-        server.pauses.prompt(begun, vote.interval());
+    if begun < came + MIN_STALL + work * 2 {
+        server.pauses.record_prompt_start(begun, vote.interval());
     } else {
-        server.pauses.late(came, begun, vote);
+        server.pauses.record_stall(came, begun, vote);
     }
 }
 
@@ -244,9 +244,9 @@
                 }
                 let alone = work.div_f64(queue_factor(end));
                 if let Some(pace) = told_pace(end) {
-                    server.pace.told(pace, now);
+                    server.pace.record_report(pace, now);
                 }
-                if state.basis.is_some() && self.options.pauses == PauseWay::Foretold {
+                if state.basis.is_some() && self.options.pauses == StallStrategy::Predictive {
                     learn_pause(server, state, end, &mut self.pause_vote, now);
                 }
                 server.answered(alone, state.typical, now);
@@ -256,7 +256,7 @@
             EndMeaning::Failure | EndMeaning::NotRun => {
                 server.answered_at = now;
                 if let Some(pace) = told_pace(end) {
-                    server.pace.told(pace, now);
+                    server.pace.record_report(pace, now);
                 }
                 server.judged(true);
             }
@@ -283,7 +283,9 @@
         if let Some(load) = answer.load {
             server.loaded(load, now);
             let work = server.work(state.typical, now);
-            server.backlog.told(load.waiting, work, server.slots, now);
+            server
+                .backlog
+                .record_report(load.waiting, work, server.slots, now);
         }
         if answer.status == MISDIRECTED {
             self.set_replaced(state.server, out);
@@ -425,7 +427,7 @@
     ) {
         if self.is_kept(key, now) {
             if self.examine(key, now, out) {
-                self.plan_sweep(key, now);
+                self.schedule_sweep(key, now);
             }
             return;
         }
@@ -438,7 +440,7 @@
             return;
         }
         let may_repeat = rule.idempotent || state.runs == 0;
-        let has_time = now < call.plan.limit;
+        let has_time = now < call.plan.hard_deadline;
         let is_allowed = may_repeat && has_time && state.runs < call.attempts;
         let is_last = state.attempts.is_empty();
         // What may not be repeated in doubt is not looked at again.
@@ -451,11 +453,11 @@
         }
         if is_allowed && !state.attempts.is_full() {
             match self.choose_for(key, part, now) {
-                Ok(choice) if self.afford(key, part, now, out) => {
+                Ok(choice) if self.try_spend_budget(key, part, now, out) => {
                     self.send_to(key, part, AttemptCause::Retry, choice, now, out);
-                    return self.plan_sweep(key, now);
+                    return self.schedule_sweep(key, now);
                 }
-                Ok(_) if may_wait => return self.look_again(key, part, now, out),
+                Ok(_) if may_wait => return self.schedule_recheck(key, part, now, out),
                 Err(reason @ NoChoice::Full) if may_wait => {
                     self.wait_or_miss(key, part, reason, out);
                     return self.check_end(key, now, out);
--- a/crates/core/src/process/forward/send.rs
+++ b/crates/core/src/process/forward/send.rs
@@ -89,13 +89,13 @@
             return;
         };
         let timing = state.timing;
-        let slow = self.timings[timing].slow(state.rule());
+        let hedge_delay = self.timings[timing].hedge_delay(state.rule());
         let send = AttemptSend {
             parts: vec![part],
             cause,
             choice,
             timing,
-            patience: self.servers[choice.server.key()].way() + slow,
+            patience: self.servers[choice.server.key()].way() + hedge_delay,
             runs: 1,
             relay: None,
         };
@@ -152,7 +152,7 @@
         state.sends += 1;
         let (tag, gathers) = (state.tag, state.gathers);
         let workspace = state.workspace.clone();
-        let until = state.plan.given_up.saturating_sub(SEND_MARGIN);
+        let until = state.plan.caller_deadline.saturating_sub(SEND_MARGIN);
         for part in &send.parts {
             let part = &mut state.parts[*part];
             part.attempts.push(attempt);
@@ -169,10 +169,12 @@
         let outstanding = server.outstanding.len();
         if send.relay.is_none() {
             let work = server.work(typical, now);
-            server.backlog.sent(work, server.slots, self.entries, now);
+            server
+                .backlog
+                .record_send(work, server.slots, self.entries, now);
         }
         if self.upstreams[server.upstream].cold_per_s > 0.0 {
-            server.cold.sent(now);
+            server.cold.record_send(now);
         }
         server.outstanding.push(OutstandingAttempt {
             attempt,
@@ -285,10 +287,10 @@
             }
             let cause = self.cause_for(call, part);
             match self.choose_for(call, part, now) {
-                Ok(choice) if self.afford(call, part, now, out) => {
+                Ok(choice) if self.try_spend_budget(call, part, now, out) => {
                     self.send_to(call, part, cause, choice, now, out);
                 }
-                Ok(_) => self.look_again(call, part, now, out),
+                Ok(_) => self.schedule_recheck(call, part, now, out),
                 Err(reason) => {
                     self.wait_or_miss(call, part, reason, out);
                     self.check_end(call, now, out);
--- a/crates/core/src/process/forward/server.rs
+++ b/crates/core/src/process/forward/server.rs
@@ -6,13 +6,13 @@
 
 use crate::arena::{SlotKey, UpstreamKey};
 use crate::process::forward::backlog::ServerBacklog;
-use crate::process::forward::cold::{ColdWindow, DOUBT_TIME};
+use crate::process::forward::cold::{SendWindow, ASSUMED_COLD_TIME};
 use crate::process::forward::directory::ServerStanding;
 use crate::process::forward::expectation::ExpectationBasis;
 use crate::process::forward::home::RegionKey;
 use crate::process::forward::input::LoadReport;
-use crate::process::forward::pace::{PaceEstimate, PaceWay, ServerPace};
-use crate::process::forward::pause::PauseBook;
+use crate::process::forward::pace::{ServerSlowness, SlownessEstimate, SlownessStrategy};
+use crate::process::forward::pause::StallPredictor;
 use crate::process::forward::place::PlaceStep;
 
 /// Weight of a new sample in the moving average of failures.
@@ -73,15 +73,15 @@
     /// Until when it is taken for cold all the same, as it may have become so.
     pub doubt_until: Duration,
     /// What this entry sent it in the last second.
-    pub cold: ColdWindow,
+    pub cold: SendWindow,
     /// Attempts outstanding, oldest first.
     pub outstanding: Vec<OutstandingAttempt>,
     /// Idle connections to it.
     pub idle: u32,
     /// How fast it is against its peers.
-    pub pace: ServerPace,
+    pub pace: ServerSlowness,
     /// When it pauses.
-    pub pauses: PauseBook,
+    pub pauses: StallPredictor,
     /// Fraction of failures among the last answers.
     pub failing: f64,
     /// Until when it is left alone.
@@ -114,11 +114,11 @@
             slots: 1,
             warm_at: Duration::ZERO,
             doubt_until: Duration::ZERO,
-            cold: ColdWindow::default(),
+            cold: SendWindow::default(),
             outstanding: Vec::new(),
             idle: 0,
-            pace: ServerPace::new(PaceWay::default()),
-            pauses: PauseBook::default(),
+            pace: ServerSlowness::new(SlownessStrategy::default()),
+            pauses: StallPredictor::default(),
             failing: 0.0,
             rest_until: Duration::ZERO,
             answered_at: Duration::ZERO,
@@ -204,7 +204,7 @@
 
     /// Takes it for cold for a moment, until it would have said so.
     pub fn doubt_warmth(&mut self, now: Duration) {
-        self.doubt_until = now + DOUBT_TIME;
+        self.doubt_until = now + ASSUMED_COLD_TIME;
     }
 
     /// Tells whether it is cold, or may be.
@@ -225,7 +225,7 @@
     /// Returns the time to an answer that its work and what waits there
     /// explain. A pause is not counted: what is asked meanwhile costs nothing.
     pub fn expect_loaded(&self, typical: Duration, now: Duration) -> Duration {
-        self.way + self.work(typical, now) + self.backlog.wait(now)
+        self.way + self.work(typical, now) + self.backlog.expected_wait(now)
     }
 
     /// Returns the time to expect for a request that takes `typical` at an
@@ -244,7 +244,9 @@
         } else {
             Duration::ZERO
         };
-        let foretold = self.pauses.wait(now + self.way / 2, work, interval);
+        let foretold = self
+            .pauses
+            .expected_wait(now + self.way / 2, work, interval);
         self.way + work + work.mul_f64(queue) + pause.max(foretold)
     }
 
--- a/crates/core/src/process/forward/timing.rs
+++ b/crates/core/src/process/forward/timing.rs
@@ -79,12 +79,12 @@
     }
 
     /// Returns the median time that another entry takes.
-    pub fn relay(&self) -> Duration {
+    pub fn median_relay_time(&self) -> Duration {
         self.work.median().unwrap_or(FIRST_RELAY)
     }
 
     /// Returns the time after which a server counts as slow.
-    pub fn slow(&self, route: &RouteRule) -> Duration {
+    pub fn hedge_delay(&self, route: &RouteRule) -> Duration {
         let objective = route.objective();
         let slow = self.work.quantile(SLOW_QUANTILE);
         let slow = slow.unwrap_or_else(|| objective.mul_f64(FIRST_HEDGE));
@@ -100,7 +100,7 @@
         route: &RouteRule,
         time_left: Option<Duration>,
         now: Duration,
-    ) -> AnswerPlan {
+    ) -> AnswerDeadlines {
         let given = time_left.unwrap_or_else(|| route.time_limit());
         // A repeat of the caller comes with less time than usual: what is
         // gone counts against the objective.
@@ -108,24 +108,24 @@
         let objective = route.objective().saturating_sub(spent);
         let margin = LEAST_MARGIN + route.objective().mul_f64(MARGIN);
         let limit = given.min(route.time_limit());
-        AnswerPlan {
+        AnswerDeadlines {
             objective: now + objective,
-            aim: now + objective.saturating_sub(margin),
-            limit: now + limit.saturating_sub(LIMIT_MARGIN.min(limit / 4)),
-            given_up: now + limit,
+            soft_deadline: now + objective.saturating_sub(margin),
+            hard_deadline: now + limit.saturating_sub(LIMIT_MARGIN.min(limit / 4)),
+            caller_deadline: now + limit,
         }
     }
 }
 
 /// When a request should be answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AnswerPlan {
+pub struct AnswerDeadlines {
     /// When the objective is over.
     pub objective: Duration,
     /// The last moment at which an answer is in time.
-    pub aim: Duration,
+    pub soft_deadline: Duration,
     /// The last moment at which an answer reaches a caller that waits.
-    pub limit: Duration,
+    pub hard_deadline: Duration,
     /// When the caller's time is over.
-    pub given_up: Duration,
+    pub caller_deadline: Duration,
 }
--- a/crates/core/tests/forward/admit.rs
+++ b/crates/core/tests/forward/admit.rs
@@ -4,8 +4,8 @@
 
 use wheelmast_core::process::forward::answer::{ForwardAnswer, ForwardFailure};
 use wheelmast_core::process::forward::backlog::ServerBacklog;
+use wheelmast_core::process::forward::decay::DecayingRate;
 use wheelmast_core::process::forward::extra::ExtraBound;
-use wheelmast_core::process::forward::fading::FadingShare;
 use wheelmast_core::process::forward::input::{AttemptEnd, LoadReport, ServerAnswer};
 
 use crate::harness::{answer, route, shards, table, Harness};
@@ -134,10 +134,10 @@
     harness.meet(&["far"]);
     let mut refused = 0;
     for _ in 0..40 {
-        let sent = harness.sends.len();
+        let record_send = harness.sends.len();
         let call = harness.call("q");
-        if harness.sends.len() > sent {
-            harness.end_bundle(sent, &["s0"], b"");
+        if harness.sends.len() > record_send {
+            harness.end_bundle(record_send, &["s0"], b"");
         } else {
             refused += 1;
             let failure = harness.failure_of(call);
@@ -161,7 +161,7 @@
     waiting: u32,
     /// Own sends after it.
     sends: u32,
-    wait: Duration,
+    expected_wait: Duration,
 }
 
 #[test]
@@ -171,25 +171,30 @@
             name: "idle: own sends alone",
             waiting: 0,
             sends: 2,
-            wait: ms(20),
+            expected_wait: ms(20),
         },
         BacklogCase {
             name: "busy: all entries send alike",
             waiting: 4,
             sends: 2,
-            wait: ms(40 + 8 * 20),
+            expected_wait: ms(40 + 8 * 20),
         },
     ];
     for case in cases {
         let (now, work) = (ms(1000), ms(20));
         let mut backlog = ServerBacklog::default();
-        backlog.told(case.waiting, work, 2, now);
+        backlog.record_report(case.waiting, work, 2, now);
         for _ in 0..case.sends {
-            backlog.sent(work, 2, 8, now);
+            backlog.record_send(work, 2, 8, now);
         }
-        assert_eq!(backlog.wait(now), case.wait, "{}", case.name);
         assert_eq!(
-            backlog.wait(now + case.wait),
+            backlog.expected_wait(now),
+            case.expected_wait,
+            "{}",
+            case.name
+        );
+        assert_eq!(
+            backlog.expected_wait(now + case.expected_wait),
             Duration::ZERO,
             "{}",
             case.name
@@ -199,7 +204,7 @@
 
 #[test]
 fn a_share_fades_without_events() {
-    let mut share = FadingShare::default();
+    let mut share = DecayingRate::default();
     for _ in 0..40 {
         share.add(1.0, ms(1000));
     }
--- a/crates/core/tests/forward/cold.rs
+++ b/crates/core/tests/forward/cold.rs
@@ -5,7 +5,7 @@
 
 use wheelmast_core::process::forward::answer::ForwardFailure;
 use wheelmast_core::process::forward::cold::{
-    ColdBound, ColdShare, ColdView, EqualShare, FittingShare, HolderShare,
+    AdaptiveShare, ColdBound, ColdView, EqualShare, OwnerShare, ShareStrategy,
 };
 use wheelmast_core::process::forward::directory::ServerNotice;
 use wheelmast_core::process::forward::input::{EntryPeer, ForwardInput};
@@ -107,36 +107,42 @@
         });
         counts.max().unwrap_or(0)
     };
-    let most = cold.iter().map(window).max().unwrap_or(0);
-    (most, cold.iter().map(|times| times.len()).sum())
+    let max_per_second = cold.iter().map(window).max().unwrap_or(0);
+    (max_per_second, cold.iter().map(|times| times.len()).sum())
 }
 
 #[test]
 fn no_cold_server_gets_more_than_the_bound_from_all_entries() {
-    let bound = BOUND.most(PER_S) as usize;
+    let bound = BOUND.max_per_second(PER_S) as usize;
     for (count, rate) in [(1, 50), (5, 20), (30, 10), (60, 10)] {
         let mut entries: Vec<Harness> = (0..count).map(|n| entry(n, count, true)).collect();
-        let (most, _) = play(&mut entries, rate);
-        assert!(most <= bound, "{count} entries: {most} of {bound}");
+        let (max_per_second, _) = play(&mut entries, rate);
+        assert!(
+            max_per_second <= bound,
+            "{count} entries: {max_per_second} of {bound}"
+        );
         // With every server cold, these are all there is.
         let mut entries: Vec<Harness> = (0..count).map(|n| all_cold(n, count)).collect();
-        let (most, sent) = play(&mut entries, rate);
-        assert!(most <= bound, "{count} entries: {most} of {bound}");
+        let (max_per_second, sent) = play(&mut entries, rate);
+        assert!(
+            max_per_second <= bound,
+            "{count} entries: {max_per_second} of {bound}"
+        );
         assert!(sent > 0, "{count} entries: cold servers are used");
     }
 }
 
 #[test]
 fn the_bound_holds_with_two_views_of_who_the_entries_are() {
-    let bound = BOUND.most(PER_S) as usize;
+    let bound = BOUND.max_per_second(PER_S) as usize;
     for (old, new) in [(4, 6), (20, 30), (30, 29)] {
         let mut entries: Vec<Harness> = (0..old.max(new))
             .map(|n| entry(n, if n % 2 == 0 { old } else { new }, true))
             .collect();
-        let (most, _) = play(&mut entries, 10);
+        let (max_per_second, _) = play(&mut entries, 10);
         assert!(
-            most <= bound,
-            "{old} and {new}: {most} in a second, {bound} allowed"
+            max_per_second <= bound,
+            "{old} and {new}: {max_per_second} in a second, {bound} allowed"
         );
     }
 }
@@ -144,13 +150,13 @@
 #[test]
 fn an_entry_that_knows_of_no_others_keeps_to_a_small_part() {
     let mut entries = vec![entry(0, 1, false)];
-    let (most, _) = play(&mut entries, 50);
-    assert!(most <= 1, "{most}");
+    let (max_per_second, _) = play(&mut entries, 50);
+    assert!(max_per_second <= 1, "{max_per_second}");
 }
 
 struct ShareCase {
     entries: u32,
-    is_holder: bool,
+    is_owner: bool,
     equal: usize,
     holder: usize,
     fitting: usize,
@@ -162,35 +168,35 @@
     let cases = [
         ShareCase {
             entries: 1,
-            is_holder: true,
+            is_owner: true,
             equal: 10,
             holder: 10,
             fitting: 10,
         },
         ShareCase {
             entries: 5,
-            is_holder: false,
+            is_owner: false,
             equal: 2,
             holder: 0,
             fitting: 2,
         },
         ShareCase {
             entries: 5,
-            is_holder: true,
+            is_owner: true,
             equal: 2,
             holder: 10,
             fitting: 2,
         },
         ShareCase {
             entries: 30,
-            is_holder: false,
+            is_owner: false,
             equal: 0,
             holder: 0,
             fitting: 0,
         },
         ShareCase {
             entries: 30,
-            is_holder: true,
+            is_owner: true,
             equal: 0,
             holder: 10,
             fitting: 10,
@@ -199,12 +205,12 @@
     for case in cases {
         let view = ColdView {
             entries: case.entries,
-            is_holder: case.is_holder,
+            is_owner: case.is_owner,
         };
         let shares = [
             EqualShare.allowance(20.0, view),
-            HolderShare.allowance(20.0, view),
-            FittingShare.allowance(20.0, view),
+            OwnerShare.allowance(20.0, view),
+            AdaptiveShare.allowance(20.0, view),
         ];
         assert_eq!(shares, [case.equal, case.holder, case.fitting], "{view:?}");
     }
@@ -236,7 +242,7 @@
             }
             harness.pass(1);
         }
-        assert!(asked <= BOUND.most(PER_S) as usize / 2, "{asked}");
+        assert!(asked <= BOUND.max_per_second(PER_S) as usize / 2, "{asked}");
     }
 }
 
--- a/crates/core/tests/forward/pauses.rs
+++ b/crates/core/tests/forward/pauses.rs
@@ -4,7 +4,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use wheelmast_core::process::forward::pause::{IntervalVote, PauseBook};
+use wheelmast_core::process::forward::pause::{IntervalHistogram, StallPredictor};
 
 const WORK: Duration = Duration::from_millis(8);
 
@@ -14,7 +14,7 @@
     interval: Option<f64>,
     length: Duration,
     phase: f64,
-    book: PauseBook,
+    book: StallPredictor,
     /// Requests that wait for the end of a pause: when they came, and that end.
     waiting: Vec<(Duration, Duration)>,
 }
@@ -31,20 +31,20 @@
         (left > 0.0).then(|| at + Duration::from_secs_f64(left))
     }
 
-    fn ask(&mut self, at: Duration, vote: &mut IntervalVote, rng: &mut SmallRng) {
+    fn ask(&mut self, at: Duration, vote: &mut IntervalHistogram, rng: &mut SmallRng) {
         let spread = WORK.mul_f64(0.3 * rng.random::<f64>());
         let (over, waiting) = self.waiting.iter().partition(|(_, end)| *end < at);
         self.waiting = waiting;
         let over: Vec<(Duration, Duration)> = over;
         for (came, end) in over {
-            self.book.late(came, end, vote);
+            self.book.record_stall(came, end, vote);
         }
         match self.pause_at(at, rng) {
             Some(end) if end > at + Duration::from_millis(31) => {
                 self.waiting.push((at, end + spread));
             }
             Some(_) => {}
-            None => self.book.prompt(at + spread, vote.interval()),
+            None => self.book.record_prompt_start(at + spread, vote.interval()),
         }
     }
 }
@@ -87,13 +87,13 @@
 /// counts.
 fn play(case: &PauseCase, seed: u64) -> (f64, f64) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut vote = IntervalVote::default();
+    let mut vote = IntervalHistogram::default();
     let mut servers: Vec<PausingServer> = (0..24)
         .map(|_| PausingServer {
             interval: case.interval,
             length: Duration::from_millis(case.length_ms),
             phase: rng.random::<f64>() * case.interval.unwrap_or(1.0),
-            book: PauseBook::default(),
+            book: StallPredictor::default(),
             waiting: Vec::new(),
         })
         .collect();
@@ -103,15 +103,17 @@
             let jitter = Duration::from_micros(rng.random_range(0..60_000));
             let at = Duration::from_secs(1) + Duration::from_millis(step * 66) + jitter;
             if step > 15 * 15 {
-                let wait = server.book.wait(at, Duration::ZERO, vote.interval());
+                let expected_wait = server
+                    .book
+                    .expected_wait(at, Duration::ZERO, vote.interval());
                 match server.pause_at(at, &mut rng) {
                     Some(_) => {
                         pauses += 1.0;
-                        foretold += f64::from(u8::from(!wait.is_zero()));
+                        foretold += f64::from(u8::from(!expected_wait.is_zero()));
                     }
                     None => {
                         times += 1.0;
-                        mistaken += f64::from(u8::from(wait > Duration::from_millis(20)));
+                        mistaken += f64::from(u8::from(expected_wait > Duration::from_millis(20)));
                     }
                 }
             }
@@ -144,24 +146,24 @@
 
 #[test]
 fn a_server_that_pauses_no_more_is_asked_again() {
-    let mut vote = IntervalVote::default();
+    let mut vote = IntervalHistogram::default();
     let second = Duration::from_secs(1);
-    let mut books = vec![PauseBook::default(); 12];
+    let mut books = vec![StallPredictor::default(); 12];
     for round in 0..4u32 {
         for (number, book) in books.iter_mut().enumerate() {
             let end = second * 3 * (round + 1) + Duration::from_millis(number as u64 * 90);
-            book.late(end - Duration::from_millis(100), end, &mut vote);
+            book.record_stall(end - Duration::from_millis(100), end, &mut vote);
         }
     }
     let interval = vote.interval();
     assert!(interval.is_some_and(|found| found.abs_diff(second * 3) < Duration::from_millis(15)));
     let inside = |round: u32| second * 3 * round - Duration::from_millis(60);
-    assert!(!books[0].wait(inside(6), WORK, interval).is_zero());
-    books[0].prompt(inside(6), interval);
+    assert!(!books[0].expected_wait(inside(6), WORK, interval).is_zero());
+    books[0].record_prompt_start(inside(6), interval);
     assert!(
-        !books[0].wait(inside(7), WORK, interval).is_zero(),
+        !books[0].expected_wait(inside(7), WORK, interval).is_zero(),
         "one may be by chance"
     );
-    books[0].prompt(inside(7), interval);
-    assert!(books[0].wait(inside(8), WORK, interval).is_zero());
+    books[0].record_prompt_start(inside(7), interval);
+    assert!(books[0].expected_wait(inside(8), WORK, interval).is_zero());
 }
--- a/crates/core/tests/forward/slowness.rs
+++ b/crates/core/tests/forward/slowness.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use wheelmast_core::arena::{KeyArena, UpstreamKey};
-use wheelmast_core::process::forward::pace::{PaceEstimate, PaceWay, ServerPace};
+use wheelmast_core::process::forward::pace::{ServerSlowness, SlownessEstimate, SlownessStrategy};
 use wheelmast_core::process::forward::server::ServerState;
 
 const TYPICAL: Duration = Duration::from_millis(40);
@@ -135,16 +135,16 @@
 fn a_server_s_own_word_is_believed_at_once_and_for_a_moment() {
     for case in PACE_CASES {
         let ways = [
-            (PaceWay::Told, &case.told),
-            (PaceWay::Learned, &case.learned),
+            (SlownessStrategy::Reported, &case.told),
+            (SlownessStrategy::Observed, &case.learned),
         ];
         for (way, range) in ways {
-            let mut pace = ServerPace::new(way);
+            let mut pace = ServerSlowness::new(way);
             let mut now = Duration::from_secs(10);
             for (told, ratio) in case.answers {
                 now += Duration::from_millis(60);
                 if let Some(told) = told {
-                    pace.told(*told, now);
+                    pace.record_report(*told, now);
                 }
                 pace.answered(*ratio, now);
             }
--- a/crates/fake/src/model/spec.rs
+++ b/crates/fake/src/model/spec.rs
@@ -5,7 +5,7 @@
 
 use wheelmast_core::process::forward::canary::CanaryWay;
 use wheelmast_core::process::forward::extra::ExtraBound;
-use wheelmast_core::process::forward::pause::PauseWay;
+use wheelmast_core::process::forward::pause::StallStrategy;
 
 /// A kind of request; all are gathered over the same shards.
 #[derive(Debug, Clone)]
@@ -120,7 +120,7 @@
     /// Pauses of the servers, if they pause.
     pub pauses: Option<PauseSpec>,
     /// How the entries meet them.
-    pub pause_way: PauseWay,
+    pub pause_way: StallStrategy,
     /// Entries in each of the two failure domains.
     pub entries: usize,
     /// Entries in a third failure domain, which has no servers.
@@ -180,7 +180,7 @@
             variety: 0,
             canary: CanaryWay::default(),
             pauses: None,
-            pause_way: PauseWay::default(),
+            pause_way: StallStrategy::default(),
             entries: 4,
             outlying: 0,
             shards: 20,
--- a/crates/fake/src/model/tally.rs
+++ b/crates/fake/src/model/tally.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use wheelmast_core::process::forward::expectation::ExpectationBook;
+use wheelmast_core::process::forward::expectation::ExpectationStats;
 
 /// How a caller's request ended, over all of its tries.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PlayTally {
     /// Expected against real times, over all entries.
-    pub expectations: ExpectationBook,
+    pub expectations: ExpectationStats,
     /// By kind of request, in the order of the specification.
     pub kinds: Vec<KindTally>,
     /// Requests that reached a server.
--- a/crates/fake/tests/plays/pauses.rs
+++ b/crates/fake/tests/plays/pauses.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use wheelmast_core::process::forward::pause::PauseWay;
+use wheelmast_core::process::forward::pause::StallStrategy;
 use wheelmast_fake::model::spec::{KindSpec, PauseSpec, PlaySpec};
 use wheelmast_fake::model::tally::PlayTally;
 
@@ -15,7 +15,7 @@
 
 /// Twenty shards and two entries, each of which sees a server fifteen times a
 /// second, as the holder of a share does; objectives of 100 ms.
-fn spec(every_s: u64, length_ms: f64, way: PauseWay) -> PlaySpec {
+fn spec(every_s: u64, length_ms: f64, way: StallStrategy) -> PlaySpec {
     let usual = PlaySpec::of_today();
     let sweep = KindSpec {
         rate: 30.0,
@@ -68,7 +68,7 @@
 #[test]
 fn foretold_pauses_cost_fewer_repeats() {
     for case in CASES {
-        let ways = [PauseWay::Noticed, PauseWay::Foretold];
+        let ways = [StallStrategy::Reactive, StallStrategy::Predictive];
         let [noticed, foretold] = ways.map(|way| {
             let spec = spec(case.every_s, case.length_ms, way);
             play_all(&spec)
--- a/crates/node/src/process/forward/measure.rs
+++ b/crates/node/src/process/forward/measure.rs
@@ -114,7 +114,7 @@
         ];
         counter!("wheelmast_expected_answers_total", &cell).absolute(row.samples);
         gauge!("wheelmast_expected_seconds", &cell).set(row.expected);
-        gauge!("wheelmast_real_seconds", &cell).set(row.real);
+        gauge!("wheelmast_real_seconds", &cell).set(row.actual);
         gauge!("wheelmast_expected_median_error", &cell).set(row.median_error);
     }
     let (suspects, quarantined) = machine.suspect_counts(now);
