--- a/crates/core/src/process/forward/choose.rs
+++ b/crates/core/src/process/forward/choose.rs
@@ -6,7 +6,7 @@
 
 use crate::arena::{ServerKey, UpstreamKey};
 use crate::process::forward::bundle::RELAY_CONNECTIONS;
-use crate::process::forward::cold::{AdaptiveShare, ColdView, ShareStrategy};
+use crate::process::forward::cold::{AdaptiveShare, ServerSharing, ShareStrategy};
 use crate::process::forward::directory::ServerStanding;
 use crate::process::forward::home::{HomeSet, PermittedServer};
 use crate::process::forward::machine::ForwardMachine;
@@ -185,7 +185,7 @@
             return true;
         }
         let max_per_second = self.options.cold.max_per_second(per_s);
-        let view = ColdView {
+        let view = ServerSharing {
             entries: self.entries,
             is_owner: self.holds(state),
         };
--- a/crates/core/src/process/forward/cold.rs
+++ b/crates/core/src/process/forward/cold.rs
@@ -56,7 +56,7 @@
 /// What one entry knows about the entries that send requests to the same cold
 /// server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ColdView {
+pub struct ServerSharing {
     /// Number of entries that send requests to the server, this one included.
     pub entries: u32,
     /// Whether this entry owns the server: rendezvous hashing assigns each
@@ -68,7 +68,7 @@
 pub trait ShareStrategy {
     /// Returns how many requests this entry may send per second, if all entries
     /// together may send `max_per_second`.
-    fn allowance(&self, max_per_second: f64, view: ColdView) -> usize;
+    fn allowance(&self, max_per_second: f64, view: ServerSharing) -> usize;
 }
 
 /// Gives each entry an equal share, rounded down. With many entries the share is
@@ -77,7 +77,7 @@
 pub struct EqualShare;
 
 impl ShareStrategy for EqualShare {
-    fn allowance(&self, max_per_second: f64, view: ColdView) -> usize {
+    fn allowance(&self, max_per_second: f64, view: ServerSharing) -> usize {
         (max_per_second * VIEW_FRACTION / f64::from(view.entries.max(1))) as usize
     }
 }
@@ -87,7 +87,7 @@
 pub struct OwnerShare;
 
 impl ShareStrategy for OwnerShare {
-    fn allowance(&self, max_per_second: f64, view: ColdView) -> usize {
+    fn allowance(&self, max_per_second: f64, view: ServerSharing) -> usize {
         if view.is_owner {
             (max_per_second * VIEW_FRACTION) as usize
         } else {
@@ -106,7 +106,7 @@
 pub struct AdaptiveShare;
 
 impl ShareStrategy for AdaptiveShare {
-    fn allowance(&self, max_per_second: f64, view: ColdView) -> usize {
+    fn allowance(&self, max_per_second: f64, view: ServerSharing) -> usize {
         match EqualShare.allowance(max_per_second, view) {
             0 => OwnerShare.allowance(max_per_second, view),
             equal => equal,
--- a/crates/core/tests/forward/cold.rs
+++ b/crates/core/tests/forward/cold.rs
@@ -5,7 +5,7 @@
 
 use wheelmast_core::process::forward::answer::ForwardFailure;
 use wheelmast_core::process::forward::cold::{
-    AdaptiveShare, ColdBound, ColdView, EqualShare, OwnerShare, ShareStrategy,
+    AdaptiveShare, ColdBound, EqualShare, OwnerShare, ServerSharing, ShareStrategy,
 };
 use wheelmast_core::process::forward::directory::ServerNotice;
 use wheelmast_core::process::forward::input::{EntryPeer, ForwardInput};
@@ -203,7 +203,7 @@
         },
     ];
     for case in cases {
-        let view = ColdView {
+        let view = ServerSharing {
             entries: case.entries,
             is_owner: case.is_owner,
         };
