--- a/crates/core/src/process/forward/hedge.rs
+++ b/crates/core/src/process/forward/hedge.rs
@@ -16,7 +16,9 @@
 use crate::process::forward::place::PlaceStep;
 
 /// Time until the next check of a part that could not be hedged, or until the
-/// next search for a server that may run a suspect request's canary attempt.
+/// next search for a server that may run a suspect request's canary attempt. A
+/// suspect request is one under which servers crashed; its canary attempt runs on
+/// one server before other servers get the request.
 pub(super) const RECHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// Number of shards of a route up to which a hedge is sent to another region as
 /// soon as a shard is slow. On such a route, an omitted shard costs a tenth of the
--- a/crates/core/src/process/forward/pause.rs
+++ b/crates/core/src/process/forward/pause.rs
@@ -2,8 +2,9 @@
 //!
 //! A stall is a short period in which a server answers nothing, such as a
 //! garbage collection. A request that arrives during a stall waits for its end,
-//! and only the server's earlier stalls can predict it. A stall may last as long
-//! as a route's objective, and of 90 shards four may be stalled at any time.
+//! and only the server's earlier stalls can predict it. Under the expected load, a
+//! stall lasts as long as a route's objective, and of 90 shards four are stalled
+//! at any time.
 //!
 //! A response that is later than work and queueing explain shows when a stall
 //! ended. Servers of one kind stall at the same interval, so one
--- a/crates/core/tests/forward/admit.rs
+++ b/crates/core/tests/forward/admit.rs
@@ -1,4 +1,5 @@
-//! Which requests are let in, and which shards they are asked of.
+//! Tests of admission control (which requests an entry accepts and which shards
+//! it omits), and of the backlog and decaying-rate estimates behind it.
 
 use std::time::Duration;
 
@@ -14,7 +15,9 @@
     Duration::from_millis(millis)
 }
 
-fn loaded(waiting: u32) -> Option<LoadReport> {
+/// Returns the load report of a server with two slots, both busy, and `waiting`
+/// queued requests.
+fn load_report(waiting: u32) -> Option<LoadReport> {
     Some(LoadReport {
         running: 2,
         waiting,
@@ -23,70 +26,77 @@
     })
 }
 
-/// Answers a send, from a server at which others wait.
-fn end_loaded(harness: &mut Harness, send: usize, waiting: u32) {
+/// Answers an attempt, with a load report of `waiting` queued requests.
+fn answer_with_load(harness: &mut Harness, send: usize, waiting: u32) {
     let stamp = harness.sends[send].instance.clone();
     let end = ServerAnswer {
-        load: loaded(waiting),
+        load: load_report(waiting),
         ..answer(200, &stamp, b"")
     };
     harness.end(send, AttemptEnd::Answer(end));
 }
 
-/// A route over four shards, the first of which has more work than time.
-fn crowded(least: f64) -> Harness {
+/// Returns an entry with a route over four shards, the first of which is
+/// overloaded. The route has the minimum coverage `least_coverage`.
+fn entry_with_overloaded_shard(least_coverage: f64) -> Harness {
     let mut harness = Harness::new();
     let mut rule = route("q", shards(4));
-    rule.least_coverage = least;
+    rule.least_coverage = least_coverage;
     harness.obey(table(1, vec![rule]));
     for shard in 0..4 {
         harness.serve(&format!("s{shard}"), 1);
     }
     harness.call("q");
     for send in 0..4 {
-        end_loaded(&mut harness, send, if send == 0 { 40 } else { 0 });
+        answer_with_load(&mut harness, send, if send == 0 { 40 } else { 0 });
     }
     harness
 }
 
-struct RoomCase {
+struct OverloadCase {
     name: &'static str,
-    least: f64,
-    /// Sends of the next request.
+    /// Minimum coverage of the route.
+    least_coverage: f64,
+    /// Number of attempts that the next request sends.
     sends: usize,
+    /// Failure of the next request, or `None` if it is accepted.
     failure: Option<ForwardFailure>,
 }
 
 #[test]
-fn a_shard_without_room_is_left_out_or_the_request_refused_at_once() {
+fn an_overloaded_shard_is_omitted_or_the_request_is_refused_at_once() {
     let cases = [
-        RoomCase {
-            name: "it can do without",
-            least: 0.75,
+        OverloadCase {
+            name: "the minimum coverage is reached without the shard",
+            least_coverage: 0.75,
             sends: 3,
             failure: None,
         },
-        RoomCase {
-            name: "it cannot",
-            least: 1.0,
+        OverloadCase {
+            name: "the minimum coverage needs the shard",
+            least_coverage: 1.0,
             sends: 0,
             failure: Some(ForwardFailure::Overload),
         },
     ];
     for case in cases {
-        let mut harness = crowded(case.least);
+        let mut harness = entry_with_overloaded_shard(case.least_coverage);
         let call = harness.call("q");
         assert_eq!(harness.sends.len(), 4 + case.sends, "{}", case.name);
         assert_eq!(harness.failure_of(call), case.failure, "{}", case.name);
         if let Some(ForwardAnswer::Failure { retry_after, .. }) = harness.answer_to(call) {
-            assert!(retry_after.is_some(), "{}: when to come back", case.name);
+            assert!(
+                retry_after.is_some(),
+                "{}: the refusal says when to come back",
+                case.name
+            );
         }
     }
 }
 
 #[test]
-fn a_shard_is_asked_again_once_its_work_is_done() {
-    let mut harness = crowded(1.0);
+fn a_shard_is_used_again_once_its_queue_is_worked_off() {
+    let mut harness = entry_with_overloaded_shard(1.0);
     let refused = harness.call("q");
     assert!(harness.failure_of(refused).is_some());
     harness.pass(400);
@@ -95,7 +105,7 @@
 }
 
 #[test]
-fn a_part_that_was_turned_away_waits_for_the_bound() {
+fn a_part_rejected_by_its_server_waits_for_the_extra_load_budget() {
     let mut harness = Harness::with_bound(ExtraBound {
         ratio: 0.0,
         slack: 0.0,
@@ -115,15 +125,18 @@
     harness.pass(60);
     assert!(
         harness.answer_to(call).is_none(),
-        "the bound may leave room"
+        "the budget may allow a retry later"
     );
-    assert_eq!(harness.sends.len(), 2, "nothing beyond the bound");
+    assert_eq!(harness.sends.len(), 2, "no retry beyond the budget");
     harness.pass(1000);
-    assert!(harness.failure_of(call).is_some(), "its time is over");
+    assert!(
+        harness.failure_of(call).is_some(),
+        "the request ends when its time is over"
+    );
 }
 
 #[test]
-fn shards_that_bundles_missed_are_probed() {
+fn shards_missing_from_bundles_are_probed() {
     let mut harness = Harness::new();
     let mut rule = route("q", shards(4));
     rule.least_coverage = 1.0;
@@ -134,10 +147,10 @@
     harness.meet(&["far"]);
     let mut refused = 0;
     for _ in 0..40 {
-        let record_send = harness.sends.len();
+        let first_send = harness.sends.len();
         let call = harness.call("q");
-        if harness.sends.len() > record_send {
-            harness.end_bundle(record_send, &["s0"], b"");
+        if harness.sends.len() > first_send {
+            harness.end_bundle(first_send, &["s0"], b"");
         } else {
             refused += 1;
             let failure = harness.failure_of(call);
@@ -145,36 +158,37 @@
         }
         harness.pass(20);
     }
-    assert!(refused > 10, "{refused} refused");
+    assert!(refused > 10, "only {refused} requests were refused");
     let before = harness.sends.len();
     for _ in 0..50 {
         harness.call("q");
         harness.pass(20);
     }
     let probes = harness.sends.len() - before;
-    assert!((3..=50).contains(&probes), "{probes} probes in a second");
+    assert!((3..=50).contains(&probes), "{probes} probes in 1 s");
 }
 
 struct BacklogCase {
     name: &'static str,
-    /// Requests that wait by the server's word.
+    /// Queued requests in the server's load report.
     waiting: u32,
-    /// Own sends after it.
+    /// Number of requests that this entry sends after the report.
     sends: u32,
+    /// Expected wait for a slot after these requests.
     expected_wait: Duration,
 }
 
 #[test]
-fn a_backlog_counts_others_only_while_something_waits() {
+fn a_backlog_assumes_requests_of_other_entries_only_while_requests_are_queued() {
     let cases = [
         BacklogCase {
-            name: "idle: own sends alone",
+            name: "idle: only the requests of this entry count",
             waiting: 0,
             sends: 2,
             expected_wait: ms(20),
         },
         BacklogCase {
-            name: "busy: all entries send alike",
+            name: "busy: all entries are assumed to send equally",
             waiting: 4,
             sends: 2,
             expected_wait: ms(40 + 8 * 20),
@@ -203,12 +217,12 @@
 }
 
 #[test]
-fn a_share_fades_without_events() {
-    let mut share = DecayingRate::default();
+fn a_rate_decays_without_events() {
+    let mut rate = DecayingRate::default();
     for _ in 0..40 {
-        share.add(1.0, ms(1000));
+        rate.add(1.0, ms(1000));
     }
-    assert!(share.value_at(ms(1000)) > 0.95);
-    assert!(share.value_at(ms(1000 + 2500)) < 0.51);
-    assert!(share.value_at(ms(20_000)) < 0.01);
+    assert!(rate.value_at(ms(1000)) > 0.95);
+    assert!(rate.value_at(ms(1000 + 2500)) < 0.51);
+    assert!(rate.value_at(ms(20_000)) < 0.01);
 }
--- a/crates/core/tests/forward/chance.rs
+++ b/crates/core/tests/forward/chance.rs
@@ -1,4 +1,5 @@
-//! Promises under random interleavings, and bounds under random loads.
+//! Property tests of the forward machine: guarantees to callers under random
+//! event sequences, and limits and shares under random loads.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,15 +16,22 @@
 
 use crate::harness::{answer, notice, route, shards, table, Harness, HOME};
 
+/// A random event. The numbers choose among the possible targets and outcomes.
 #[derive(Debug, Clone)]
 enum Event {
+    /// A caller sends a request to one of the routes.
     Call(u8),
+    /// The caller of a request disconnects.
     Leave(u8),
+    /// The given number of milliseconds passes.
     Pass(u16),
+    /// An outstanding attempt ends with one of the possible outcomes.
     End(u16, u8),
+    /// A server announces that it is ready or gone.
     Notice(u8, u8),
 }
 
+/// Returns a strategy for random events, of which most end attempts.
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
         4 => any::<u8>().prop_map(Event::Call),
@@ -34,13 +42,15 @@
     ]
 }
 
-/// What the servers saw of a request, by service.
+/// The servers that ran, or may have run, a request, by request and service.
 #[derive(Default)]
-struct Seen {
+struct RunRecord {
     may_have_run: HashMap<(CallTag, String), Vec<Arc<str>>>,
 }
 
-fn end_of(how: u8) -> (AttemptEnd, bool) {
+/// Returns the outcome of an attempt for a random number, and whether the server may
+/// have run the request.
+fn attempt_end(how: u8) -> (AttemptEnd, bool) {
     let not_run = ServerAnswer {
         not_run: true,
         ..answer(503, "s", b"")
@@ -54,7 +64,12 @@
     }
 }
 
-fn play(events: Vec<Event>) -> Result<(), TestCaseError> {
+/// Runs a sequence of events and checks that:
+///
+/// - each request is answered exactly once, unless its caller disconnected;
+/// - no more servers than the route allows may have run a part of a request;
+/// - no failure says that a request was not run if it may have run.
+fn check_guarantees(events: Vec<Event>) -> Result<(), TestCaseError> {
     let mut harness = Harness::new();
     let mut once = route("once", RouteTarget::Service("desk".into()));
     once.idempotent = false;
@@ -67,7 +82,7 @@
     let mut calls: Vec<(CallTag, &str)> = Vec::new();
     let mut left = Vec::new();
     let mut ended = Vec::new();
-    let mut seen = Seen::default();
+    let mut runs_seen = RunRecord::default();
     for event in events {
         match event {
             Event::Call(pick) => {
@@ -88,45 +103,52 @@
                     .filter(|send| !ended.contains(send))
                     .collect();
                 if let Some(send) = open.get(usize::from(pick) % open.len().max(1)) {
-                    let order = harness.sends[*send].clone();
-                    let (end, ran) = end_of(how);
+                    let attempt = harness.sends[*send].clone();
+                    let (end, ran) = attempt_end(how);
                     ended.push(*send);
                     if ran {
-                        let service = order.instance.split('-').next().unwrap_or_default();
-                        let key = (order.call, service.to_string());
-                        let runs = seen.may_have_run.entry(key).or_default();
-                        runs.push(order.instance.clone());
+                        let service = attempt.instance.split('-').next().unwrap_or_default();
+                        let key = (attempt.call, service.to_string());
+                        let runs = runs_seen.may_have_run.entry(key).or_default();
+                        runs.push(attempt.instance.clone());
                     }
                     harness.end(*send, end);
                 }
             }
             Event::Notice(pick, how) => {
                 let id = format!("desk-{}", pick % 3);
-                let news = match how % 3 {
+                let announcement = match how % 3 {
                     0 => ServerNotice::gone(&id, 0),
                     _ => notice(&id, "desk", HOME, 1000),
                 };
-                harness.step(ForwardInput::Notice(news));
+                harness.step(ForwardInput::Notice(announcement));
             }
         }
     }
     harness.pass(2000);
     for (tag, route) in calls {
         let answered = harness.answer_to(tag).is_some();
-        prop_assert_eq!(answered, !left.contains(&tag), "every request ends once");
-        let runs = seen
+        prop_assert_eq!(
+            answered,
+            !left.contains(&tag),
+            "a request is answered unless its caller left"
+        );
+        let runs = runs_seen
             .may_have_run
             .iter()
             .filter(|((call, _), _)| *call == tag);
         for (_, servers) in runs.clone() {
             let most = if route == "once" { 1 } else { 2 };
-            prop_assert!(servers.len() <= most, "{route} ran on {servers:?}");
+            prop_assert!(
+                servers.len() <= most,
+                "{route} ran or may have run on {servers:?}"
+            );
         }
         if let Some(ForwardAnswer::Failure { failure, .. }) = harness.answer_to(tag) {
             let ran = runs.count() > 0;
             prop_assert!(
                 !(failure.is_unrun() && ran),
-                "{route}: {failure:?} is not true"
+                "{route}: {failure:?}, although the request may have run"
             );
         }
     }
@@ -135,7 +157,7 @@
 }
 
 #[test]
-fn requests_that_slide_out_of_the_window_earn_nothing_more() {
+fn requests_outside_the_window_add_nothing_to_the_budget() {
     let bound = ExtraBound {
         ratio: 0.2,
         slack: 0.0,
@@ -146,10 +168,10 @@
     for _ in 0..100 {
         budget.request(&bound, begin);
     }
-    for (millis, room) in [(0, 20.0), (1900, 20.0), (2050, 0.0), (2500, 0.0)] {
+    for (millis, expected) in [(0, 20.0), (1900, 20.0), (2050, 0.0), (2500, 0.0)] {
         let now = begin + Duration::from_millis(millis);
-        let found = budget.room(&bound, 1, now);
-        assert!((found - room).abs() < 1e-9, "{found} after {millis} ms");
+        let room = budget.room(&bound, 1, now);
+        assert!((room - expected).abs() < 1e-9, "{room} after {millis} ms");
     }
 }
 
@@ -157,12 +179,12 @@
     #![proptest_config(ProptestConfig::with_cases(300))]
 
     #[test]
-    fn promises_hold_whatever_happens(events in prop::collection::vec(event(), 1..120)) {
-        play(events)?;
+    fn guarantees_hold_for_any_sequence_of_events(events in prop::collection::vec(event(), 1..120)) {
+        check_guarantees(events)?;
     }
 
     #[test]
-    fn extra_load_stays_under_the_bound_in_any_window(
+    fn extra_load_stays_within_the_bound_in_any_window(
         load in prop::collection::vec((0u64..400, 0usize..5, any::<bool>()), 1..400),
     ) {
         let bound = ExtraBound { ratio: 0.2, slack: 10.0, window: Duration::from_secs(2) };
@@ -180,12 +202,12 @@
             let begin = now - bound.window;
             let count = |times: &[Duration]| times.iter().filter(|at| **at > begin).count() as f64;
             let most = bound.ratio * count(&requests) + bound.slack;
-            prop_assert!(count(&extras) <= most + 1e-9, "{} over {most}", count(&extras));
+            prop_assert!(count(&extras) <= most + 1e-9, "{} extra attempts, {most} allowed", count(&extras));
         }
     }
 
     #[test]
-    fn a_split_keeps_its_shares(weights in prop::collection::vec(0.0f64..10.0, 1..6)) {
+    fn a_split_distributes_requests_by_weight(weights in prop::collection::vec(0.0f64..10.0, 1..6)) {
         prop_assume!(weights.iter().sum::<f64>() > 0.1);
         let parts: Vec<WeightedService> = weights
             .iter()
@@ -198,13 +220,13 @@
         }
         let sum: f64 = weights.iter().sum();
         for (count, weight) in counts.iter().zip(&weights) {
-            let off: f64 = count / 60.0 - weight / sum;
-            prop_assert!(off.abs() < 0.05, "{counts:?} for {weights:?}");
+            let deviation: f64 = count / 60.0 - weight / sum;
+            prop_assert!(deviation.abs() < 0.05, "{counts:?} for {weights:?}");
         }
     }
 
     #[test]
-    fn news_of_a_server_give_the_same_in_any_order(
+    fn announcements_of_a_server_give_the_same_state_in_any_order(
         order in prop::collection::vec(0usize..6, 1..40),
     ) {
         let standings = [
@@ -214,15 +236,15 @@
         let mut directory = ServerDirectory::default();
         let mut worst = ServerStanding::Ready;
         for (step, index) in order.into_iter().enumerate() {
-            let news = ServerNotice {
+            let announcement = ServerNotice {
                 standing: standings[index],
                 sequence: index as u64 + 1,
                 ..notice("a", "desk", HOME, 1)
             };
             worst = worst.max(standings[index]);
-            directory.apply(news, Duration::from_secs(step as u64));
-            let held = directory.get("a").expect("known").notice.standing;
-            prop_assert_eq!(held, worst);
+            directory.apply(announcement, Duration::from_secs(step as u64));
+            let stored = directory.get("a").expect("known").notice.standing;
+            prop_assert_eq!(stored, worst);
         }
     }
 }
--- a/crates/core/tests/forward/cold.rs
+++ b/crates/core/tests/forward/cold.rs
@@ -1,4 +1,5 @@
-//! What servers get while they are cold, from all entries together.
+//! Tests of the limit on requests that all entries together send to a server
+//! while it is cold.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -18,10 +19,12 @@
     excess: 1.5,
     slack: 5.0,
 };
-/// Requests that a cold server takes in a second.
+/// Requests per second that a cold server accepts.
 const PER_S: f64 = 10.0;
+/// Number of servers of the service.
 const SERVERS: usize = 6;
 
+/// Returns the description of an entry that is sent to the other entries.
 fn peer(number: usize) -> EntryPeer {
     EntryPeer {
         instance: format!("entry-{number}").into(),
@@ -31,17 +34,27 @@
     }
 }
 
-/// One of so many entries of a domain, over servers of which a third is cold
-/// for some seconds.
-fn entry(number: usize, entries: usize, knows_peers: bool) -> Harness {
-    entry_beside(number, entries, knows_peers, SERVERS / 3)
+/// Returns one of `entries` entries of a failure domain. A third of the servers is
+/// cold for four seconds.
+fn entry_with_some_cold(number: usize, entries: usize, knows_peers: bool) -> Harness {
+    entry_with_cold_servers(number, entries, knows_peers, SERVERS / 3)
 }
 
-fn all_cold(number: usize, entries: usize) -> Harness {
-    entry_beside(number, entries, true, SERVERS)
+/// Returns one of `entries` entries of a failure domain in which all servers are
+/// cold.
+fn entry_with_all_cold(number: usize, entries: usize) -> Harness {
+    entry_with_cold_servers(number, entries, true, SERVERS)
 }
 
-fn entry_beside(number: usize, entries: usize, knows_peers: bool, cold: usize) -> Harness {
+/// Returns one of `entries` entries of a failure domain in which the first `cold`
+/// servers are cold. If not `knows_peers`, the entry has received neither the
+/// number nor the list of entries.
+fn entry_with_cold_servers(
+    number: usize,
+    entries: usize,
+    knows_peers: bool,
+    cold: usize,
+) -> Harness {
     let mut harness = Harness::with_options(ForwardOptions {
         domain: HOME.into(),
         own: peer(number).id(),
@@ -59,7 +72,11 @@
         limits: checked.limits(),
         workspaces: None,
     };
-    harness.obey(RouteTable::check(draft).expect("it is good").into());
+    harness.obey(
+        RouteTable::check(draft)
+            .expect("the route table is valid")
+            .into(),
+    );
     if knows_peers {
         harness.step(ForwardInput::Entries(entries as u32));
         harness.step(ForwardInput::Peers((0..entries).map(peer).collect()));
@@ -75,9 +92,10 @@
     harness
 }
 
-/// Plays three seconds of requests at all entries. Returns the most that a cold
-/// server got in a second, and how many of all requests went to cold ones.
-fn play(entries: &mut [Harness], rate: usize) -> (usize, usize) {
+/// Simulates three seconds of requests at all entries. For the first two servers,
+/// which are cold in every case, returns the maximum number of requests that one of
+/// them received within a second, and the number that both received in total.
+fn simulate(entries: &mut [Harness], rate: usize) -> (usize, usize) {
     let mut arrivals: HashMap<String, Vec<Duration>> = HashMap::new();
     for step in 0..300 {
         for (number, entry) in entries.iter_mut().enumerate() {
@@ -107,99 +125,108 @@
         });
         counts.max().unwrap_or(0)
     };
-    let max_per_second = cold.iter().map(window).max().unwrap_or(0);
-    (max_per_second, cold.iter().map(|times| times.len()).sum())
+    let max_received = cold.iter().map(window).max().unwrap_or(0);
+    (max_received, cold.iter().map(|times| times.len()).sum())
 }
 
 #[test]
-fn no_cold_server_gets_more_than_the_bound_from_all_entries() {
+fn no_cold_server_receives_more_than_the_limit_from_all_entries() {
     let bound = BOUND.max_per_second(PER_S) as usize;
     for (count, rate) in [(1, 50), (5, 20), (30, 10), (60, 10)] {
-        let mut entries: Vec<Harness> = (0..count).map(|n| entry(n, count, true)).collect();
-        let (max_per_second, _) = play(&mut entries, rate);
+        let mut entries: Vec<Harness> = (0..count)
+            .map(|n| entry_with_some_cold(n, count, true))
+            .collect();
+        let (max_received, _) = simulate(&mut entries, rate);
+        assert!(
+            max_received <= bound,
+            "{count} entries: {max_received} requests in a second, {bound} allowed"
+        );
+        // If every server is cold, the requests must go to cold servers.
+        let mut entries: Vec<Harness> = (0..count).map(|n| entry_with_all_cold(n, count)).collect();
+        let (max_received, sent) = simulate(&mut entries, rate);
         assert!(
-            max_per_second <= bound,
-            "{count} entries: {max_per_second} of {bound}"
+            max_received <= bound,
+            "{count} entries: {max_received} requests in a second, {bound} allowed"
         );
-        // With every server cold, these are all there is.
-        let mut entries: Vec<Harness> = (0..count).map(|n| all_cold(n, count)).collect();
-        let (max_per_second, sent) = play(&mut entries, rate);
         assert!(
-            max_per_second <= bound,
-            "{count} entries: {max_per_second} of {bound}"
+            sent > 0,
+            "{count} entries: cold servers received no request"
         );
-        assert!(sent > 0, "{count} entries: cold servers are used");
     }
 }
 
 #[test]
-fn the_bound_holds_with_two_views_of_who_the_entries_are() {
+fn the_limit_holds_while_entries_have_two_views_of_the_set_of_entries() {
     let bound = BOUND.max_per_second(PER_S) as usize;
     for (old, new) in [(4, 6), (20, 30), (30, 29)] {
         let mut entries: Vec<Harness> = (0..old.max(new))
-            .map(|n| entry(n, if n % 2 == 0 { old } else { new }, true))
+            .map(|n| entry_with_some_cold(n, if n % 2 == 0 { old } else { new }, true))
             .collect();
-        let (max_per_second, _) = play(&mut entries, 10);
+        let (max_received, _) = simulate(&mut entries, 10);
         assert!(
-            max_per_second <= bound,
-            "{old} and {new}: {max_per_second} in a second, {bound} allowed"
+            max_received <= bound,
+            "{old} and {new} entries: {max_received} requests in a second, {bound} allowed"
         );
     }
 }
 
 #[test]
-fn an_entry_that_knows_of_no_others_keeps_to_a_small_part() {
-    let mut entries = vec![entry(0, 1, false)];
-    let (max_per_second, _) = play(&mut entries, 50);
-    assert!(max_per_second <= 1, "{max_per_second}");
+fn an_entry_without_a_list_of_entries_uses_a_small_share() {
+    let mut entries = vec![entry_with_some_cold(0, 1, false)];
+    let (max_received, _) = simulate(&mut entries, 50);
+    assert!(max_received <= 1, "{max_received} requests in a second");
 }
 
 struct ShareCase {
     entries: u32,
     is_owner: bool,
+    /// Expected allowance of [`EqualShare`].
     equal: usize,
-    holder: usize,
-    fitting: usize,
+    /// Expected allowance of [`OwnerShare`].
+    owner: usize,
+    /// Expected allowance of [`AdaptiveShare`].
+    adaptive: usize,
 }
 
-/// What the two ways leave of 20 requests a second, and the one that is taken.
+/// Checks the allowances of the three strategies, with a limit of 20 requests per
+/// second.
 #[test]
-fn equal_parts_fit_few_entries_and_one_holder_fits_many() {
+fn equal_shares_suit_few_entries_and_a_single_owner_suits_many() {
     let cases = [
         ShareCase {
             entries: 1,
             is_owner: true,
             equal: 10,
-            holder: 10,
-            fitting: 10,
+            owner: 10,
+            adaptive: 10,
         },
         ShareCase {
             entries: 5,
             is_owner: false,
             equal: 2,
-            holder: 0,
-            fitting: 2,
+            owner: 0,
+            adaptive: 2,
         },
         ShareCase {
             entries: 5,
             is_owner: true,
             equal: 2,
-            holder: 10,
-            fitting: 2,
+            owner: 10,
+            adaptive: 2,
         },
         ShareCase {
             entries: 30,
             is_owner: false,
             equal: 0,
-            holder: 0,
-            fitting: 0,
+            owner: 0,
+            adaptive: 0,
         },
         ShareCase {
             entries: 30,
             is_owner: true,
             equal: 0,
-            holder: 10,
-            fitting: 10,
+            owner: 10,
+            adaptive: 10,
         },
     ];
     for case in cases {
@@ -212,13 +239,13 @@
             OwnerShare.allowance(20.0, view),
             AdaptiveShare.allowance(20.0, view),
         ];
-        assert_eq!(shares, [case.equal, case.holder, case.fitting], "{view:?}");
+        assert_eq!(shares, [case.equal, case.owner, case.adaptive], "{view:?}");
     }
 }
 
 #[test]
-fn a_server_is_doubted_when_its_domain_comes_back_or_it_was_silent() {
-    let silence = |harness: &mut Harness| {
+fn a_server_is_assumed_cold_after_its_domain_or_its_lease_came_back() {
+    let lease_expiry = |harness: &mut Harness| {
         for silent in [true, false] {
             harness.step(ForwardInput::Silent("desk-5".into(), silent));
         }
@@ -228,29 +255,32 @@
             harness.step(ForwardInput::Evacuated(domains));
         }
     };
-    let events: [&dyn Fn(&mut Harness); 2] = [&silence, &evacuation];
+    let events: [&dyn Fn(&mut Harness); 2] = [&lease_expiry, &evacuation];
     for event in events {
-        let mut harness = entry(0, 60, true);
+        let mut harness = entry_with_some_cold(0, 60, true);
         event(&mut harness);
-        let mut asked = 0;
+        let mut sent_count = 0;
         for _ in 0..60 {
             let first = harness.sends.len();
             harness.call("q");
             for send in first..harness.sends.len() {
-                asked += usize::from(&*harness.sends[send].instance == "desk-5");
+                sent_count += usize::from(&*harness.sends[send].instance == "desk-5");
                 harness.end_well(send, b"");
             }
             harness.pass(1);
         }
-        assert!(asked <= BOUND.max_per_second(PER_S) as usize / 2, "{asked}");
+        assert!(
+            sent_count <= BOUND.max_per_second(PER_S) as usize / 2,
+            "{sent_count} requests sent to the server"
+        );
     }
 }
 
 #[test]
-fn what_cold_servers_have_no_room_for_is_refused_at_once() {
+fn requests_beyond_the_limit_of_cold_servers_are_refused_at_once() {
     let mut refused = 0;
     for number in 0..30 {
-        let mut harness = all_cold(number, 30);
+        let mut harness = entry_with_all_cold(number, 30);
         let call = harness.call("q");
         match harness.failure_of(call) {
             Some(failure) => {
@@ -260,5 +290,8 @@
             None => assert_eq!(harness.sends.len(), 1),
         }
     }
-    assert!(refused >= 30 - SERVERS, "only holders send: {refused}");
+    assert!(
+        refused >= 30 - SERVERS,
+        "only an owner sends a request: {refused} refused"
+    );
 }
--- a/crates/core/tests/forward/hedges.rs
+++ b/crates/core/tests/forward/hedges.rs
@@ -1,4 +1,4 @@
-//! When a slow part is asked for once more.
+//! Tests of when and where a hedge is sent for a slow part.
 
 use wheelmast_core::version::route_table::RouteTarget;
 
@@ -7,30 +7,31 @@
 struct HedgeCase {
     name: &'static str,
     shards: usize,
-    /// Where the second server of each shard stands.
+    /// Failure domain of the second server of each shard.
     second: &'static str,
-    /// Bounds of the time of the first hedge, in ms after the request.
+    /// Earliest time of the first hedge, in ms after the request.
     earliest: u64,
+    /// Latest time of the first hedge, in ms after the request.
     latest: u64,
 }
 
 const CASES: &[HedgeCase] = &[
     HedgeCase {
-        name: "near: as soon as it is slow",
+        name: "second server near (same domain): hedge as soon as the part is slow",
         shards: 80,
         second: HOME,
         earliest: 8,
         latest: 40,
     },
     HedgeCase {
-        name: "far, of few shards: as soon as it is slow",
+        name: "second server in another region, few shards: hedge as soon as the part is slow",
         shards: 20,
         second: "there",
         earliest: 8,
         latest: 40,
     },
     HedgeCase {
-        name: "far, of many shards: late, and in time",
+        name: "second server in another region, many shards: hedge late, but in time",
         shards: 80,
         second: "there",
         earliest: 48,
@@ -39,7 +40,7 @@
 ];
 
 #[test]
-fn far_hedges_of_many_shards_are_late_and_in_time() {
+fn hedges_to_other_regions_are_delayed_but_in_time_on_routes_of_many_shards() {
     for case in CASES {
         let mut harness = Harness::new();
         harness.obey(table(3, vec![route("q", shards(case.shards))]));
@@ -63,7 +64,7 @@
         let from = harness.sends.len();
         harness.call("q");
         let first = harness.sends.len();
-        // All but one answer.
+        // All shards but the first one answer.
         harness.pass(5);
         for send in from + 1..first {
             harness.end_well(send, b"");
@@ -74,12 +75,16 @@
             time += 1;
         }
         let range = case.earliest..=case.latest;
-        assert!(range.contains(&time), "{}: {time} ms", case.name);
+        assert!(
+            range.contains(&time),
+            "{}: hedged after {time} ms",
+            case.name
+        );
     }
 }
 
 #[test]
-fn a_single_request_is_repeated_where_it_is_faster_near_or_far() {
+fn a_request_to_a_single_service_is_hedged_where_the_answer_is_expected_first() {
     let mut harness = Harness::new();
     let target = RouteTarget::Service("desk".to_string());
     let mut rule = route("d", target);
@@ -97,7 +102,8 @@
         .sends
         .iter()
         .all(|order| &*order.instance != "desk-there"));
-    // Both near servers fall silent, one after the other.
+    // Both servers in the entry's failure domain stop answering, one after the
+    // other.
     let first = harness.sends.len();
     harness.call("d");
     harness.pass(250);
--- a/crates/core/tests/forward/pauses.rs
+++ b/crates/core/tests/forward/pauses.rs
@@ -1,4 +1,4 @@
-//! Pauses of servers: foretold where they come at an interval.
+//! Tests of the prediction of stalls that occur at a fixed interval.
 
 use std::time::Duration;
 
@@ -6,22 +6,27 @@
 use rand::{Rng, SeedableRng};
 use wheelmast_core::process::forward::pause::{IntervalHistogram, StallPredictor};
 
+/// Minimum service time of a request.
 const WORK: Duration = Duration::from_millis(8);
 
-/// A server that pauses, and what is asked of it.
-struct PausingServer {
-    /// Seconds between two pauses; none if they come at any time.
+/// A simulated server that stalls, with the predictor that observes it.
+struct StallingServer {
+    /// Seconds between two stalls; `None` if they occur at random.
     interval: Option<f64>,
+    /// Duration of a stall.
     length: Duration,
+    /// Offset of the stalls from multiples of the interval, in seconds.
     phase: f64,
-    book: StallPredictor,
-    /// Requests that wait for the end of a pause: when they came, and that end.
+    predictor: StallPredictor,
+    /// Requests that wait for the end of a stall: arrival time and time at which
+    /// the server starts them.
     waiting: Vec<(Duration, Duration)>,
 }
 
-impl PausingServer {
-    /// Returns until when a pause lasts that is at `at`.
-    fn pause_at(&self, at: Duration, rng: &mut SmallRng) -> Option<Duration> {
+impl StallingServer {
+    /// Returns the end of the stall that the server is in at `at`, or `None` if it
+    /// is not stalled.
+    fn stall_end_at(&self, at: Duration, rng: &mut SmallRng) -> Option<Duration> {
         let Some(interval) = self.interval else {
             let is_slow = rng.random::<f64>() < 0.04;
             return is_slow.then(|| at + self.length.mul_f64(rng.random()));
@@ -31,139 +36,158 @@
         (left > 0.0).then(|| at + Duration::from_secs_f64(left))
     }
 
-    fn ask(&mut self, at: Duration, vote: &mut IntervalHistogram, rng: &mut SmallRng) {
+    /// Simulates a request that arrives at `at`, and passes what an entry would
+    /// observe to the predictor. A delay is observed once the stall is over.
+    fn send_request(
+        &mut self,
+        at: Duration,
+        histogram: &mut IntervalHistogram,
+        rng: &mut SmallRng,
+    ) {
         let spread = WORK.mul_f64(0.3 * rng.random::<f64>());
-        let (over, waiting) = self.waiting.iter().partition(|(_, end)| *end < at);
+        let (finished, waiting) = self.waiting.iter().partition(|(_, end)| *end < at);
         self.waiting = waiting;
-        let over: Vec<(Duration, Duration)> = over;
-        for (came, end) in over {
-            self.book.record_stall(came, end, vote);
+        let finished: Vec<(Duration, Duration)> = finished;
+        for (arrived, end) in finished {
+            self.predictor.record_stall(arrived, end, histogram);
         }
-        match self.pause_at(at, rng) {
+        match self.stall_end_at(at, rng) {
             Some(end) if end > at + Duration::from_millis(31) => {
                 self.waiting.push((at, end + spread));
             }
             Some(_) => {}
-            None => self.book.record_prompt_start(at + spread, vote.interval()),
+            None => self
+                .predictor
+                .record_prompt_start(at + spread, histogram.interval()),
         }
     }
 }
 
-struct PauseCase {
+struct StallCase {
     name: &'static str,
+    /// Seconds between two stalls; `None` if they occur at random.
     interval: Option<f64>,
     length_ms: u64,
-    /// Fractions of the pauses that were foretold, and of the time without a
-    /// pause in which one was.
-    foretold: std::ops::RangeInclusive<f64>,
+    /// Expected fraction of the requests during stalls for which a stall was
+    /// predicted.
+    predicted: std::ops::RangeInclusive<f64>,
+    /// Expected fraction of the other requests for which a stall was predicted.
     mistaken: std::ops::RangeInclusive<f64>,
 }
 
-const CASES: &[PauseCase] = &[
-    PauseCase {
-        name: "short and often",
+const CASES: &[StallCase] = &[
+    StallCase {
+        name: "short and frequent",
         interval: Some(3.0),
         length_ms: 120,
-        foretold: 0.7..=1.0,
+        predicted: 0.7..=1.0,
         mistaken: 0.0..=0.02,
     },
-    PauseCase {
-        name: "long and seldom",
+    StallCase {
+        name: "long and rare",
         interval: Some(6.0),
         length_ms: 250,
-        foretold: 0.5..=1.0,
+        predicted: 0.5..=1.0,
         mistaken: 0.0..=0.02,
     },
-    PauseCase {
-        name: "at any time",
+    StallCase {
+        name: "at random times",
         interval: None,
         length_ms: 120,
-        foretold: 0.0..=1.0,
+        predicted: 0.0..=1.0,
         mistaken: 0.0..=0.005,
     },
 ];
 
-/// Plays 30 s of 15 requests a second to each of 24 servers; the second half
-/// counts.
-fn play(case: &PauseCase, seed: u64) -> (f64, f64) {
+/// Simulates 30 s of 15 requests per second to each of 24 servers. Returns, for the
+/// second half, the fraction of the requests during stalls and of the other
+/// requests for which a stall was predicted.
+fn simulate(case: &StallCase, seed: u64) -> (f64, f64) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut vote = IntervalHistogram::default();
-    let mut servers: Vec<PausingServer> = (0..24)
-        .map(|_| PausingServer {
+    let mut histogram = IntervalHistogram::default();
+    let mut servers: Vec<StallingServer> = (0..24)
+        .map(|_| StallingServer {
             interval: case.interval,
             length: Duration::from_millis(case.length_ms),
             phase: rng.random::<f64>() * case.interval.unwrap_or(1.0),
-            book: StallPredictor::default(),
+            predictor: StallPredictor::default(),
             waiting: Vec::new(),
         })
         .collect();
-    let (mut pauses, mut foretold, mut times, mut mistaken) = (0.0, 0.0, 0.0, 0.0);
+    let (mut stalled, mut predicted, mut prompt, mut mistaken) = (0.0, 0.0, 0.0, 0.0);
     for step in 0..30 * 15 {
         for server in &mut servers {
             let jitter = Duration::from_micros(rng.random_range(0..60_000));
             let at = Duration::from_secs(1) + Duration::from_millis(step * 66) + jitter;
             if step > 15 * 15 {
-                let expected_wait = server
-                    .book
-                    .expected_wait(at, Duration::ZERO, vote.interval());
-                match server.pause_at(at, &mut rng) {
+                let expected_wait =
+                    server
+                        .predictor
+                        .expected_wait(at, Duration::ZERO, histogram.interval());
+                match server.stall_end_at(at, &mut rng) {
                     Some(_) => {
-                        pauses += 1.0;
-                        foretold += f64::from(u8::from(!expected_wait.is_zero()));
+                        stalled += 1.0;
+                        predicted += f64::from(u8::from(!expected_wait.is_zero()));
                     }
                     None => {
-                        times += 1.0;
+                        prompt += 1.0;
                         mistaken += f64::from(u8::from(expected_wait > Duration::from_millis(20)));
                     }
                 }
             }
-            server.ask(at, &mut vote, &mut rng);
+            server.send_request(at, &mut histogram, &mut rng);
         }
     }
     (
-        foretold / f64::max(pauses, 1.0),
-        mistaken / f64::max(times, 1.0),
+        predicted / f64::max(stalled, 1.0),
+        mistaken / f64::max(prompt, 1.0),
     )
 }
 
 #[test]
-fn pauses_at_an_interval_are_foretold_and_others_are_not() {
+fn stalls_at_a_fixed_interval_are_predicted_and_others_are_not() {
     for case in CASES {
         for seed in 0..12 {
-            let (foretold, mistaken) = play(case, seed);
+            let (predicted, mistaken) = simulate(case, seed);
             let name = case.name;
             assert!(
-                case.foretold.contains(&foretold),
-                "{name}, seed {seed}: {foretold}"
+                case.predicted.contains(&predicted),
+                "{name}, seed {seed}: {predicted} predicted"
             );
             assert!(
                 case.mistaken.contains(&mistaken),
-                "{name}, seed {seed}: {mistaken}"
+                "{name}, seed {seed}: {mistaken} mistaken"
             );
         }
     }
 }
 
 #[test]
-fn a_server_that_pauses_no_more_is_asked_again() {
-    let mut vote = IntervalHistogram::default();
+fn stalls_are_no_longer_predicted_for_a_server_that_stopped_stalling() {
+    let mut histogram = IntervalHistogram::default();
     let second = Duration::from_secs(1);
-    let mut books = vec![StallPredictor::default(); 12];
+    let mut predictors = vec![StallPredictor::default(); 12];
     for round in 0..4u32 {
-        for (number, book) in books.iter_mut().enumerate() {
+        for (number, predictor) in predictors.iter_mut().enumerate() {
             let end = second * 3 * (round + 1) + Duration::from_millis(number as u64 * 90);
-            book.record_stall(end - Duration::from_millis(100), end, &mut vote);
+            predictor.record_stall(end - Duration::from_millis(100), end, &mut histogram);
         }
     }
-    let interval = vote.interval();
+    let interval = histogram.interval();
     assert!(interval.is_some_and(|found| found.abs_diff(second * 3) < Duration::from_millis(15)));
     let inside = |round: u32| second * 3 * round - Duration::from_millis(60);
-    assert!(!books[0].expected_wait(inside(6), WORK, interval).is_zero());
-    books[0].record_prompt_start(inside(6), interval);
+    assert!(!predictors[0]
+        .expected_wait(inside(6), WORK, interval)
+        .is_zero());
+    predictors[0].record_prompt_start(inside(6), interval);
     assert!(
-        !books[0].expected_wait(inside(7), WORK, interval).is_zero(),
-        "one may be by chance"
+        !predictors[0]
+            .expected_wait(inside(7), WORK, interval)
+            .is_zero(),
+        "a single miss may be chance"
     );
-    books[0].record_prompt_start(inside(7), interval);
-    assert!(books[0].expected_wait(inside(8), WORK, interval).is_zero());
+    predictors[0].record_prompt_start(inside(7), interval);
+    assert!(predictors[0]
+        .expected_wait(inside(8), WORK, interval)
+        .is_zero());
 }
--- a/crates/core/tests/forward/slowness.rs
+++ b/crates/core/tests/forward/slowness.rs
@@ -1,4 +1,5 @@
-//! How slow a server is taken to be.
+//! Tests of the estimated slowness of a server: its service time relative to that
+//! of its peers.
 
 use std::time::Duration;
 
@@ -6,152 +7,160 @@
 use wheelmast_core::process::forward::pace::{ServerSlowness, SlownessEstimate, SlownessStrategy};
 use wheelmast_core::process::forward::server::ServerState;
 
+/// Usual service time of the servers.
 const TYPICAL: Duration = Duration::from_millis(40);
 
-/// Answers after so many times the typical time, a tenth of a second apart.
-fn after(answers: &[f64]) -> (ServerState, Duration) {
+/// Returns a server after responses that took the given multiples of the usual
+/// service time, a tenth of a second apart, and the time of the last response.
+fn server_after(ratios: &[f64]) -> (ServerState, Duration) {
     let address = ([127, 0, 0, 1], 1).into();
     let upstream = KeyArena::<UpstreamKey, ()>::default().push(());
     let mut server = ServerState::new("server".into(), upstream, address);
     let mut now = Duration::from_secs(10);
-    for times in answers {
+    for ratio in ratios {
         now += Duration::from_millis(100);
-        server.answered(TYPICAL.mul_f64(*times), TYPICAL, now);
+        server.answered(TYPICAL.mul_f64(*ratio), TYPICAL, now);
     }
     (server, now)
 }
 
 struct SlownessCase {
     name: &'static str,
-    answers: &'static [f64],
-    /// Seconds without an answer after these.
-    idle: u64,
-    least: f64,
-    most: f64,
+    /// Response times as multiples of the usual service time.
+    ratios: &'static [f64],
+    /// Seconds without a response afterwards.
+    idle_s: u64,
+    /// Minimum expected slowness.
+    min: f64,
+    /// Maximum expected slowness.
+    max: f64,
 }
 
 const CASES: &[SlownessCase] = &[
     SlownessCase {
-        name: "one answer of many times the usual says little",
-        answers: &[1.0, 1.0, 1.0, 15.0],
-        idle: 0,
-        least: 1.5,
-        most: 3.0,
+        name: "a single very slow answer has little effect",
+        ratios: &[1.0, 1.0, 1.0, 15.0],
+        idle_s: 0,
+        min: 1.5,
+        max: 3.0,
     },
     SlownessCase {
-        name: "three in a row say that it is slow",
-        answers: &[1.0, 10.0, 10.0, 10.0],
-        idle: 0,
-        least: 4.0,
-        most: 10.0,
+        name: "three slow answers in a row make the server slow",
+        ratios: &[1.0, 10.0, 10.0, 10.0],
+        idle_s: 0,
+        min: 4.0,
+        max: 10.0,
     },
     SlownessCase {
-        name: "a few good ones say that it is well again",
-        answers: &[10.0, 10.0, 10.0, 10.0, 1.0, 1.0, 1.0, 1.0],
-        idle: 0,
-        least: 0.9,
-        most: 2.0,
+        name: "a few answers in the usual time make the server usual again",
+        ratios: &[10.0, 10.0, 10.0, 10.0, 1.0, 1.0, 1.0, 1.0],
+        idle_s: 0,
+        min: 0.9,
+        max: 2.0,
     },
     SlownessCase {
-        name: "what is not asked is forgotten",
-        answers: &[10.0, 10.0, 10.0, 10.0, 10.0],
-        idle: 12,
-        least: 1.0,
-        most: 1.3,
+        name: "slowness decays without responses",
+        ratios: &[10.0, 10.0, 10.0, 10.0, 10.0],
+        idle_s: 12,
+        min: 1.0,
+        max: 1.3,
     },
 ];
 
 #[test]
-fn slowness_follows_a_server_and_is_forgotten() {
+fn slowness_follows_the_response_times_and_decays() {
     for case in CASES {
-        let (server, now) = after(case.answers);
-        let slowness = server.slowness(now + Duration::from_secs(case.idle));
-        let range = case.least..=case.most;
+        let (server, now) = server_after(case.ratios);
+        let slowness = server.slowness(now + Duration::from_secs(case.idle_s));
+        let range = case.min..=case.max;
         assert!(range.contains(&slowness), "{}: {slowness}", case.name);
     }
 }
 
-/// What a server says with an answer, and how many times the usual that took.
-type ToldAnswer = (Option<u32>, f64);
+/// The slowness that a server reports with a response, in hundredths, and the
+/// response time as a multiple of the usual service time.
+type ReportedResponse = (Option<u32>, f64);
 
-struct PaceCase {
+struct ReportCase {
     name: &'static str,
-    answers: &'static [ToldAnswer],
-    /// Milliseconds without an answer after these.
-    idle: u64,
-    told: std::ops::RangeInclusive<f64>,
-    learned: std::ops::RangeInclusive<f64>,
+    responses: &'static [ReportedResponse],
+    /// Milliseconds without a response afterwards.
+    idle_ms: u64,
+    /// Expected slowness from reports and response times.
+    reported: std::ops::RangeInclusive<f64>,
+    /// Expected slowness from response times alone.
+    observed: std::ops::RangeInclusive<f64>,
 }
 
-const PACE_CASES: &[PaceCase] = &[
-    PaceCase {
-        name: "the first slow answer says it at once",
-        answers: &[(Some(100), 1.0), (Some(100), 1.0), (Some(650), 6.5)],
-        idle: 0,
-        told: 6.0..=7.0,
-        learned: 1.5..=2.0,
+const REPORT_CASES: &[ReportCase] = &[
+    ReportCase {
+        name: "the first slow answer with a report takes effect at once",
+        responses: &[(Some(100), 1.0), (Some(100), 1.0), (Some(650), 6.5)],
+        idle_ms: 0,
+        reported: 6.0..=7.0,
+        observed: 1.5..=2.0,
     },
-    PaceCase {
-        name: "the first usual one says that it is well again",
-        answers: &[
+    ReportCase {
+        name: "the first usual answer with a report takes effect at once",
+        responses: &[
             (Some(650), 6.5),
             (Some(650), 6.5),
             (Some(650), 6.5),
             (Some(100), 1.0),
         ],
-        idle: 0,
-        told: 0.9..=1.1,
-        learned: 2.0..=3.0,
+        idle_ms: 0,
+        reported: 0.9..=1.1,
+        observed: 2.0..=3.0,
     },
-    PaceCase {
-        name: "one that is slower at all times",
-        answers: &[
+    ReportCase {
+        name: "a server that is slower than it reports at all times",
+        responses: &[
             (Some(100), 1.5),
             (Some(100), 1.5),
             (Some(100), 1.5),
             (Some(400), 6.0),
         ],
-        idle: 0,
-        told: 4.8..=6.0,
-        learned: 1.5..=2.5,
+        idle_ms: 0,
+        reported: 4.8..=6.0,
+        observed: 1.5..=2.5,
     },
-    PaceCase {
-        name: "what is not asked is forgotten",
-        answers: &[(Some(650), 6.5)],
-        idle: 4000,
-        told: 1.0..=1.2,
-        learned: 1.0..=1.4,
+    ReportCase {
+        name: "slowness decays without responses",
+        responses: &[(Some(650), 6.5)],
+        idle_ms: 4000,
+        reported: 1.0..=1.2,
+        observed: 1.0..=1.4,
     },
-    PaceCase {
-        name: "where servers say nothing both are the same",
-        answers: &[(None, 6.5), (None, 6.5), (None, 6.5)],
-        idle: 0,
-        told: 3.0..=4.0,
-        learned: 3.0..=4.0,
+    ReportCase {
+        name: "without reports from servers both strategies are equal",
+        responses: &[(None, 6.5), (None, 6.5), (None, 6.5)],
+        idle_ms: 0,
+        reported: 3.0..=4.0,
+        observed: 3.0..=4.0,
     },
 ];
 
 #[test]
-fn a_server_s_own_word_is_believed_at_once_and_for_a_moment() {
-    for case in PACE_CASES {
-        let ways = [
-            (SlownessStrategy::Reported, &case.told),
-            (SlownessStrategy::Observed, &case.learned),
+fn a_reported_slowness_takes_effect_at_once_and_decays_quickly() {
+    for case in REPORT_CASES {
+        let strategies = [
+            (SlownessStrategy::Reported, &case.reported),
+            (SlownessStrategy::Observed, &case.observed),
         ];
-        for (way, range) in ways {
-            let mut pace = ServerSlowness::new(way);
+        for (strategy, range) in strategies {
+            let mut estimate = ServerSlowness::new(strategy);
             let mut now = Duration::from_secs(10);
-            for (told, ratio) in case.answers {
+            for (report, ratio) in case.responses {
                 now += Duration::from_millis(60);
-                if let Some(told) = told {
-                    pace.record_report(*told, now);
+                if let Some(report) = report {
+                    estimate.record_report(*report, now);
                 }
-                pace.answered(*ratio, now);
+                estimate.answered(*ratio, now);
             }
-            let slowness = pace.slowness(now + Duration::from_millis(case.idle));
+            let slowness = estimate.slowness(now + Duration::from_millis(case.idle_ms));
             assert!(
                 range.contains(&slowness),
-                "{}, {way:?}: {slowness}",
+                "{}, {strategy:?}: {slowness}",
                 case.name
             );
         }
