--- a/crates/core/src/process/forward/announcements.rs
+++ b/crates/core/src/process/forward/announcements.rs
@@ -11,7 +11,7 @@
 use crate::process::forward::answer::ForwardAction;
 use crate::process::forward::directory::{AnnouncementEffect, ServerAnnouncement, ServerLifecycle};
 use crate::process::forward::machine::ForwardMachine;
-use crate::process::forward::pace::ServerPace;
+use crate::process::forward::pace::ServerSlowness;
 use crate::process::forward::place::DomainProximity;
 use crate::process::forward::server::ServerState;
 
@@ -91,7 +91,7 @@
         state.domain = announcement.domain;
         state.version = announcement.version;
         state.slots = announcement.slots;
-        state.pace = ServerPace::new(self.options.pace);
+        state.pace = ServerSlowness::new(self.options.pace);
         state.born = announcement.born;
         state.warm_at = now + Duration::from_millis(announcement.cold_ms);
         let server = self.servers.push(state);
--- a/crates/core/src/process/forward/begin.rs
+++ b/crates/core/src/process/forward/begin.rs
@@ -6,7 +6,7 @@
 
 use crate::arena::{SlotKey, UpstreamKey};
 use crate::process::forward::access;
-use crate::process::forward::admit::AdmitVerdict;
+use crate::process::forward::admit::AdmissionDecision;
 use crate::process::forward::answer::{
     AttemptCause, ForwardAction, ForwardDecision, ForwardFailure,
 };
@@ -46,7 +46,8 @@
             Err(failure) => return self.reject_request(call.tag, failure, out),
         };
         let state = self.build_call(&call, table, route, workspace, now);
-        let is_too_late = now >= state.plan.limit || (state.is_relayed && now >= state.plan.aim);
+        let is_too_late = now >= state.plan.hard_deadline
+            || (state.is_relayed && now >= state.plan.soft_deadline);
         if is_too_late {
             // The request waited unread until it timed out; it is not sent to any
             // server.
@@ -55,7 +56,7 @@
         if let Some(failure) = self.bar(&state, now) {
             return self.reject_request(call.tag, failure, out);
         }
-        let AdmitVerdict::Take(omitted) = self.weigh(&state, now) else {
+        let AdmissionDecision::Accept(omitted) = self.decide_admission(&state, now) else {
             self.credit_refused_parts(&state, now);
             return self.reject_request(call.tag, ForwardFailure::Overload, out);
         };
@@ -65,13 +66,13 @@
         self.record_decision(call.tag, out, || ForwardDecision::Admit {
             route: route_name,
             version,
-            time_left: plan.given_up.saturating_sub(now),
+            time_left: plan.caller_deadline.saturating_sub(now),
             mark: call.mark,
             relayed: call.relayed.is_some(),
         });
         let key = self.calls.insert(state);
         self.calls_by_tag.insert(call.tag, key);
-        self.leave_out(key, &omitted, out);
+        self.omit_parts(key, &omitted, out);
         if needs_canary {
             self.credit_direct_parts(key, now);
             self.examine(key, now, out);
@@ -82,11 +83,13 @@
                 self.send_first_attempt(key, part, now, out);
             }
         }
-        self.timers.set(plan.limit, ForwardTimer::HardDeadline(key));
-        if plan.aim > now {
-            self.timers.set(plan.aim, ForwardTimer::SoftDeadline(key));
+        self.timers
+            .set(plan.hard_deadline, ForwardTimer::HardDeadline(key));
+        if plan.soft_deadline > now {
+            self.timers
+                .set(plan.soft_deadline, ForwardTimer::SoftDeadline(key));
         }
-        self.plan_sweep(key, now);
+        self.schedule_sweep(key, now);
         self.check_end(key, now, out);
     }
 
@@ -111,7 +114,7 @@
         let mut plan = self.timings[timing].plan(rule, call.time_left, call.arrived_at);
         let upstreams = match &call.relayed {
             Some(order) => {
-                plan.aim = order.answer_by;
+                plan.soft_deadline = order.answer_by;
                 let shards = order.shards.iter();
                 shards.map(|name| self.upstream(name)).collect()
             }
--- a/crates/core/src/process/forward/bundle.rs
+++ b/crates/core/src/process/forward/bundle.rs
@@ -61,7 +61,10 @@
         let Some(state) = self.calls.get(call) else {
             return;
         };
-        if !state.is_scatter_gather || self.peer_domains.is_empty() || state.plan.aim <= now {
+        if !state.is_scatter_gather
+            || self.peer_domains.is_empty()
+            || state.plan.soft_deadline <= now
+        {
             return;
         }
         let (is_relayed, may_divide, regions) =
@@ -191,7 +194,7 @@
         excluded: &[ServerKey],
         now: Duration,
     ) -> Option<ServerChoice> {
-        let typical = self.timings[self.relay_timing].relay();
+        let typical = self.timings[self.relay_timing].median_relay_time();
         let rank = |id: &str| rank(key, id);
         let servers = &self.upstreams[entries].servers;
         let available = servers.iter().filter(|server| {
--- a/crates/core/src/process/forward/call.rs
+++ b/crates/core/src/process/forward/call.rs
@@ -16,7 +16,7 @@
 use crate::process::forward::expectation::ExpectationBasis;
 use crate::process::forward::input::ServerAnswer;
 use crate::process::forward::region_set::RegionSet;
-use crate::process::forward::timing::AnswerPlan;
+use crate::process::forward::timing::AnswerDeadlines;
 use crate::process::input::CallTag;
 use crate::request::mark::RequestMark;
 use crate::version::route_table::{RouteRule, RouteTable, RouteTarget};
@@ -144,7 +144,7 @@
     /// Arrival time, since the process started.
     pub arrived_at: Duration,
     /// Deadlines of the answer.
-    pub plan: AnswerPlan,
+    pub plan: AnswerDeadlines,
     /// Parts of the request.
     pub parts: Vec<PartState>,
     /// Number of parts with an accepted answer.
--- a/crates/core/src/process/forward/choose.rs
+++ b/crates/core/src/process/forward/choose.rs
@@ -8,7 +8,7 @@
 
 use crate::arena::{ServerKey, UpstreamKey};
 use crate::process::forward::bundle::MAX_RELAY_CONNECTIONS;
-use crate::process::forward::cold::{ColdShare, ColdView, FittingShare};
+use crate::process::forward::cold::{AdaptiveShare, ServerSharing, ShareStrategy};
 use crate::process::forward::directory::ServerLifecycle;
 use crate::process::forward::machine::ForwardMachine;
 use crate::process::forward::place::DomainProximity;
@@ -199,13 +199,13 @@
         if per_s <= 0.0 || !state.is_cold(now) {
             return true;
         }
-        let most = self.options.cold.most(per_s);
-        let view = ColdView {
+        let max_per_second = self.options.cold.max_per_second(per_s);
+        let view = ServerSharing {
             entries: self.entries,
-            is_holder: self.owns_server(state),
+            is_owner: self.owns_server(state),
         };
-        let allowance = FittingShare.allowance(most, view);
-        state.cold.has_room(allowance, now)
+        let allowance = AdaptiveShare.allowance(max_per_second, view);
+        state.cold.has_capacity(allowance, now)
     }
 
     /// Returns whether rendezvous hashing assigns a server to this entry among the entries
--- /dev/null
+++ b/crates/core/src/process/forward/decay.rs
@@ -0,0 +1,37 @@
+//! An exponentially weighted moving average that also decays with time.
+//!
+//! Some rates control how many events are seen: a shard with a high shortage
+//! rate gets fewer requests, so fewer samples could lower the rate. Because the
+//! rate decays without samples, such a decision cannot sustain itself forever.
+
+use std::time::Duration;
+
+/// Weight of a new sample: about the last seven samples determine the rate.
+const SAMPLE_WEIGHT: f64 = 0.15;
+/// Time in which the rate halves without samples. At 0.7 s, the few events per
+/// second that an entry sees of one shard decayed before they added up.
+const HALF_LIFE: Duration = Duration::from_millis(2500);
+
+/// The fraction of recent events of one kind, from 0 to 1, decaying towards 0
+/// when there are no events.
+#[derive(Debug, Clone, Copy, Default)]
+pub struct DecayingRate {
+    rate: f64,
+    updated_at: Duration,
+}
+
+impl DecayingRate {
+    /// Records an event: `sample` is 1 if the event is of the counted kind, else
+    /// 0.
+    pub fn add(&mut self, sample: f64, now: Duration) {
+        let rate = self.value_at(now);
+        self.rate = rate + SAMPLE_WEIGHT * (sample - rate);
+        self.updated_at = now;
+    }
+
+    /// Returns the rate, decayed up to `now`.
+    pub fn value_at(&self, now: Duration) -> f64 {
+        let age = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.rate * 0.5f64.powf(age / HALF_LIFE.as_secs_f64())
+    }
+}
--- a/crates/core/src/process/forward/end.rs
+++ b/crates/core/src/process/forward/end.rs
@@ -53,7 +53,7 @@
             }
             return;
         }
-        let is_past_soft_deadline = now >= state.plan.aim;
+        let is_past_soft_deadline = now >= state.plan.soft_deadline;
         if state.open() == 0 {
             if state.has_required_coverage() {
                 return self.end_gathered(call, now, out);
@@ -87,7 +87,7 @@
     /// Returns whether a request has passed its hard deadline.
     pub(super) fn is_past_hard_deadline(&self, call: SlotKey, now: Duration) -> bool {
         let state = self.calls.get(call);
-        state.is_some_and(|state| now >= state.plan.limit)
+        state.is_some_and(|state| now >= state.plan.hard_deadline)
     }
 
     /// Handles the hard deadline of a request: answers with the parts that came, if
@@ -293,7 +293,7 @@
     ) -> Option<CallState> {
         let state = self.calls.remove(call)?;
         self.calls_by_tag.remove(&state.tag);
-        self.count_bundled(&state, now);
+        self.record_bundle_misses(&state, now);
         for attempt in state.parts.iter().flat_map(|part| &part.attempts) {
             let Some(orphan) = self.attempts.get_mut(*attempt) else {
                 continue;
--- a/crates/core/src/process/forward/machine.rs
+++ b/crates/core/src/process/forward/machine.rs
@@ -18,13 +18,13 @@
 use crate::process::forward::canary::CanaryWay;
 use crate::process::forward::cold::ColdBound;
 use crate::process::forward::counts::{ForwardCounters, UpstreamCounts};
+use crate::process::forward::decay::DecayingRate;
 use crate::process::forward::directory::{ServerDirectory, ServerLifecycle};
-use crate::process::forward::expectation::ExpectationBook;
+use crate::process::forward::expectation::ExpectationStats;
 use crate::process::forward::extra::{ExtraBound, ExtraBudget};
-use crate::process::forward::fading::FadingShare;
 use crate::process::forward::input::ForwardInput;
-use crate::process::forward::pace::PaceWay;
-use crate::process::forward::pause::{IntervalVote, PauseWay};
+use crate::process::forward::pace::SlownessStrategy;
+use crate::process::forward::pause::{IntervalHistogram, StallStrategy};
 use crate::process::forward::place::RegionMap;
 use crate::process::forward::server::ServerState;
 use crate::process::forward::split::SplitScheduler;
@@ -79,10 +79,10 @@
     /// Whether to emit [`ForwardAction::RecordDecision`] for each decision.
     pub records_decisions: bool,
     /// Strategy for estimating the relative speed of servers.
-    pub pace: PaceWay,
+    pub pace: SlownessStrategy,
     /// Strategy for servers that stall: short periods without any answer, for
     /// example in garbage collection.
-    pub pauses: PauseWay,
+    pub pauses: StallStrategy,
     /// Which requests are first sent to a single server as a canary.
     pub canary: CanaryWay,
 }
@@ -99,8 +99,8 @@
             max_in_flight: 512,
             seed: 1,
             records_decisions: true,
-            pace: PaceWay::default(),
-            pauses: PauseWay::default(),
+            pace: SlownessStrategy::default(),
+            pauses: StallStrategy::default(),
             canary: CanaryWay::default(),
         }
     }
@@ -125,10 +125,10 @@
     /// Parts that wait for a server with capacity: request and index of the part.
     pub(super) waiting: VecDeque<(SlotKey, usize)>,
     /// Fraction of recent requests for which the service had no capacity.
-    pub(super) shortage_rate: FadingShare,
+    pub(super) shortage_rate: DecayingRate,
     /// Fraction of recent bundles that should have included this shard and came
     /// without it.
-    pub(super) bundle_miss_rate: FadingShare,
+    pub(super) bundle_miss_rate: DecayingRate,
     /// Counters since the process started.
     pub(super) counts: UpstreamCounts,
     /// Rendezvous hashing key that selects the owner of this shard among the
@@ -181,13 +181,13 @@
     pub(super) timers: TimerHeap<ForwardTimer>,
     pub(super) counters: ForwardCounters,
     /// Statistics of expected against actual answer times.
-    pub(super) expectations: ExpectationBook,
+    pub(super) expectations: ExpectationStats,
     /// Suspect requests: those under which servers crashed.
     pub(super) suspects: SuspectBook,
     /// Recent server crashes.
     pub(super) end_watch: EndWatch,
     /// Estimate of the interval between stalls, from the stalls of all servers.
-    pub(super) pause_vote: IntervalVote,
+    pub(super) pause_vote: IntervalHistogram,
     /// Earliest time at which to admit another request that depends on shards
     /// that were recently unavailable.
     pub(super) next_probe_at: Duration,
@@ -225,10 +225,10 @@
             split_counters: HashMap::new(),
             timers: TimerHeap::default(),
             counters: ForwardCounters::default(),
-            expectations: ExpectationBook::default(),
+            expectations: ExpectationStats::default(),
             suspects: SuspectBook::default(),
             end_watch: EndWatch::default(),
-            pause_vote: IntervalVote::default(),
+            pause_vote: IntervalHistogram::default(),
             next_probe_at: Duration::ZERO,
             load_shifts_until: Duration::ZERO,
             control_seen_at: Duration::ZERO,
@@ -298,7 +298,7 @@
     }
 
     /// Returns the statistics of expected against actual answer times.
-    pub fn expectations(&self) -> &ExpectationBook {
+    pub fn expectations(&self) -> &ExpectationStats {
         &self.expectations
     }
 
--- a/crates/core/src/process/forward/relay.rs
+++ b/crates/core/src/process/forward/relay.rs
@@ -129,7 +129,10 @@
         });
         let order = RelayOrder {
             version: state.table.version(),
-            answer_by: state.plan.aim.saturating_sub(round_trip + RETURN_MARGIN),
+            answer_by: state
+                .plan
+                .soft_deadline
+                .saturating_sub(round_trip + RETURN_MARGIN),
             attempts: allowance.attempts,
             credits_budget: state.credits_budget
                 && parts.iter().all(|part| state.parts[*part].arrivals == 0),
--- a/crates/core/src/process/forward/reroute.rs
+++ b/crates/core/src/process/forward/reroute.rs
@@ -56,7 +56,7 @@
         round_trip: Option<Duration>,
         now: Duration,
     ) -> AttemptAllowance {
-        let time_left = state.plan.aim.saturating_sub(now);
+        let time_left = state.plan.soft_deadline.saturating_sub(now);
         let ack_time = time_left.mul_f64(ACK_TIME_SHARE).max(MIN_ACK_TIME);
         // Allows a second round trip, as a connection may have to be opened first.
         // Without it, all entries 12 ms away were treated as unresponsive, and a tenth
@@ -142,7 +142,7 @@
         for attempt in self.relays_of(call) {
             self.raise_allowance(attempt, out);
         }
-        self.plan_sweep(call, now);
+        self.schedule_sweep(call, now);
     }
 
     /// Checks the relays that a request waits for. Reroutes a relay whose
@@ -262,7 +262,7 @@
             return;
         };
         let parts = open_parts.into_iter();
-        let parts = parts.filter(|part| self.afford(call, *part, now, out));
+        let parts = parts.filter(|part| self.try_spend_budget(call, *part, now, out));
         let plan = BundlePlan {
             choice,
             parts: parts.collect(),
@@ -349,5 +349,5 @@
 
 /// Returns when the unanswered relays of a request are abandoned.
 fn relay_deadline(state: &CallState) -> Duration {
-    state.plan.aim + state.rule().objective().mul_f64(GIVE_UP_SHARE)
+    state.plan.soft_deadline + state.rule().objective().mul_f64(GIVE_UP_SHARE)
 }
--- a/crates/core/src/process/forward/send.rs
+++ b/crates/core/src/process/forward/send.rs
@@ -95,7 +95,7 @@
             return;
         };
         let timing = state.timing;
-        let hedge_after = self.timings[timing].slow(state.rule());
+        let hedge_after = self.timings[timing].hedge_delay(state.rule());
         let plan = AttemptPlan {
             parts: vec![part],
             cause,
@@ -159,7 +159,7 @@
         state.sends += 1;
         let (tag, is_scatter_gather) = (state.tag, state.is_scatter_gather);
         let workspace = state.workspace.clone();
-        let until = state.plan.given_up.saturating_sub(RESPONSE_MARGIN);
+        let until = state.plan.caller_deadline.saturating_sub(RESPONSE_MARGIN);
         for part in &plan.parts {
             let part = &mut state.parts[*part];
             part.attempts.push(attempt);
@@ -176,10 +176,12 @@
         let outstanding = server.outstanding.len();
         if plan.relay.is_none() {
             let work = server.work(typical, now);
-            server.backlog.sent(work, server.slots, self.entries, now);
+            server
+                .backlog
+                .record_send(work, server.slots, self.entries, now);
         }
         if self.upstreams[server.upstream].cold_per_s > 0.0 {
-            server.cold.sent(now);
+            server.cold.record_send(now);
         }
         server.outstanding.push(OutstandingAttempt {
             attempt,
@@ -294,10 +296,10 @@
             }
             let cause = self.attempt_cause(call, part);
             match self.choose_server_for(call, part, now) {
-                Ok(choice) if self.afford(call, part, now, out) => {
+                Ok(choice) if self.try_spend_budget(call, part, now, out) => {
                     self.send_part_to(call, part, cause, choice, now, out);
                 }
-                Ok(_) => self.look_again(call, part, now, out),
+                Ok(_) => self.schedule_recheck(call, part, now, out),
                 Err(reason) => {
                     self.enqueue_or_give_up(call, part, reason, out);
                     self.check_end(call, now, out);
--- a/crates/core/src/process/forward/server.rs
+++ b/crates/core/src/process/forward/server.rs
@@ -11,12 +11,12 @@
 
 use crate::arena::{SlotKey, UpstreamKey};
 use crate::process::forward::backlog::ServerBacklog;
-use crate::process::forward::cold::{ColdWindow, DOUBT_TIME};
+use crate::process::forward::cold::{SendWindow, ASSUMED_COLD_TIME};
 use crate::process::forward::directory::ServerLifecycle;
 use crate::process::forward::expectation::ExpectationBasis;
 use crate::process::forward::input::LoadReport;
-use crate::process::forward::pace::{PaceEstimate, PaceWay, ServerPace};
-use crate::process::forward::pause::PauseBook;
+use crate::process::forward::pace::{ServerSlowness, SlownessEstimate, SlownessStrategy};
+use crate::process::forward::pause::StallPredictor;
 use crate::process::forward::place::DomainProximity;
 use crate::process::forward::region_set::RegionKey;
 
@@ -84,16 +84,16 @@
     pub assumed_cold_until: Duration,
     /// Requests that this entry sent to the server in about the last second; limits
     /// the rate at which a cold server is used.
-    pub cold: ColdWindow,
+    pub cold: SendWindow,
     /// Unanswered attempts, oldest first.
     pub outstanding: Vec<OutstandingAttempt>,
     /// Number of idle connections to the server.
     pub idle: u32,
     /// Estimate of how slow the server is relative to its peers.
-    pub pace: ServerPace,
+    pub pace: ServerSlowness,
     /// Prediction of the server's stalls: short periods in which it answers nothing,
     /// such as garbage collections.
-    pub pauses: PauseBook,
+    pub pauses: StallPredictor,
     /// Moving average of the failure rate, from 0 to 1.
     pub failing: f64,
     /// Until when the server gets no requests, after a failure to reach it.
@@ -129,11 +129,11 @@
             slots: 1,
             warm_at: Duration::ZERO,
             assumed_cold_until: Duration::ZERO,
-            cold: ColdWindow::default(),
+            cold: SendWindow::default(),
             outstanding: Vec::new(),
             idle: 0,
-            pace: ServerPace::new(PaceWay::default()),
-            pauses: PauseBook::default(),
+            pace: ServerSlowness::new(SlownessStrategy::default()),
+            pauses: StallPredictor::default(),
             failing: 0.0,
             backoff_until: Duration::ZERO,
             answered_at: Duration::ZERO,
@@ -225,7 +225,7 @@
     /// Treats the server as cold until its next announcement must have arrived, which
     /// says whether it really is.
     pub fn assume_cold(&mut self, now: Duration) {
-        self.assumed_cold_until = now + DOUBT_TIME;
+        self.assumed_cold_until = now + ASSUMED_COLD_TIME;
     }
 
     /// Returns whether the server is cold or treated as cold.
@@ -247,7 +247,7 @@
     /// time and the wait for the server's backlog. Does not include stalls, because
     /// requests sent during a stall cost nothing.
     pub fn expect_loaded(&self, typical: Duration, now: Duration) -> Duration {
-        self.round_trip + self.work(typical, now) + self.backlog.wait(now)
+        self.round_trip + self.work(typical, now) + self.backlog.expected_wait(now)
     }
 
     /// Returns the expected time to an answer for a request that takes `typical` at an
@@ -272,7 +272,9 @@
         } else {
             Duration::ZERO
         };
-        let predicted_stall = self.pauses.wait(now + self.round_trip / 2, work, interval);
+        let predicted_stall = self
+            .pauses
+            .expected_wait(now + self.round_trip / 2, work, interval);
         self.round_trip + work + work.mul_f64(queue) + current_stall.max(predicted_stall)
     }
 
