--- a/crates/core/src/connection/mod.rs
+++ b/crates/core/src/connection/mod.rs
@@ -1,4 +1,5 @@
-//! What lives for a connection: how many an instance may hold to a server.
+//! Connections to servers: the share of a server's limits that an instance may use, and the
+//! check of replies.
 
 pub mod reply_check;
 pub mod share;
--- a/crates/core/src/connection/reply_check.rs
+++ b/crates/core/src/connection/reply_check.rs
@@ -1,11 +1,12 @@
-//! Whether a connection may be used again after a reply.
+//! Checks whether a connection may be reused after a reply.
 
 use crate::process::action::SendOrder;
 use crate::process::input::ReplyBody;
 
-/// Tells whether a reply is the one that the last order on its connection
-/// asked for. A connection on which it is not is out of step: what comes next
-/// on it cannot be trusted either, and it must be closed.
+/// Returns whether a reply belongs to the last request that was sent on its connection.
+///
+/// If it does not, requests and replies on the connection are out of step. Later replies on
+/// the connection cannot be trusted either, so the connection must be closed.
 pub fn reply_matches_order(order: &SendOrder, body: &ReplyBody) -> bool {
     body.attempt == order.id && body.request == order.request
 }
--- a/crates/core/src/connection/share.rs
+++ b/crates/core/src/connection/share.rs
@@ -1,24 +1,24 @@
-//! The part of a server's limits that one instance may use.
+//! Divides the limits of a server among the instances that send to it.
 
-/// What one instance may use of one server.
+/// The limits of one server that apply to one instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerShare {
-    /// Most connections.
+    /// Maximum number of connections.
     pub connections: u32,
-    /// Most subqueries outstanding.
+    /// Maximum number of outstanding subqueries.
     pub outstanding: u32,
 }
 
-/// Subqueries an instance may keep waiting at a server beyond its part of the
+/// Number of subqueries that an instance may have waiting at a server beyond its share of the
 /// slots, so that a slot is never idle for the length of a round trip.
 const QUEUED_AHEAD: u32 = 1;
 
-/// Divides a server's limits evenly over the instances that use it.
+/// Divides a server's limits evenly among the instances that use the server.
 ///
-/// Connections are rounded down, so that the sum keeps the server's limit as
-/// long as there are no more instances than connections. Slots are rounded up:
-/// with fewer slots than instances each instance still gets one, and the
-/// server's own queue takes the rest.
+/// Connections are rounded down, so that their sum stays within the server's limit as long
+/// as there are no more instances than connections. Slots (requests that the server runs at
+/// once) are rounded up: with fewer slots than instances, each instance still gets one, and
+/// the server's own queue holds the excess.
 pub fn divide_server_limits(slots: u32, connections: u32, instances: u32) -> ServerShare {
     let instances = instances.max(1);
     let connections = (connections / instances).max(1);
--- a/crates/core/src/request/answer.rs
+++ b/crates/core/src/request/answer.rs
@@ -1,4 +1,4 @@
-//! What a caller gets: an answer that tells its coverage, or a refusal.
+//! The outcome of a request: an answer that states its coverage, or a refusal with its reason.
 
 use std::fmt;
 use std::time::Duration;
@@ -10,18 +10,18 @@
 /// Why a shard is missing from an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MissingReason {
-    /// No live server holds the shard in the snapshot.
+    /// No live server holds the shard of the snapshot.
     NoServer,
-    /// No reply came in time.
+    /// No reply arrived in time.
     TooLate,
-    /// Every server that was asked failed.
+    /// All servers that the subquery was sent to failed.
     Failed,
     /// The servers no longer hold the snapshot.
     SnapshotRetired,
 }
 
 impl MissingReason {
-    /// Returns the word used towards callers.
+    /// Returns the name used in answers to callers.
     pub fn label(self) -> &'static str {
         match self {
             MissingReason::NoServer => "no-server",
@@ -37,23 +37,23 @@
 pub struct MissingShard {
     /// Number of the shard, from 0.
     pub shard: u32,
-    /// Why it is missing.
+    /// Why the shard is missing.
     pub reason: MissingReason,
 }
 
 /// Which shards an answer includes.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct CoverageReport {
-    /// Number of shards of the snapshot.
+    /// Number of all shards of the snapshot.
     pub asked: u32,
     /// Number of shards whose reply is in the answer.
     pub answered: u32,
-    /// The others, in the order of their numbers.
+    /// The shards that are not in the answer, in ascending order.
     pub missing: Vec<MissingShard>,
 }
 
 impl CoverageReport {
-    /// Returns the fraction of the shards that answered (0 to 1).
+    /// Returns the fraction of the shards that answered, from 0 to 1.
     pub fn fraction(&self) -> f64 {
         if self.asked == 0 {
             return 0.0;
@@ -62,31 +62,31 @@
     }
 }
 
-/// What is known of a request's effect upstream.
+/// Whether a refused request may have run at an upstream server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunState {
-    /// No upstream has begun it; it may safely be asked again.
+    /// No server has started the request; it may safely be sent again.
     NotRun,
-    /// An upstream may have run it.
+    /// A server may have run the request.
     Unknown,
 }
 
 /// An answer to a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QueryAnswer {
-    /// The request answered.
+    /// Identity of the request.
     pub request: RequestId,
-    /// Version of the table that steered it.
+    /// Version of the service table that the request was routed by.
     pub table_version: u64,
-    /// The one snapshot that all hits come from.
+    /// The snapshot that all hits come from.
     pub snapshot: SnapshotId,
     /// Which shards are in the answer.
     pub coverage: CoverageReport,
-    /// Whether a hedge was sent for it.
+    /// Whether a hedge (a second attempt while the first was outstanding) was sent.
     pub hedged: bool,
-    /// Whether it was restarted on another snapshot.
+    /// Whether the query was restarted on another snapshot.
     pub restarted: bool,
-    /// Time left until its deadline.
+    /// Time left until the request's deadline.
     pub time_left: Duration,
     /// The merged hits.
     pub hits: Vec<ScoredHit>,
@@ -95,32 +95,32 @@
 /// Why a request was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// The table has no such service.
+    /// The service table has no service of this name.
     UnknownService,
-    /// The service takes another kind of request.
+    /// The service accepts only another kind of request.
     WrongKind,
-    /// No time is left.
+    /// The deadline has passed.
     DeadlinePassed,
-    /// The queue is full.
+    /// The service's queue is full.
     QueueFull,
-    /// The wait would outlast the deadline.
+    /// The expected wait in the queue exceeds the time until the deadline.
     QueueTooSlow,
-    /// The instance is leaving.
+    /// The instance is shutting down.
     Leaving,
-    /// No live server can be asked.
+    /// No live server can take the request.
     NoServer,
-    /// Fewer shards answered than the service's floor asks for.
+    /// Fewer shards answered than the service's minimum coverage requires.
     BelowFloor,
-    /// The server refused without running it.
+    /// The server rejected the request without running it, as it was overloaded.
     Shed,
-    /// The request was sent and its outcome was not learned.
+    /// The request was sent, but its outcome is unknown.
     OutcomeUnknown,
-    /// The caller left.
+    /// The caller closed its connection.
     CallerLeft,
 }
 
 impl RefusalReason {
-    /// Returns the word used towards callers and in logs.
+    /// Returns the name used in answers to callers and in logs.
     pub fn label(self) -> &'static str {
         match self {
             RefusalReason::UnknownService => "unknown-service",
@@ -144,24 +144,24 @@
     }
 }
 
-/// A refusal, given as soon as it is certain.
+/// A refusal of a request, sent as soon as it is certain that no answer is possible.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QueryRefusal {
-    /// The request refused.
+    /// Identity of the refused request.
     pub request: RequestId,
-    /// Version of the table that steered it.
+    /// Version of the service table that the request was routed by.
     pub table_version: u64,
-    /// Why.
+    /// Why the request was refused.
     pub reason: RefusalReason,
-    /// What is known of its effect.
+    /// Whether the request may have run.
     pub run: RunState,
-    /// When to come back, where that helps.
+    /// Time after which a retry may succeed, if a retry can help.
     pub retry_after: Option<Duration>,
-    /// Coverage reached, if it was sent at all.
+    /// Coverage reached until the refusal; empty if nothing was sent.
     pub coverage: CoverageReport,
 }
 
-/// The one outcome of a request.
+/// The outcome of a request; each request has exactly one.
 #[derive(Debug, Clone, PartialEq)]
 pub enum QueryOutcome {
     /// An answer, complete or partial.
--- a/crates/core/src/request/decision.rs
+++ b/crates/core/src/request/decision.rs
@@ -1,4 +1,5 @@
-//! Decisions as typed records: what was chosen, what else stood there, why.
+//! Records of routing decisions: what the entry decided for a request, which alternatives it
+//! had, and why. They are logged, and explain single requests to operators.
 
 use std::fmt;
 use std::sync::Arc;
@@ -11,54 +12,53 @@
 use crate::request::identity::{AttemptId, RequestId};
 use crate::version::snapshot::SnapshotId;
 
-/// Most servers named in one route decision.
+/// Maximum number of servers listed in one [`RouteDecision::Send`].
 pub const MAX_ROUTE_OPTIONS: usize = 8;
 
-/// Why an attempt was sent.
+/// Why an attempt, one send of a shard's subquery, was made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendCause {
     /// The first send for the shard.
     First,
-    /// A second send while the first is outstanding.
+    /// A second send while the first is still outstanding.
     Hedge,
     /// A send after an earlier one failed.
     Retry,
-    /// A send after one of which nothing was written to a connection.
+    /// A send after one that failed before any of it was written to a connection.
     Resend,
-    /// A send in place of one whose server or domain was lost.
+    /// A send that replaces an attempt whose server or failure domain was lost.
     Rescue,
 }
 
 impl SendCause {
-    /// Tells whether the send draws on the budget for extra load. What was
-    /// never written, and what a lost server would have done, is no extra
-    /// load.
+    /// Returns whether the send spends the budget for extra load. A send that replaces one
+    /// that was never written, or one to a lost server, causes no extra load.
     pub fn spends_budget(self) -> bool {
         matches!(self, SendCause::Hedge | SendCause::Retry)
     }
 }
 
-/// How a server stood when a shard was routed.
+/// Status of a server as a candidate when a shard was routed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OptionStatus {
     /// It was chosen.
     Chosen,
-    /// Its expected cost was higher, or chance chose another.
+    /// Another server was chosen, as its expected cost was lower or by random choice.
     NotChosen,
-    /// Its connections or slots were all in use.
+    /// All of its connections or slots were in use.
     Full,
-    /// It was ejected for its failures or its latency.
+    /// It was ejected, so that it gets no requests for a time, for failures or latency.
     Ejected,
-    /// It was draining or had left.
+    /// It was draining or had stopped.
     Leaving,
-    /// Its lease had run out.
+    /// Its lease had expired.
     Expired,
-    /// It was being asked already.
+    /// An attempt for the same shard was outstanding at it.
     Outstanding,
 }
 
 impl OptionStatus {
-    /// Returns the word used in logs.
+    /// Returns the name used in logs.
     pub fn label(self) -> &'static str {
         match self {
             OptionStatus::Chosen => "chosen",
@@ -72,32 +72,32 @@
     }
 }
 
-/// A server that stood to be chosen.
+/// A candidate server of a routing decision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteOption {
     /// Name of the server.
     pub server: Arc<str>,
-    /// How it stood.
+    /// Status of the server as a candidate.
     pub standing: OptionStatus,
-    /// Expected time to a reply, in microseconds.
+    /// Expected response time, in microseconds.
     pub cost: f32,
 }
 
-/// Why a reply was dropped.
+/// Why a reply from a server was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DropReason {
-    /// Nobody waits for it any more.
+    /// The request no longer waits for the reply.
     Late,
-    /// It names another attempt or request.
+    /// The reply names another attempt or request.
     WrongAttempt,
-    /// It names another shard.
+    /// The reply names another shard.
     WrongShard,
-    /// It comes from another snapshot.
+    /// The reply comes from another snapshot.
     WrongSnapshot,
 }
 
 impl DropReason {
-    /// Returns the word used in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
             DropReason::Late => "late",
@@ -111,130 +111,130 @@
 /// Why a server was ejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EjectCause {
-    /// It failed several times in a row.
+    /// The server failed several times in a row.
     Failures,
-    /// It is much slower than the other servers of its upstream.
+    /// The server is much slower than the other servers of its upstream.
     Latency,
 }
 
-/// One decision.
+/// A recorded decision of the entry, about one request or about its view of the servers.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RouteDecision {
-    /// A request was let in.
+    /// A request was admitted.
     Admit {
         /// Service of the request.
         service: Box<str>,
-        /// Time it spent in the queue.
+        /// Time that the request spent in the queue.
         waited: Duration,
     },
     /// A request was queued.
     Queue {
         /// Service of the request.
         service: Box<str>,
-        /// Its place in the queue, from 1.
+        /// Position of the request in the queue, from 1.
         place: usize,
     },
     /// A request was refused.
     Refuse {
-        /// Why.
+        /// Why the request was refused.
         reason: RefusalReason,
     },
-    /// A snapshot was chosen.
+    /// The snapshot that a query reads from was chosen.
     Snapshot {
-        /// The snapshot.
+        /// The chosen snapshot.
         snapshot: SnapshotId,
-        /// Number of its shards that have a live server.
+        /// Number of the snapshot's shards that have a live server.
         live: u32,
-        /// Number of its shards.
+        /// Number of all shards of the snapshot.
         shards: u32,
     },
-    /// A subquery was sent.
+    /// A shard's subquery was sent to a server.
     Send {
-        /// Shard asked for.
+        /// Number of the shard.
         shard: u32,
-        /// Why it was sent.
+        /// Why the subquery was sent.
         cause: SendCause,
         /// Identity of the attempt.
         attempt: AttemptId,
-        /// The servers that stood to be chosen, with the chosen one among them.
+        /// The candidate servers, including the chosen one.
         options: ArrayVec<RouteOption, MAX_ROUTE_OPTIONS>,
     },
-    /// A shard waits until a server has a free connection and slot.
+    /// A shard was queued until a server has a free connection and slot.
     Wait {
-        /// The shard.
+        /// Number of the shard.
         shard: u32,
     },
-    /// A shard was given up.
+    /// A shard was given up; the answer will not include it.
     GiveUp {
-        /// The shard.
+        /// Number of the shard.
         shard: u32,
-        /// Why.
+        /// Why the shard was given up.
         reason: MissingReason,
     },
     /// An attempt was cancelled.
     Cancel {
         /// Identity of the attempt.
         attempt: AttemptId,
-        /// Server it was sent to.
+        /// Server that the attempt was sent to.
         server: Arc<str>,
     },
     /// A reply was dropped.
     Drop {
-        /// Server it came from.
+        /// Server that sent the reply.
         server: Arc<str>,
-        /// Why.
+        /// Why the reply was dropped.
         reason: DropReason,
     },
-    /// A query starts anew on another snapshot.
+    /// A query was restarted on another snapshot.
     Restart {
-        /// The snapshot left behind.
+        /// The snapshot that the query used before.
         from: SnapshotId,
     },
     /// A query ended with an answer.
     Finish {
-        /// Shards in the answer.
+        /// Number of shards in the answer.
         answered: u32,
-        /// Shards asked.
+        /// Number of shards of the snapshot.
         asked: u32,
         /// Time from admission.
         took: Duration,
     },
-    /// A server gets no work for a time.
+    /// A server was ejected: it gets no requests for a time.
     Eject {
-        /// The server.
+        /// Name of the server.
         server: Arc<str>,
-        /// Why.
+        /// Why the server was ejected.
         cause: EjectCause,
-        /// For how long.
+        /// Time for which the server gets no requests.
         period: Duration,
     },
-    /// A whole failure domain is avoided for a time.
+    /// A failure domain whose servers do not answer is avoided for a time.
     Suspect {
-        /// The failure domain.
+        /// Name of the failure domain.
         domain: Box<str>,
-        /// For how long.
+        /// Time for which the failure domain is avoided.
         period: Duration,
     },
-    /// A server's phase changed.
+    /// A server's phase changed, such as from serving to draining.
     Place {
-        /// The server.
+        /// Name of the server.
         server: Arc<str>,
-        /// Its phase now.
+        /// The new phase of the server.
         phase: ServerPhase,
-        /// Number of snapshots it holds.
+        /// Number of snapshots that the server holds.
         snapshots: usize,
     },
-    /// A table came in force.
+    /// A new service table came into force.
     Table {
-        /// Its version.
+        /// Version of the table.
         version: u64,
-        /// Its number of services.
+        /// Number of services in the table.
         services: usize,
     },
 }
 
 impl RouteDecision {
-    /// Returns the fixed prefix of the part that decided.
+    /// Returns the log prefix of the component that made the decision.
     pub fn prefix(&self) -> &'static str {
         match self {
             RouteDecision::Admit { .. }
@@ -262,6 +262,8 @@
     }
 }
 
+/// Writes the candidate servers with their statuses, and their expected response times if
+/// known.
 fn write_options(f: &mut fmt::Formatter<'_>, options: &[RouteOption]) -> fmt::Result {
     for option in options {
         let standing = option.standing.label();
@@ -278,10 +280,10 @@
         write!(f, "{}: ", self.prefix())?;
         match self {
             RouteDecision::Admit { service, waited } => {
-                write!(f, "{service} let in after {waited:.1?}")
+                write!(f, "{service} admitted after {waited:.1?}")
             }
             RouteDecision::Queue { service, place } => {
-                write!(f, "{service} queued at place {place}")
+                write!(f, "{service} queued at position {place}")
             }
             RouteDecision::Refuse { reason } => write!(f, "refused, {reason}"),
             RouteDecision::Snapshot {
@@ -308,7 +310,9 @@
             RouteDecision::Drop { server, reason } => {
                 write!(f, "reply of {server} dropped, {}", reason.label())
             }
-            RouteDecision::Restart { from } => write!(f, "{from} left, query starts anew"),
+            RouteDecision::Restart { from } => {
+                write!(f, "query left {from} and restarts on another snapshot")
+            }
             RouteDecision::Finish {
                 answered,
                 asked,
@@ -326,7 +330,10 @@
                 write!(f, "{server} ejected for {period:.1?}, {cause}")
             }
             RouteDecision::Suspect { domain, period } => {
-                write!(f, "domain {domain} is silent, avoided for {period:.1?}")
+                write!(
+                    f,
+                    "domain {domain} does not answer, avoided for {period:.1?}"
+                )
             }
             RouteDecision::Place {
                 server,
@@ -340,13 +347,13 @@
     }
 }
 
-/// A decision with its time and request.
+/// A decision together with its time and its request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DecisionEvent {
     /// Time since the process started.
     pub at: Duration,
-    /// The request it was made for, if any.
+    /// The request that the decision was made for, if any.
     pub request: Option<RequestId>,
-    /// What was decided.
+    /// The decision.
     pub decision: RouteDecision,
 }
--- a/crates/core/src/request/mark.rs
+++ b/crates/core/src/request/mark.rs
@@ -1,38 +1,41 @@
-//! What a request asks for, by which it is known when it comes again.
+//! Fingerprints that recognise a request when its caller sends it again.
 //!
-//! Each attempt of a caller has an identity of its own. The mark is the same for
-//! all of them: it is made of what servers are given to work on.
+//! Each time a caller sends a request, the request gets a new [`RequestId`]. The fingerprint
+//! stays the same, as it is a digest of what servers are given to work on, and of the
+//! caller. The wire and the logs call a fingerprint a mark.
+//!
+//! [`RequestId`]: crate::request::identity::RequestId
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, Xxh3};
 
-/// What stands between two pieces of a request in its digest: no piece has it.
+/// Separator between the hashed pieces of a request; no piece contains this byte.
 const PIECE_END: u8 = 0;
 
-/// Digest of method, host, path with query, and body.
+/// Digest of a request's method, host, path with query, and body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ContentFingerprint(pub u128);
 
-/// Digest of who asks.
+/// Digest of the caller of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CallerFingerprint(pub u64);
 
-/// What a request asks for, and who asks.
+/// Fingerprint of a request: its content and its caller.
 ///
-/// The digest is no cryptographic one: whoever makes two requests with one mark
-/// can have his own refused.
+/// The digest is not cryptographic. A caller who constructs two requests with the same
+/// fingerprint can only cause their own requests to be refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestFingerprint {
-    /// What is asked for.
+    /// Digest of what is requested.
     pub content: ContentFingerprint,
-    /// Who asks.
+    /// Digest of the caller.
     pub caller: CallerFingerprint,
 }
 
 impl ContentFingerprint {
-    /// Returns the mark of a request; `target` is its path with the query.
+    /// Returns the fingerprint of a request's content; `target` is the path with the query.
     pub fn of(method: &str, host: &str, target: &str, body: &[u8]) -> ContentFingerprint {
         let mut digest = Xxh3::new();
         for piece in [method, host, target] {
@@ -45,13 +48,13 @@
 }
 
 impl CallerFingerprint {
-    /// Returns the mark of a caller, by whatever names it.
+    /// Returns the fingerprint of a caller. `name` is whatever identifies the caller.
     pub fn of(name: &[u8]) -> CallerFingerprint {
         CallerFingerprint(xxh3_64(name))
     }
 }
 
-/// 32 hexadecimal digits for what is asked, a dash, and 16 for who asks.
+/// Writes 32 hexadecimal digits for the content, a hyphen, and 16 digits for the caller.
 impl fmt::Display for RequestFingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:032x}-{:016x}", self.content.0, self.caller.0)
@@ -59,7 +62,7 @@
 }
 
 impl RequestFingerprint {
-    /// Reads a mark as [`fmt::Display`] writes it.
+    /// Parses a fingerprint as [`fmt::Display`] writes it.
     pub fn parse(text: &str) -> Option<RequestFingerprint> {
         let (content, caller) = text.split_once('-')?;
         Some(RequestFingerprint {
--- a/crates/core/src/request/merge.rs
+++ b/crates/core/src/request/merge.rs
@@ -1,32 +1,31 @@
-//! Merging the hits of the shards into one list.
+//! Merges the hits of the shards of a search into one list.
 
 use std::cmp::Ordering;
 
-/// How the hits of the shards become one list.
+/// How the hits of the shards are merged into one list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MergeRule {
-    /// By score, best first, up to the limit.
+    /// Sorted by score, best first, up to the limit.
     Score,
-    /// Shard after shard, up to the limit.
+    /// Concatenated in the order of the shards, up to the limit.
     Concatenate,
-    /// The one reply as it is.
+    /// The single reply, unchanged in order.
     Single,
 }
 
-/// One hit of a shard.
+/// A hit with its score, as a shard returned it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScoredHit {
     /// Score; greater is better. Not-a-number ranks last.
     pub score: f64,
-    /// The hit as JSON text, passed on unread.
+    /// The hit as JSON text, which is passed on without being parsed.
     pub document: Box<str>,
 }
 
-/// Merges the hits of the shards, given in the order of the shards.
+/// Merges the hits of the shards, which are given in the order of the shards.
 ///
-/// A `limit` of 0 means no bound. Hits of equal score keep the order of their
-/// shards, so that the same replies give the same answer in whatever order
-/// they came.
+/// A `limit` of 0 means no limit. Hits with equal scores keep the order of their shards, so
+/// that the same replies give the same answer in whatever order they arrived.
 pub fn merge_hits(
     rule: MergeRule,
     limit: u32,
@@ -42,6 +41,7 @@
     hits
 }
 
+/// Orders hits by descending score, with not-a-number last.
 fn by_score(a: &ScoredHit, b: &ScoredHit) -> Ordering {
     match (a.score.is_nan(), b.score.is_nan()) {
         (false, false) => b.score.total_cmp(&a.score),
--- a/crates/core/src/request/mod.rs
+++ b/crates/core/src/request/mod.rs
@@ -1,4 +1,5 @@
-//! What lives for a request.
+//! Types of one caller's request: its identity, its state while it runs, the merging of
+//! replies, the answer, and the decisions that are recorded on the way.
 
 pub mod answer;
 pub mod decision;
--- a/crates/core/src/request/query.rs
+++ b/crates/core/src/request/query.rs
@@ -1,4 +1,4 @@
-//! The state of one request while it is at work.
+//! The state of one request while it runs: its shards and the attempts sent for them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,49 +15,49 @@
 use crate::version::row::ServiceRow;
 use crate::version::snapshot::SnapshotId;
 
-/// Most attempts outstanding for one shard.
+/// Maximum number of attempts that may be outstanding for one shard.
 pub const MAX_SHARD_ATTEMPTS: usize = 2;
-/// Most servers remembered as tried for one shard.
+/// Maximum number of servers remembered as tried for one shard.
 pub const MAX_SHARD_TRIED: usize = 8;
 
-/// How far a shard of a query has come.
+/// The progress of one shard of a query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShardStatus {
-    /// It is being asked for, or waits to be.
+    /// An attempt is outstanding, or the shard waits to be sent.
     Open,
-    /// Its reply was taken.
+    /// A reply for the shard was accepted.
     Answered,
-    /// It was given up.
+    /// The shard was given up.
     Missing(MissingReason),
 }
 
-/// One shard of a query.
+/// The state of one shard of a query.
 #[derive(Debug)]
 pub struct ShardState {
     /// Number of the shard in the snapshot.
     pub number: u32,
-    /// How far it has come.
+    /// Progress of the shard.
     pub status: ShardStatus,
-    /// Attempts outstanding.
+    /// The outstanding attempts.
     pub attempts: ArrayVec<SlotKey, MAX_SHARD_ATTEMPTS>,
-    /// Servers asked already.
+    /// Servers that the shard's subquery was sent to already.
     pub tried: ArrayVec<ServerKey, MAX_SHARD_TRIED>,
-    /// Sends so far.
+    /// Number of sends so far.
     pub sends: u32,
     /// Time of the last send.
     pub sent_at: Duration,
-    /// Whether it stands in the queues of its servers.
+    /// Whether the shard waits in the queues of its servers.
     pub is_queued: bool,
-    /// Whether nothing of the last attempt was written to a connection.
+    /// Whether the last attempt failed before any of it was written to a connection.
     pub was_last_unsent: bool,
-    /// What went wrong last.
+    /// Why the last attempt failed, if one did.
     pub failure_reason: Option<MissingReason>,
-    /// Its hits.
+    /// The hits of the shard.
     pub hits: Vec<ScoredHit>,
 }
 
 impl ShardState {
-    /// Returns a shard that has not been asked for yet.
+    /// Creates the state of a shard that was not sent yet.
     pub fn new(number: u32) -> ShardState {
         ShardState {
             number,
@@ -74,70 +74,70 @@
     }
 }
 
-/// One send of a subquery that is outstanding.
+/// An outstanding attempt: one send of a shard's subquery.
 #[derive(Debug)]
 pub struct AttemptState {
-    /// Its identity.
+    /// Identity of the attempt.
     pub id: AttemptId,
-    /// The query it belongs to.
+    /// The query that the attempt belongs to.
     pub query: SlotKey,
     /// Index of the shard in the query.
     pub index: u32,
-    /// The server asked.
+    /// The server that the attempt was sent to.
     pub server: ServerKey,
-    /// When it was sent.
+    /// Time of the send.
     pub sent_at: Duration,
-    /// Why it was sent.
+    /// Why the attempt was sent.
     pub cause: SendCause,
 }
 
-/// One request of a caller.
+/// The state of one request of a caller.
 #[derive(Debug)]
 pub struct QueryState {
-    /// The driver's name for it.
+    /// Tag by which the driver of the state machine knows the request.
     pub call: CallTag,
-    /// Its identity.
+    /// Identity of the request.
     pub request: RequestId,
-    /// Gate of its service.
+    /// Admission gate of the service.
     pub gate: GateKey,
-    /// The row that steers it, pinned at its arrival.
+    /// The service's row of the service table, as it was when the request arrived.
     pub row: Arc<ServiceRow>,
-    /// Version of the table the row is from.
+    /// Version of the table that the row is from.
     pub table_version: u64,
-    /// What is passed on.
+    /// The request body, which is passed on to servers.
     pub body: Arc<RequestBody>,
-    /// When it came.
+    /// When the request arrived.
     pub arrived: Duration,
-    /// When it started.
+    /// When the request was admitted and started.
     pub started: Duration,
-    /// When its time is over.
+    /// Time by which the request must be answered.
     pub deadline: Duration,
-    /// Whether it has started.
+    /// Whether the request has started.
     pub is_running: bool,
-    /// Its upstream, once started.
+    /// The upstream, once the request has started.
     pub upstream: Option<UpstreamKey>,
-    /// Its snapshot, once started.
+    /// The snapshot that is read, once the request has started.
     pub snapshot: SnapshotId,
-    /// Its shards.
+    /// The shards of the snapshot.
     pub shards: Vec<ShardState>,
-    /// Shards answered.
+    /// Number of shards that were answered.
     pub answered: u32,
-    /// Shards given up.
+    /// Number of shards that were given up.
     pub missing: u32,
-    /// Whether a hedge was sent.
+    /// Whether a hedge (a second attempt while the first was outstanding) was sent.
     pub hedged: bool,
-    /// Whether it was restarted.
+    /// Whether the query was restarted on another snapshot.
     pub restarted: bool,
-    /// Whether a partial answer may go out.
+    /// Whether the time has come at which a partial answer may be sent.
     pub partial_due: bool,
-    /// Attempts sent that are not known not to have run.
+    /// Number of sent attempts that ran or may have run.
     pub possible_runs: u32,
-    /// Whether its decisions are recorded.
+    /// Whether the decisions for this request are recorded.
     pub is_traced: bool,
 }
 
 impl QueryState {
-    /// Returns the number of shards still open.
+    /// Returns the number of shards that are neither answered nor given up.
     pub fn open_shards(&self) -> u32 {
         self.shards.len() as u32 - self.answered - self.missing
     }
@@ -147,13 +147,14 @@
         ratio(self.answered, self.shards.len())
     }
 
-    /// Returns the fraction of the shards that could still be in an answer.
+    /// Returns the fraction of the shards that were not given up, so that they can still be in
+    /// the answer.
     pub fn reachable_fraction(&self) -> f64 {
         let shards = self.shards.len() as u32;
         ratio(shards - self.missing, self.shards.len())
     }
 
-    /// Returns the coverage; shards still open count as too late.
+    /// Returns the coverage report. Shards that are still open count as too late.
     pub fn coverage(&self) -> CoverageReport {
         let missing = self.shards.iter().filter_map(|shard| {
             let reason = match shard.status {
@@ -174,6 +175,7 @@
     }
 }
 
+/// Returns `part` divided by `whole`, or 0 if `whole` is 0.
 fn ratio(part: u32, whole: usize) -> f64 {
     if whole == 0 {
         return 0.0;
--- a/crates/core/src/request/records.rs
+++ b/crates/core/src/request/records.rs
@@ -1,4 +1,5 @@
-//! Merging parts of fixed-size records: the greatest ones, greatest first.
+//! Merges parts that consist of fixed-size records into the greatest records, in descending
+//! order. A part is the answer of one shard.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -6,50 +7,52 @@
 /// Size of a record in bytes.
 pub const RECORD_BYTES: usize = 16;
 
-/// One record, compared byte by byte.
+/// A record of a part; records are compared byte by byte.
 pub type PartRecord = [u8; RECORD_BYTES];
 
-/// Keeps the greatest records of many unordered parts, in a heap no larger
-/// than the answer.
+/// Selects the greatest records of many unordered parts, with a heap that is no larger than
+/// the answer.
 #[derive(Debug)]
 pub struct RecordMerge {
+    /// Maximum number of records in the answer.
     top: usize,
-    kept: BinaryHeap<Reverse<PartRecord>>,
+    /// The greatest records so far; the smallest of them is at the top of the heap.
+    greatest: BinaryHeap<Reverse<PartRecord>>,
 }
 
 impl RecordMerge {
-    /// Returns a merge that keeps the greatest `top` records.
+    /// Creates a merge that selects the greatest `top` records.
     pub fn new(top: usize) -> RecordMerge {
         RecordMerge {
             top,
-            kept: BinaryHeap::new(),
+            greatest: BinaryHeap::new(),
         }
     }
 
-    /// Takes the records of a part. Bytes at its end that do not fill a
-    /// record are no record. Equal records all count.
+    /// Adds the records of a part. Trailing bytes that do not fill a record are ignored.
+    /// Equal records are all counted.
     pub fn take(&mut self, part: &[u8]) {
         let (records, _) = part.as_chunks::<RECORD_BYTES>();
         for record in records {
-            self.take_record(record);
+            self.add_record(record);
         }
     }
 
-    fn take_record(&mut self, record: &PartRecord) {
-        if self.kept.len() < self.top {
-            self.kept.push(Reverse(*record));
+    fn add_record(&mut self, record: &PartRecord) {
+        if self.greatest.len() < self.top {
+            self.greatest.push(Reverse(*record));
             return;
         }
-        if let Some(mut least) = self.kept.peek_mut() {
-            if *record > least.0 {
-                *least = Reverse(*record);
+        if let Some(mut smallest) = self.greatest.peek_mut() {
+            if *record > smallest.0 {
+                *smallest = Reverse(*record);
             }
         }
     }
 
-    /// Returns the records, greatest first, one after the other.
+    /// Returns the selected records as concatenated bytes, greatest first.
     pub fn finish(self) -> Vec<u8> {
-        let sorted = self.kept.into_sorted_vec();
+        let sorted = self.greatest.into_sorted_vec();
         sorted.iter().flat_map(|record| record.0).collect()
     }
 }
