--- a/crates/core/src/request/decision.rs
+++ b/crates/core/src/request/decision.rs
@@ -332,7 +332,7 @@
             RouteDecision::Suspect { domain, period } => {
                 write!(
                     f,
-                    "domain {domain} does not answer, avoided for {period:.1?}"
+                    "domain {domain} is silent, avoided for {period:.1?}"
                 )
             }
             RouteDecision::Place {
