--- a/crates/core/src/process/forward/canary.rs
+++ b/crates/core/src/process/forward/canary.rs
@@ -28,11 +28,12 @@
     Never,
     /// Requests under which servers crashed before.
     Suspects,
-    /// These, and during an alert every request that gathers several shards. An alert is
-    /// raised while servers crash and a lost entry may know which request is the cause.
+    /// These, and during an alert every scatter-gather request (one that is sent to several
+    /// shards). An alert is raised while servers crash and a lost entry may know which request
+    /// is the cause.
     #[default]
     Alert,
-    /// Every request that gathers several shards.
+    /// Every scatter-gather request.
     All,
 }
 
@@ -49,8 +50,8 @@
 }
 
 impl CallState {
-    /// Returns whether the request may be sent to only one server at a time, as no server
-    /// has completed it and it is suspect.
+    /// Returns whether the request may be sent to only one server at a time: a suspect
+    /// scatter-gather request that no server has completed.
     pub(super) fn needs_canary(&self) -> bool {
         let suspicion = &self.doubt;
         self.gathers
@@ -83,9 +84,9 @@
                 CanaryStrategy::Alert => self.end_watch.is_alert(now),
                 CanaryStrategy::All => true,
             };
-        let is_known = self.suspects.status_of(call.mark, now) != SuspectStatus::Clear;
+        let is_suspect = self.suspects.status_of(call.mark, now) != SuspectStatus::Clear;
         CallSuspicion {
-            starts_with_canary: strategy_requires || is_known,
+            starts_with_canary: strategy_requires || is_suspect,
             ..CallSuspicion::default()
         }
     }
@@ -196,8 +197,8 @@
             part.is_open() && part.runs < state.attempts
         });
         // Prefers the shard with the most servers that were not tried, as it loses the
-        // least capacity if its server crashes. Among equal shards the choice is random, so
-        // that the canaries of several requests do not all crash on the same server.
+        // least capacity if its server crashes. Among equal shards the choice is random, as
+        // canaries of several requests would otherwise run on one server and crash together.
         let mut candidates: Vec<usize> = candidates.collect();
         if !candidates.is_empty() {
             let first = self.rng.random_range(0..candidates.len());
--- a/crates/core/src/process/forward/reply.rs
+++ b/crates/core/src/process/forward/reply.rs
@@ -2,7 +2,7 @@
 //!
 //! The outcome updates the statistics of the server that the attempt was sent to, and then
 //! completes, retries or gives up the parts of the request that it was sent for. A part is
-//! one shard's subquery, or the whole of a request that is not gathered from shards.
+//! one shard's subquery, or the whole of a request that is not sent to several shards.
 
 use std::time::Duration;
 
@@ -410,8 +410,8 @@
         });
     }
 
-    /// Accepts a server's answer for a part. The answer completes a request that is not
-    /// gathered; that of a shard is stored until the others have arrived.
+    /// Accepts a server's answer for a part. The answer of a shard in a scatter-gather request is
+    /// stored until the other shards have answered; any other answer completes the request.
     fn accept_answer(
         &mut self,
         key: SlotKey,
--- a/crates/core/src/process/forward/suspect/crash_watch.rs
+++ b/crates/core/src/process/forward/suspect/crash_watch.rs
@@ -14,8 +14,8 @@
 /// Time within which these crashes must happen.
 const ALERT_WINDOW: Duration = Duration::from_secs(2);
 /// Time for which the alert lasts after the last crash that raised it. Network
-/// partitions last some seconds. During an alert a canary attempt costs each gathered
-/// request one more round trip, and makes one urgent request in 40 late where servers
+/// partitions last some seconds. During an alert a canary attempt costs each
+/// scatter-gather request one more round trip, and makes one urgent request in 40 late where servers
 /// stall.
 const ALERT_DURATION: Duration = Duration::from_secs(10);
 /// A server counts as crashed only if it answered within this time: a server that was
--- a/crates/core/src/request/decision.rs
+++ b/crates/core/src/request/decision.rs
@@ -330,10 +330,7 @@
                 write!(f, "{server} ejected for {period:.1?}, {cause}")
             }
             RouteDecision::Suspect { domain, period } => {
-                write!(
-                    f,
-                    "domain {domain} is silent, avoided for {period:.1?}"
-                )
+                write!(f, "domain {domain} is silent, avoided for {period:.1?}")
             }
             RouteDecision::Place {
                 server,
