--- a/crates/cli/src/measure/capacity.rs
+++ b/crates/cli/src/measure/capacity.rs
@@ -110,7 +110,7 @@
             epoch: 1,
             version: 100,
         },
-        until: Duration::from_millis(180),
+        deadline: Duration::from_millis(180),
         body: Arc::new(body()),
     };
     Ok(vec![
--- a/crates/core/src/process/action.rs
+++ b/crates/core/src/process/action.rs
@@ -31,7 +31,7 @@
     /// The request's deadline, since the process started. A span would grow old
     /// until it is written: another thread does that, on a connection that may
     /// have to be opened first.
-    pub until: Duration,
+    pub deadline: Duration,
     /// What is passed on.
     pub body: Arc<RequestBody>,
 }
@@ -57,7 +57,7 @@
     },
     /// Record a decision. Boxed, as it is large and seldom: each action takes
     /// the room of the largest.
-    Decide(Box<DecisionEvent>),
+    RecordDecision(Box<DecisionEvent>),
     /// The last request has ended after [`Leave`](super::input::EntryInput::Leave).
     Left,
 }
--- a/crates/core/src/process/admission.rs
+++ b/crates/core/src/process/admission.rs
@@ -18,12 +18,12 @@
 use crate::version::snapshot::SnapshotId;
 
 /// Time kept back from a deadline for the answer's own way to the caller.
-const ANSWER_MARGIN: Duration = Duration::from_millis(2);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(2);
 /// When to come back after a refusal that names no better time.
-pub(super) const RETRY_SOON: Duration = Duration::from_secs(1);
+pub(super) const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl<P: RoutePolicy> EntryMachine<P> {
-    pub(super) fn submit(
+    pub(super) fn handle_request(
         &mut self,
         request: QueryRequest,
         now: Duration,
@@ -35,23 +35,23 @@
             incarnation: self.options.incarnation,
             sequence: self.requests,
         };
-        let (gate, row) = match self.admissible(&request) {
+        let (gate, row) = match self.resolve_service(&request) {
             Ok(found) => found,
-            Err(reason) => return self.refuse_early(request.call, id, reason, None, now, out),
+            Err(reason) => return self.refuse_unadmitted(request.call, id, reason, None, now, out),
         };
-        let allowed = request.deadline.unwrap_or(row.deadline);
-        if allowed <= ANSWER_MARGIN {
+        let time_limit = request.deadline.unwrap_or(row.deadline);
+        if time_limit <= RESPONSE_MARGIN {
             let reason = RefusalReason::DeadlinePassed;
-            return self.refuse_early(request.call, id, reason, None, now, out);
+            return self.refuse_unadmitted(request.call, id, reason, None, now, out);
         }
-        let deadline = now + allowed - ANSWER_MARGIN;
+        let deadline = now + time_limit - RESPONSE_MARGIN;
         if self.gates.may_start(gate) {
             let query = self.insert_query(request, id, gate, row, deadline, now);
-            return self.start(query, now, out);
+            return self.start_query(query, now, out);
         }
-        match self.queue_check(gate, &row, deadline - now) {
+        match self.check_queue(gate, &row, deadline - now) {
             Err((reason, wait)) => {
-                self.refuse_early(request.call, id, reason, Some(wait), now, out)
+                self.refuse_unadmitted(request.call, id, reason, Some(wait), now, out)
             }
             Ok(()) => {
                 let query = self.insert_query(request, id, gate, row, deadline, now);
@@ -60,22 +60,27 @@
         }
     }
 
-    pub(super) fn caller_left(&mut self, call: CallTag, now: Duration, out: &mut Vec<EntryAction>) {
+    pub(super) fn handle_caller_left(
+        &mut self,
+        call: CallTag,
+        now: Duration,
+        out: &mut Vec<EntryAction>,
+    ) {
         if let Some(query) = self.calls.get(&call).copied() {
-            self.end_refused(query, RefusalReason::CallerLeft, None, now, out);
+            self.end_with_refusal(query, RefusalReason::CallerLeft, None, now, out);
         }
     }
 
     /// Starts waiting requests while there is room.
-    pub(super) fn start_waiting(&mut self, now: Duration, out: &mut Vec<EntryAction>) {
+    pub(super) fn start_queued_requests(&mut self, now: Duration, out: &mut Vec<EntryAction>) {
         while let Some(query) = self.gates.take_next() {
             if self.queries.get(query).is_some() {
-                self.start(query, now, out);
+                self.start_query(query, now, out);
             }
         }
     }
 
-    fn admissible(
+    fn resolve_service(
         &self,
         request: &QueryRequest,
     ) -> Result<(GateKey, Arc<ServiceRow>), RefusalReason> {
@@ -95,7 +100,7 @@
     /// Checks whether a request may wait: there is a place in the queue, and
     /// the wait leaves enough time to answer. The reason comes with the time
     /// after which it is worth to come back.
-    fn queue_check(
+    fn check_queue(
         &self,
         gate: GateKey,
         row: &ServiceRow,
@@ -173,7 +178,7 @@
     }
 
     /// Refuses a request that was never let in; this is always "not run".
-    fn refuse_early(
+    fn refuse_unadmitted(
         &mut self,
         call: CallTag,
         request: RequestId,
@@ -193,7 +198,7 @@
             table_version: self.table_version,
             reason,
             run: RunState::NotRun,
-            retry_after: wait.or_else(|| helpful_wait(reason)),
+            retry_after: wait.or_else(|| suggest_retry_after(reason)),
             coverage: CoverageReport::default(),
         };
         out.push(EntryAction::Finish {
@@ -204,12 +209,12 @@
 }
 
 /// Returns when to come back, for the reasons that pass with time.
-pub(super) fn helpful_wait(reason: RefusalReason) -> Option<Duration> {
+pub(super) fn suggest_retry_after(reason: RefusalReason) -> Option<Duration> {
     match reason {
         RefusalReason::Leaving
         | RefusalReason::NoServer
         | RefusalReason::BelowFloor
-        | RefusalReason::Shed => Some(RETRY_SOON),
+        | RefusalReason::Shed => Some(DEFAULT_RETRY_AFTER),
         _ => None,
     }
 }
--- a/crates/core/src/process/entry.rs
+++ b/crates/core/src/process/entry.rs
@@ -194,8 +194,8 @@
             EntryInput::Expired(name) => self.roster.expire(&name, now),
             EntryInput::Vouch(names) => self.roster.vouch(&names, now),
             EntryInput::Instances(count) => self.roster.divide(count),
-            EntryInput::Submit(request) => self.submit(request, now, out),
-            EntryInput::CallerLeft(call) => self.caller_left(call, now, out),
+            EntryInput::Submit(request) => self.handle_request(request, now, out),
+            EntryInput::CallerLeft(call) => self.handle_caller_left(call, now, out),
             EntryInput::Reply(reply) => self.reply(reply, now, out),
             EntryInput::Connection(change) => {
                 self.roster.server_mut(change.server).idle = change.idle;
@@ -205,7 +205,7 @@
             EntryInput::Leave => self.leaving = true,
         }
         self.run_timers(now, out);
-        self.start_waiting(now, out);
+        self.start_queued_requests(now, out);
         if self.leaving && !self.left && self.queries.is_empty() {
             self.left = true;
             out.push(EntryAction::Left);
@@ -285,7 +285,7 @@
             }
             NewsEffect::Renewed(server) => {
                 self.counters.announcements += 1;
-                self.serve_waiters(server, now, out);
+                self.route_queued_shards(server, now, out);
                 return;
             }
             NewsEffect::Changed(server) => server,
@@ -298,15 +298,15 @@
             snapshots: record.held.len(),
         };
         self.decide(None, decision, now, out);
-        self.serve_waiters(server, now, out);
+        self.route_queued_shards(server, now, out);
     }
 
     fn run_timers(&mut self, now: Duration, out: &mut Vec<EntryAction>) {
         while let Some(purpose) = self.timers.take_due(now) {
             match purpose {
-                TimerPurpose::Deadline(query) => self.deadline_passed(query, now, out),
-                TimerPurpose::Partial(query) => self.partial_due(query, now, out),
-                TimerPurpose::Sweep(query) => self.sweep(query, now, out),
+                TimerPurpose::Deadline(query) => self.handle_deadline(query, now, out),
+                TimerPurpose::Partial(query) => self.allow_partial_answer(query, now, out),
+                TimerPurpose::Sweep(query) => self.sweep_query(query, now, out),
             }
         }
     }
@@ -319,7 +319,7 @@
         now: Duration,
         out: &mut Vec<EntryAction>,
     ) {
-        out.push(EntryAction::Decide(Box::new(DecisionEvent {
+        out.push(EntryAction::RecordDecision(Box::new(DecisionEvent {
             at: now,
             request,
             decision,
--- a/crates/core/src/process/finish.rs
+++ b/crates/core/src/process/finish.rs
@@ -4,7 +4,7 @@
 
 use crate::arena::SlotKey;
 use crate::process::action::EntryAction;
-use crate::process::admission::{helpful_wait, is_repeatable};
+use crate::process::admission::{is_repeatable, suggest_retry_after};
 use crate::process::entry::EntryMachine;
 use crate::process::policy::RoutePolicy;
 use crate::request::answer::{
@@ -16,7 +16,7 @@
 
 impl<P: RoutePolicy> EntryMachine<P> {
     /// Gives up a shard, or restarts the query if another snapshot is better.
-    pub(super) fn give_up(
+    pub(super) fn give_up_shard(
         &mut self,
         query: SlotKey,
         index: usize,
@@ -24,18 +24,18 @@
         now: Duration,
         out: &mut Vec<EntryAction>,
     ) {
-        let is_gone = matches!(
+        let has_no_holder = matches!(
             reason,
             MissingReason::NoServer | MissingReason::SnapshotRetired
         );
-        if is_gone && self.try_restart(query, now, out) {
+        if has_no_holder && self.try_restart(query, now, out) {
             return;
         }
-        self.mark_missing(query, index, reason, now, out);
-        self.check_end(query, now, out);
+        self.mark_shard_missing(query, index, reason, now, out);
+        self.end_if_decided(query, now, out);
     }
 
-    pub(super) fn mark_missing(
+    pub(super) fn mark_shard_missing(
         &mut self,
         query: SlotKey,
         index: usize,
@@ -57,19 +57,24 @@
     }
 
     /// Ends a query as soon as its outcome is certain.
-    pub(super) fn check_end(&mut self, query: SlotKey, now: Duration, out: &mut Vec<EntryAction>) {
+    pub(super) fn end_if_decided(
+        &mut self,
+        query: SlotKey,
+        now: Duration,
+        out: &mut Vec<EntryAction>,
+    ) {
         let Some(state) = self.queries.get(query) else {
             return;
         };
         let floor = state.row.coverage_floor;
         let is_hopeless = state.reachable() < floor;
-        let is_enough = state.partial_due && state.fraction() >= floor && state.answered > 0;
-        if state.open() == 0 || is_hopeless || is_enough {
-            self.end(query, now, out);
+        let may_end_early = state.partial_due && state.fraction() >= floor && state.answered > 0;
+        if state.open() == 0 || is_hopeless || may_end_early {
+            self.end_running(query, now, out);
         }
     }
 
-    pub(super) fn partial_due(
+    pub(super) fn allow_partial_answer(
         &mut self,
         query: SlotKey,
         now: Duration,
@@ -80,11 +85,11 @@
         };
         state.partial_due = true;
         if state.is_running {
-            self.check_end(query, now, out);
+            self.end_if_decided(query, now, out);
         }
     }
 
-    pub(super) fn deadline_passed(
+    pub(super) fn handle_deadline(
         &mut self,
         query: SlotKey,
         now: Duration,
@@ -94,28 +99,28 @@
             return;
         };
         if state.is_running {
-            return self.end(query, now, out);
+            return self.end_running(query, now, out);
         }
         let wait = self.gates.gate(state.gate).service_time;
-        self.end_refused(query, RefusalReason::DeadlinePassed, Some(wait), now, out);
+        self.end_with_refusal(query, RefusalReason::DeadlinePassed, Some(wait), now, out);
     }
 
     /// Ends a running query with what it has.
-    fn end(&mut self, query: SlotKey, now: Duration, out: &mut Vec<EntryAction>) {
+    fn end_running(&mut self, query: SlotKey, now: Duration, out: &mut Vec<EntryAction>) {
         let Some(state) = self.queries.get(query) else {
             return;
         };
-        let enough = state.answered > 0 && state.fraction() >= state.row.coverage_floor;
-        if enough {
-            return self.end_answered(query, now, out);
+        let is_enough = state.answered > 0 && state.fraction() >= state.row.coverage_floor;
+        if is_enough {
+            return self.end_with_answer(query, now, out);
         }
-        let reason = refusal_reason(state);
-        self.end_refused(query, reason, None, now, out);
+        let reason = find_refusal_reason(state);
+        self.end_with_refusal(query, reason, None, now, out);
     }
 
-    fn end_answered(&mut self, query: SlotKey, now: Duration, out: &mut Vec<EntryAction>) {
-        self.cancel_all(query, now, out);
-        let Some(mut state) = self.take_query(query, now) else {
+    fn end_with_answer(&mut self, query: SlotKey, now: Duration, out: &mut Vec<EntryAction>) {
+        self.cancel_query_attempts(query, now, out);
+        let Some(mut state) = self.remove_query(query, now) else {
             return;
         };
         let coverage = state.coverage();
@@ -156,7 +161,7 @@
     }
 
     /// Ends a request, queued or running, without an answer.
-    pub(super) fn end_refused(
+    pub(super) fn end_with_refusal(
         &mut self,
         query: SlotKey,
         reason: RefusalReason,
@@ -170,9 +175,9 @@
         // What may not be repeated is left to run to its end: cancelling it
         // half way helps nobody.
         if is_repeatable(state.row.kind) {
-            self.cancel_all(query, now, out);
+            self.cancel_query_attempts(query, now, out);
         }
-        let Some(state) = self.take_query(query, now) else {
+        let Some(state) = self.remove_query(query, now) else {
             return;
         };
         let run = if state.maybe_ran == 0 || !self.options.guards.refusal {
@@ -193,7 +198,7 @@
                 table_version: state.table_version,
                 reason,
                 run,
-                retry_after: wait.or_else(|| helpful_wait(reason)),
+                retry_after: wait.or_else(|| suggest_retry_after(reason)),
                 coverage: state.coverage(),
             }),
         });
@@ -201,7 +206,7 @@
     }
 
     /// Takes a query out of the machine and frees its place at the gate.
-    fn take_query(&mut self, query: SlotKey, now: Duration) -> Option<QueryState> {
+    fn remove_query(&mut self, query: SlotKey, now: Duration) -> Option<QueryState> {
         let state = self.queries.remove(query)?;
         self.calls.remove(&state.call);
         if state.is_running {
@@ -217,7 +222,7 @@
 }
 
 /// Returns why a query that has too little to answer is refused.
-fn refusal_reason(state: &QueryState) -> RefusalReason {
+fn find_refusal_reason(state: &QueryState) -> RefusalReason {
     if !is_repeatable(state.row.kind) && state.maybe_ran > 0 {
         return RefusalReason::OutcomeUnknown;
     }
--- a/crates/core/src/process/forward/roll.rs
+++ b/crates/core/src/process/forward/roll.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use crate::process::forward::input::EntryPeer;
-use crate::process::rendezvous::highest;
+use crate::process::rendezvous::select_highest;
 
 /// Entries of another failure domain that an entry is told of.
 pub const FAR_PEERS: usize = 8;
@@ -27,7 +27,7 @@
             continue;
         }
         let named = peers.into_iter().map(|peer| (peer.id(), peer));
-        let some = highest(&key, FAR_PEERS, named, |(id, _)| id);
+        let some = select_highest(&key, FAR_PEERS, named, |(id, _)| id);
         view.extend(some.into_iter().map(|(_, peer)| peer));
     }
     view
--- a/crates/core/src/process/latency.rs
+++ b/crates/core/src/process/latency.rs
@@ -7,13 +7,13 @@
 /// Number of buckets: 16 us to about 4 s, in steps of 9%.
 const BUCKET_COUNT: usize = 144;
 /// Latency of the first bucket in microseconds.
-const FIRST_MICROS: f64 = 16.0;
+const FIRST_BUCKET_MICROS: f64 = 16.0;
 /// Samples after which all counts are halved.
-const HALVE_AFTER: u32 = 4096;
+const HALVE_AT_SAMPLES: u32 = 4096;
 /// Samples after which the remembered quantiles are worked out anew.
-const REFRESH_AFTER: u32 = 64;
+const REFRESH_AFTER_SAMPLES: u32 = 64;
 /// Samples below which there is no quantile yet.
-const LEAST_SAMPLES: u32 = 32;
+const MIN_SAMPLES: u32 = 32;
 
 /// A histogram of recent latencies in logarithmic buckets.
 ///
@@ -23,7 +23,7 @@
 pub struct LatencyWindow {
     counts: [u32; BUCKET_COUNT],
     total: u32,
-    since_refresh: u32,
+    samples_since_refresh: u32,
     median: Option<Duration>,
     median_micros: Option<f32>,
 }
@@ -33,7 +33,7 @@
         LatencyWindow {
             counts: [0; BUCKET_COUNT],
             total: 0,
-            since_refresh: 0,
+            samples_since_refresh: 0,
             median: None,
             median_micros: None,
         }
@@ -45,12 +45,12 @@
     pub fn add(&mut self, latency: Duration) {
         self.counts[bucket_of(latency)] += 1;
         self.total += 1;
-        self.since_refresh += 1;
-        if self.total >= HALVE_AFTER {
+        self.samples_since_refresh += 1;
+        if self.total >= HALVE_AT_SAMPLES {
             self.halve();
         }
-        if self.since_refresh >= REFRESH_AFTER {
-            self.since_refresh = 0;
+        if self.samples_since_refresh >= REFRESH_AFTER_SAMPLES {
+            self.samples_since_refresh = 0;
             self.median = self.quantile(0.5);
             self.median_micros = self.median.map(|median| median.as_secs_f32() * 1e6);
         }
@@ -69,7 +69,7 @@
     /// Returns the latency that a fraction `quantile` of the samples keeps
     /// below, once there are enough samples.
     pub fn quantile(&self, quantile: f64) -> Option<Duration> {
-        if self.total < LEAST_SAMPLES {
+        if self.total < MIN_SAMPLES {
             return None;
         }
         let rank = (f64::from(self.total) * quantile).ceil() as u32;
@@ -77,10 +77,10 @@
         for (bucket, count) in self.counts.iter().enumerate() {
             seen += count;
             if seen >= rank {
-                return Some(upper_bound(bucket));
+                return Some(bucket_upper_bound(bucket));
             }
         }
-        Some(upper_bound(BUCKET_COUNT - 1))
+        Some(bucket_upper_bound(BUCKET_COUNT - 1))
     }
 
     fn halve(&mut self) {
@@ -94,14 +94,14 @@
 
 fn bucket_of(latency: Duration) -> usize {
     let micros = latency.as_secs_f64() * 1e6;
-    if micros <= FIRST_MICROS {
+    if micros <= FIRST_BUCKET_MICROS {
         return 0;
     }
-    let bucket = ((micros / FIRST_MICROS).log2() * BUCKETS_PER_DOUBLING) as usize;
+    let bucket = ((micros / FIRST_BUCKET_MICROS).log2() * BUCKETS_PER_DOUBLING) as usize;
     bucket.min(BUCKET_COUNT - 1)
 }
 
-fn upper_bound(bucket: usize) -> Duration {
+fn bucket_upper_bound(bucket: usize) -> Duration {
     let doublings = (bucket as f64 + 1.0) / BUCKETS_PER_DOUBLING;
-    Duration::from_secs_f64(FIRST_MICROS * doublings.exp2() / 1e6)
+    Duration::from_secs_f64(FIRST_BUCKET_MICROS * doublings.exp2() / 1e6)
 }
--- a/crates/core/src/process/cover.rs
+++ b/crates/core/src/process/placement.rs
@@ -6,11 +6,11 @@
 
 /// The servers of each shard of one snapshot.
 #[derive(Debug)]
-pub struct SnapshotCover {
+pub struct SnapshotPlacement {
     /// The snapshot.
     pub snapshot: SnapshotId,
     /// For each shard, the servers that hold it.
-    pub groups: Vec<Vec<ServerKey>>,
+    pub servers_by_shard: Vec<Vec<ServerKey>>,
 }
 
 /// A snapshot chosen for a query.
@@ -26,26 +26,30 @@
 
 impl SnapshotChoice {
     /// Returns the fraction of the shards that have a live server.
-    pub fn fraction(self) -> f64 {
+    pub fn live_fraction(self) -> f64 {
         f64::from(self.live) / f64::from(self.shards)
     }
 }
 
 /// Adds a server to the cover of a snapshot that it holds a shard of.
-pub(super) fn add_to_cover(covers: &mut Vec<SnapshotCover>, held: HeldSnapshot, server: ServerKey) {
-    let found = covers
+pub(super) fn add_to_placement(
+    placements: &mut Vec<SnapshotPlacement>,
+    held: HeldSnapshot,
+    server: ServerKey,
+) {
+    let existing = placements
         .iter()
-        .position(|cover| cover.snapshot == held.snapshot);
-    let index = found.unwrap_or_else(|| {
-        covers.push(SnapshotCover {
+        .position(|placement| placement.snapshot == held.snapshot);
+    let index = existing.unwrap_or_else(|| {
+        placements.push(SnapshotPlacement {
             snapshot: held.snapshot,
-            groups: Vec::new(),
+            servers_by_shard: Vec::new(),
         });
-        covers.len() - 1
+        placements.len() - 1
     });
-    let groups = &mut covers[index].groups;
-    if groups.len() < held.shards as usize {
-        groups.resize(held.shards as usize, Vec::new());
+    let servers_by_shard = &mut placements[index].servers_by_shard;
+    if servers_by_shard.len() < held.shards as usize {
+        servers_by_shard.resize(held.shards as usize, Vec::new());
     }
-    groups[held.shard as usize].push(server);
+    servers_by_shard[held.shard as usize].push(server);
 }
--- a/crates/core/src/process/rendezvous.rs
+++ b/crates/core/src/process/rendezvous.rs
@@ -11,7 +11,7 @@
 
 /// Returns the members that rank highest for a key, `count` at most, highest
 /// first.
-pub fn highest<T>(
+pub fn select_highest<T>(
     key: &str,
     count: usize,
     members: impl Iterator<Item = T>,
--- a/crates/core/src/process/replies.rs
+++ b/crates/core/src/process/replies.rs
@@ -16,15 +16,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CancelCause {
     /// Another attempt answered first.
-    Overtaken,
+    AnsweredElsewhere,
     /// It outlasted its timeout.
     TimedOut,
     /// Nobody waits for its query any more, or it is sent elsewhere.
-    Unwanted,
+    NoLongerNeeded,
 }
 
 /// Weight of a new sample in the moving average of the connection time.
-const CONNECT_GAIN: f32 = 0.1;
+const CONNECT_TIME_GAIN: f32 = 0.1;
 
 impl<P: RoutePolicy> EntryMachine<P> {
     pub(super) fn reply(&mut self, reply: AttemptReply, now: Duration, out: &mut Vec<EntryAction>) {
@@ -33,7 +33,7 @@
             return;
         };
         if let Some(connect) = reply.connect {
-            self.learn_connect(attempt.server, connect);
+            self.update_connect_time(attempt.server, connect);
         }
         let record = self.roster.server_mut(attempt.server);
         record.outstanding -= 1;
@@ -41,38 +41,38 @@
         if !matches!(reply.status, ReplyStatus::NeverSent) {
             self.roster.domain_mut(domain).heard(now);
         }
-        self.detach(&attempt, reply.attempt);
+        self.detach_attempt(&attempt, reply.attempt);
         let latency = (now - attempt.sent_at).saturating_sub(reply.connect.unwrap_or_default());
         match reply.status {
-            ReplyStatus::Body(body) => self.take_body(&attempt, body, latency, now, out),
+            ReplyStatus::Body(body) => self.handle_reply_body(&attempt, body, latency, now, out),
             ReplyStatus::Shed { retry_after } => {
                 self.counters.sheds += 1;
                 let health = &mut self.roster.server_mut(attempt.server).health;
                 health.shed(retry_after, now);
-                self.known_not_run(&attempt);
-                self.attempt_failed(&attempt, MissingReason::Failed, now, out);
+                self.uncount_possible_run(&attempt);
+                self.handle_failed_attempt(&attempt, MissingReason::Failed, now, out);
             }
             ReplyStatus::Gone { held } => {
                 self.roster.correct_held(attempt.server, held);
-                self.known_not_run(&attempt);
-                self.attempt_failed(&attempt, MissingReason::SnapshotRetired, now, out);
+                self.uncount_possible_run(&attempt);
+                self.handle_failed_attempt(&attempt, MissingReason::SnapshotRetired, now, out);
             }
             ReplyStatus::NeverSent => {
-                self.server_failed(attempt.server, now, out);
-                self.known_not_run(&attempt);
-                self.mark_unsent(&attempt);
-                self.attempt_failed(&attempt, MissingReason::Failed, now, out);
+                self.record_server_failure(attempt.server, now, out);
+                self.uncount_possible_run(&attempt);
+                self.mark_last_unsent(&attempt);
+                self.handle_failed_attempt(&attempt, MissingReason::Failed, now, out);
             }
             ReplyStatus::Failed => {
-                self.server_failed(attempt.server, now, out);
-                self.attempt_broke(&attempt, now, out);
+                self.record_server_failure(attempt.server, now, out);
+                self.handle_lost_reply(&attempt, now, out);
             }
         }
-        self.serve_waiters(attempt.server, now, out);
+        self.route_queued_shards(attempt.server, now, out);
     }
 
     /// Takes a well-formed reply, if it is the one that was asked for.
-    fn take_body(
+    fn handle_reply_body(
         &mut self,
         attempt: &AttemptState,
         body: ReplyBody,
@@ -81,10 +81,10 @@
         out: &mut Vec<EntryAction>,
     ) {
         self.roster.server_mut(attempt.server).idle += 1;
-        if let Some(reason) = self.mismatch(attempt, &body) {
+        if let Some(reason) = self.find_mismatch(attempt, &body) {
             return self.drop_reply(attempt, reason, now, out);
         }
-        self.server_answered(attempt.server, latency, now, out);
+        self.record_server_success(attempt.server, latency, now, out);
         let index = attempt.index as usize;
         let Some(state) = self.queries.get_mut(attempt.query) else {
             self.counters.drops_late += 1;
@@ -98,18 +98,24 @@
         shard.status = ShardStatus::Answered;
         shard.hits = body.hits;
         state.answered += 1;
-        self.cancel_shard(attempt.query, index, CancelCause::Overtaken, now, out);
-        self.check_end(attempt.query, now, out);
+        self.cancel_shard_attempts(
+            attempt.query,
+            index,
+            CancelCause::AnsweredElsewhere,
+            now,
+            out,
+        );
+        self.end_if_decided(attempt.query, now, out);
     }
 
     /// Returns in what a reply differs from what was asked for.
-    fn mismatch(&self, attempt: &AttemptState, body: &ReplyBody) -> Option<DropReason> {
+    fn find_mismatch(&self, attempt: &AttemptState, body: &ReplyBody) -> Option<DropReason> {
         let guards = self.options.guards;
         let Some(state) = self.queries.get(attempt.query) else {
             return (body.attempt != attempt.id).then_some(DropReason::Foreign);
         };
-        let same = body.attempt == attempt.id && body.request == state.request;
-        if guards.identity && !same {
+        let is_same_attempt = body.attempt == attempt.id && body.request == state.request;
+        if guards.identity && !is_same_attempt {
             return Some(DropReason::Foreign);
         }
         let shard = state.shards.get(attempt.index as usize);
@@ -146,13 +152,13 @@
             record.idle = record.idle.saturating_sub(1);
         }
         if reason != DropReason::WrongSnapshot {
-            self.server_failed(attempt.server, now, out);
+            self.record_server_failure(attempt.server, now, out);
         }
-        self.attempt_broke(attempt, now, out);
+        self.handle_lost_reply(attempt, now, out);
     }
 
     /// Handles an attempt that may have run and whose reply is lost.
-    pub(super) fn attempt_broke(
+    pub(super) fn handle_lost_reply(
         &mut self,
         attempt: &AttemptState,
         now: Duration,
@@ -163,14 +169,14 @@
         };
         if !is_repeatable(state.row.kind) && self.options.guards.once {
             let reason = RefusalReason::OutcomeUnknown;
-            return self.end_refused(attempt.query, reason, None, now, out);
+            return self.end_with_refusal(attempt.query, reason, None, now, out);
         }
-        self.attempt_failed(attempt, MissingReason::Failed, now, out);
+        self.handle_failed_attempt(attempt, MissingReason::Failed, now, out);
     }
 
     /// Handles an attempt that failed: its shard is tried elsewhere if the
     /// retry limit and the budget allow.
-    pub(super) fn attempt_failed(
+    pub(super) fn handle_failed_attempt(
         &mut self,
         attempt: &AttemptState,
         trouble: MissingReason,
@@ -188,27 +194,27 @@
         }
     }
 
-    fn known_not_run(&mut self, attempt: &AttemptState) {
+    fn uncount_possible_run(&mut self, attempt: &AttemptState) {
         if let Some(state) = self.queries.get_mut(attempt.query) {
             state.maybe_ran -= 1;
         }
     }
 
-    fn mark_unsent(&mut self, attempt: &AttemptState) {
+    fn mark_last_unsent(&mut self, attempt: &AttemptState) {
         if let Some(state) = self.queries.get_mut(attempt.query) {
             state.shards[attempt.index as usize].unsent = true;
         }
     }
 
     /// Takes an attempt off its shard.
-    pub(super) fn detach(&mut self, attempt: &AttemptState, key: SlotKey) {
+    pub(super) fn detach_attempt(&mut self, attempt: &AttemptState, key: SlotKey) {
         if let Some(state) = self.queries.get_mut(attempt.query) {
             let shard = &mut state.shards[attempt.index as usize];
             shard.attempts.retain(|other| *other != key);
         }
     }
 
-    fn server_answered(
+    fn record_server_success(
         &mut self,
         server: ServerKey,
         latency: Duration,
@@ -218,10 +224,10 @@
         let upstream = self.roster.server(server).upstream;
         self.roster.upstream_mut(upstream).latency.add(latency);
         self.roster.server_mut(server).health.succeed(latency, now);
-        self.judge(server, now, out);
+        self.eject_if_unhealthy(server, now, out);
     }
 
-    pub(super) fn server_failed(
+    pub(super) fn record_server_failure(
         &mut self,
         server: ServerKey,
         now: Duration,
@@ -229,11 +235,16 @@
     ) {
         self.counters.failures += 1;
         self.roster.server_mut(server).health.fail(now);
-        self.judge(server, now, out);
+        self.eject_if_unhealthy(server, now, out);
     }
 
     /// Ejects a server if what was seen of it calls for that.
-    pub(super) fn judge(&mut self, server: ServerKey, now: Duration, out: &mut Vec<EntryAction>) {
+    pub(super) fn eject_if_unhealthy(
+        &mut self,
+        server: ServerKey,
+        now: Duration,
+        out: &mut Vec<EntryAction>,
+    ) {
         if !self.policy.ejects() {
             return;
         }
@@ -251,22 +262,22 @@
         };
         self.decide(None, decision, now, out);
         if cause == EjectCause::Failures {
-            self.rescue(&[server], now, out);
+            self.rescue_attempts(&[server], now, out);
         }
     }
 
-    fn learn_connect(&mut self, server: ServerKey, connect: Duration) {
+    fn update_connect_time(&mut self, server: ServerKey, connect: Duration) {
         let upstream = self.roster.server(server).upstream;
         let connect = connect.as_secs_f32() * 1e6;
         let record = self.roster.upstream_mut(upstream);
         if record.connect == 0.0 {
             record.connect = connect;
         }
-        record.connect += (connect - record.connect) * CONNECT_GAIN;
+        record.connect += (connect - record.connect) * CONNECT_TIME_GAIN;
     }
 
     /// Cancels the attempts of a shard that are still outstanding.
-    pub(super) fn cancel_shard(
+    pub(super) fn cancel_shard_attempts(
         &mut self,
         query: SlotKey,
         index: usize,
@@ -294,19 +305,19 @@
         let Some(attempt) = self.attempts.remove(key) else {
             return;
         };
-        self.detach(&attempt, key);
+        self.detach_attempt(&attempt, key);
         self.counters.cancels += 1;
         let elapsed = now - attempt.sent_at;
         let record = self.roster.server_mut(attempt.server);
         record.outstanding -= 1;
-        if cause != CancelCause::Unwanted {
+        if cause != CancelCause::NoLongerNeeded {
             record.health.censor(elapsed, now);
         }
         let name = record.name.clone();
         let upstream = record.upstream;
         // Timeouts stay out of the window: they would raise the quantile that
         // they are derived from.
-        if cause == CancelCause::Overtaken {
+        if cause == CancelCause::AnsweredElsewhere {
             self.roster.upstream_mut(upstream).latency.add(elapsed);
         }
         out.push(EntryAction::Cancel {
@@ -317,12 +328,17 @@
             attempt: attempt.id,
             server: name,
         });
-        self.judge(attempt.server, now, out);
-        self.serve_waiters(attempt.server, now, out);
+        self.eject_if_unhealthy(attempt.server, now, out);
+        self.route_queued_shards(attempt.server, now, out);
     }
 
     /// Cancels all attempts of a query.
-    pub(super) fn cancel_all(&mut self, query: SlotKey, now: Duration, out: &mut Vec<EntryAction>) {
+    pub(super) fn cancel_query_attempts(
+        &mut self,
+        query: SlotKey,
+        now: Duration,
+        out: &mut Vec<EntryAction>,
+    ) {
         let Some(state) = self.queries.get_mut(query) else {
             return;
         };
@@ -331,7 +347,7 @@
             shard.waits = false;
         }
         for index in 0..state.shards.len() {
-            self.cancel_shard(query, index, CancelCause::Unwanted, now, out);
+            self.cancel_shard_attempts(query, index, CancelCause::NoLongerNeeded, now, out);
         }
     }
 }
--- a/crates/core/src/process/rescue.rs
+++ b/crates/core/src/process/rescue.rs
@@ -20,7 +20,7 @@
 
 impl<P: RoutePolicy> EntryMachine<P> {
     /// Takes a timeout into account for the server's whole domain.
-    pub(super) fn watch_domain(
+    pub(super) fn record_domain_timeout(
         &mut self,
         server: ServerKey,
         sent_at: Duration,
@@ -44,12 +44,12 @@
             period: SUSPECT_PERIOD,
         };
         self.decide(None, decision, now, out);
-        self.rescue(&servers, now, out);
+        self.rescue_attempts(&servers, now, out);
     }
 
     /// Cancels the attempts outstanding at `servers` and sends for their
     /// shards elsewhere.
-    pub(super) fn rescue(
+    pub(super) fn rescue_attempts(
         &mut self,
         servers: &[ServerKey],
         now: Duration,
@@ -61,8 +61,8 @@
             };
             let (query, index) = (attempt.query, attempt.index as usize);
             if servers.contains(&attempt.server) && self.may_rescue(query) {
-                self.cancel_attempt(key, CancelCause::Unwanted, now, out);
-                self.resend(query, index, now, out);
+                self.cancel_attempt(key, CancelCause::NoLongerNeeded, now, out);
+                self.resend_shard(query, index, now, out);
             }
         }
     }
@@ -72,7 +72,13 @@
         state.is_some_and(|state| is_repeatable(state.row.kind))
     }
 
-    fn resend(&mut self, query: SlotKey, index: usize, now: Duration, out: &mut Vec<EntryAction>) {
+    fn resend_shard(
+        &mut self,
+        query: SlotKey,
+        index: usize,
+        now: Duration,
+        out: &mut Vec<EntryAction>,
+    ) {
         let Some(state) = self.queries.get_mut(query) else {
             return;
         };
@@ -83,13 +89,13 @@
             return;
         }
         shard.trouble = Some(MissingReason::TooLate);
-        let is_spent = shard.sends > state.row.retries;
-        if is_spent || !self.has_good_server(query, index, now) {
-            return self.give_up(query, index, MissingReason::TooLate, now, out);
+        let has_no_retries = shard.sends > state.row.retries;
+        if has_no_retries || !self.has_preferred_server(query, index, now) {
+            return self.give_up_shard(query, index, MissingReason::TooLate, now, out);
         }
         let outcome = self.route_shard(query, index, SendCause::Rescue, now, out);
         if outcome == RouteOutcome::NoServer {
-            self.give_up(query, index, MissingReason::TooLate, now, out);
+            self.give_up_shard(query, index, MissingReason::TooLate, now, out);
         }
     }
 }
--- a/crates/core/src/process/roster.rs
+++ b/crates/core/src/process/roster.rs
@@ -8,11 +8,11 @@
 
 use crate::arena::{ArenaKey, KeyArena, ServerKey, SlotKey, UpstreamKey};
 use crate::connection::share::{divide_server, ServerShare};
-use crate::process::cover::{add_to_cover, SnapshotChoice, SnapshotCover};
 use crate::process::domain::{DomainKey, DomainRecord};
 use crate::process::health::ServerHealth;
 use crate::process::latency::LatencyWindow;
 use crate::process::news::{HeldSnapshot, ServerNews, ServerPhase};
+use crate::process::placement::{add_to_placement, SnapshotChoice, SnapshotPlacement};
 use crate::version::snapshot::SnapshotId;
 
 /// Most servers an instance remembers; announcements of more are refused.
@@ -85,7 +85,7 @@
     /// Its servers.
     pub servers: Vec<ServerKey>,
     /// Its snapshots, newest first.
-    pub covers: Vec<SnapshotCover>,
+    pub placements: Vec<SnapshotPlacement>,
     /// Recent latencies over all its servers.
     pub latency: LatencyWindow,
     /// Typical time to open a connection, in microseconds.
@@ -220,10 +220,12 @@
 
     /// Returns the servers that hold a shard of a snapshot.
     pub fn group(&self, upstream: UpstreamKey, snapshot: SnapshotId, shard: u32) -> &[ServerKey] {
-        let covers = &self.upstreams[upstream].covers;
-        let cover = covers.iter().find(|cover| cover.snapshot == snapshot);
-        cover
-            .and_then(|cover| cover.groups.get(shard as usize))
+        let placements = &self.upstreams[upstream].placements;
+        let placement = placements
+            .iter()
+            .find(|placement| placement.snapshot == snapshot);
+        placement
+            .and_then(|placement| placement.servers_by_shard.get(shard as usize))
             .map_or(&[], Vec::as_slice)
     }
 
@@ -234,28 +236,28 @@
     /// still not taken: see `docs/design/snapshot.md` for the measurement.
     pub fn choose_snapshot(&self, upstream: UpstreamKey, now: Duration) -> Option<SnapshotChoice> {
         let mut best: Option<SnapshotChoice> = None;
-        for cover in &self.upstreams[upstream].covers {
-            let live = self.live_shards(cover, now);
-            let shards = cover.groups.len() as u32;
+        for placement in &self.upstreams[upstream].placements {
+            let live = self.live_shards(placement, now);
+            let shards = placement.servers_by_shard.len() as u32;
             let choice = SnapshotChoice {
-                snapshot: cover.snapshot,
+                snapshot: placement.snapshot,
                 live,
                 shards,
             };
             if live == shards {
                 return Some(choice);
             }
-            if best.is_none_or(|best| choice.fraction() > best.fraction()) {
+            if best.is_none_or(|best| choice.live_fraction() > best.live_fraction()) {
                 best = Some(choice);
             }
         }
         best.filter(|choice| choice.live > 0)
     }
 
-    fn live_shards(&self, cover: &SnapshotCover, now: Duration) -> u32 {
+    fn live_shards(&self, placement: &SnapshotPlacement, now: Duration) -> u32 {
         let is_live = |server: &ServerKey| self.servers[*server].is_live(now);
-        let live = cover
-            .groups
+        let live = placement
+            .servers_by_shard
             .iter()
             .filter(|group| group.iter().any(is_live));
         live.count() as u32
@@ -327,7 +329,7 @@
         }
         let upstream = self.upstreams.push(UpstreamRecord {
             servers: Vec::new(),
-            covers: Vec::new(),
+            placements: Vec::new(),
             latency: LatencyWindow::default(),
             connect: 0.0,
         });
@@ -346,14 +348,14 @@
 
     /// Works out anew which servers hold which shard of which snapshot.
     fn rebuild(&mut self, upstream: UpstreamKey) {
-        let mut covers: Vec<SnapshotCover> = Vec::new();
+        let mut placements: Vec<SnapshotPlacement> = Vec::new();
         for server in &self.upstreams[upstream].servers {
             for held in &self.servers[*server].held {
-                add_to_cover(&mut covers, *held, *server);
+                add_to_placement(&mut placements, *held, *server);
             }
         }
-        covers.sort_by_key(|cover| Reverse(cover.snapshot));
-        self.upstreams[upstream].covers = covers;
+        placements.sort_by_key(|placement| Reverse(placement.snapshot));
+        self.upstreams[upstream].placements = placements;
     }
 }
 
--- a/crates/core/src/process/route.rs
+++ b/crates/core/src/process/route.rs
@@ -18,7 +18,7 @@
 use crate::request::query::{AttemptState, QueryState, ShardState};
 
 /// Most servers of a group that are weighed for one send.
-const CANDIDATES: usize = 8;
+const MAX_CANDIDATES: usize = 8;
 
 /// What came of routing a shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -26,22 +26,22 @@
     /// A subquery was sent.
     Sent,
     /// The shard waits until a server has room.
-    Waits,
+    Queued,
     /// No server can be asked.
     NoServer,
 }
 
 /// The servers of a group, by how gladly they are asked.
 #[derive(Default)]
-struct RouteField {
+struct CandidateSet {
     /// Healthy, not tried yet, with room.
-    good: ArrayVec<RouteCandidate, CANDIDATES>,
+    preferred: ArrayVec<RouteCandidate, MAX_CANDIDATES>,
     /// Ejected, shedding or tried already, with room.
-    poor: ArrayVec<RouteCandidate, CANDIDATES>,
+    fallback: ArrayVec<RouteCandidate, MAX_CANDIDATES>,
     /// Whether a healthy server would do if it had room.
-    good_full: bool,
+    has_full_preferred: bool,
     /// Whether any live server would do if it had room.
-    any_full: bool,
+    has_full_server: bool,
 }
 
 impl<P: RoutePolicy> EntryMachine<P> {
@@ -60,76 +60,76 @@
         let Some(upstream) = state.upstream else {
             return RouteOutcome::NoServer;
         };
-        let field = self.survey(upstream, state, index, now);
-        let choice = choose_in(&field, cause, &mut self.policy, &mut self.rng);
+        let candidates = self.collect_candidates(upstream, state, index, now);
+        let choice = choose_server(&candidates, cause, &mut self.policy, &mut self.rng);
         if let Some(server) = choice {
-            self.send(query, index, server, cause, now, out);
+            self.send_subquery(query, index, server, cause, now, out);
             return RouteOutcome::Sent;
         }
-        if cause == SendCause::Hedge || !field.any_full {
+        if cause == SendCause::Hedge || !candidates.has_full_server {
             return RouteOutcome::NoServer;
         }
-        self.wait_for_room(query, index, now, out);
-        RouteOutcome::Waits
+        self.enqueue_shard(query, index, now, out);
+        RouteOutcome::Queued
     }
 
     /// Tells whether a healthy server, not tried yet, could take a shard, now
     /// or after a wait.
-    pub(super) fn has_good_server(&self, query: SlotKey, index: usize, now: Duration) -> bool {
+    pub(super) fn has_preferred_server(&self, query: SlotKey, index: usize, now: Duration) -> bool {
         let Some(state) = self.queries.get(query) else {
             return false;
         };
         let Some(upstream) = state.upstream else {
             return false;
         };
-        let field = self.survey(upstream, state, index, now);
-        !field.good.is_empty() || field.good_full
+        let candidates = self.collect_candidates(upstream, state, index, now);
+        !candidates.preferred.is_empty() || candidates.has_full_preferred
     }
 
     /// Looks over the servers that hold a shard.
-    fn survey(
+    fn collect_candidates(
         &self,
         upstream: UpstreamKey,
         state: &QueryState,
         index: usize,
         now: Duration,
-    ) -> RouteField {
-        let mut field = RouteField::default();
+    ) -> CandidateSet {
+        let mut candidates = CandidateSet::default();
         let shard = &state.shards[index];
         let group = self.roster.group(upstream, state.snapshot, shard.number);
         // A group larger than the lists is weighed from another place each
         // time, so that each of its servers gets its turn.
-        let start = if group.len() > CANDIDATES {
+        let start = if group.len() > MAX_CANDIDATES {
             state.request.sequence as usize % group.len()
         } else {
             0
         };
         for server in group[start..].iter().chain(&group[..start]) {
             let record = self.roster.server(*server);
-            let standing = self.standing(*server, record, shard, now);
-            let is_good = !shard.tried.contains(server) && is_trusted(record, now);
-            match standing {
+            let status = self.option_status(*server, record, shard, now);
+            let is_preferred = !shard.tried.contains(server) && is_healthy(record, now);
+            match status {
                 OptionStanding::Full => {
-                    field.any_full = true;
-                    field.good_full |= is_good;
+                    candidates.has_full_server = true;
+                    candidates.has_full_preferred |= is_preferred;
                     continue;
                 }
                 OptionStanding::Passed | OptionStanding::Ejected => {}
                 _ => continue,
             }
-            let candidate = self.candidate(upstream, *server, record, now);
-            let list = if is_good {
-                &mut field.good
+            let candidate = self.build_candidate(upstream, *server, record, now);
+            let list = if is_preferred {
+                &mut candidates.preferred
             } else {
-                &mut field.poor
+                &mut candidates.fallback
             };
             // A group larger than the list is weighed in part only.
             let _ = list.try_push(candidate);
         }
-        field
+        candidates
     }
 
-    fn standing(
+    fn option_status(
         &self,
         server: ServerKey,
         record: &ServerRecord,
@@ -144,11 +144,11 @@
                 return OptionStanding::Expired;
             }
         }
-        let asked = |attempt: &SlotKey| {
+        let is_outstanding = |attempt: &SlotKey| {
             let attempt = self.attempts.get(*attempt);
             attempt.is_some_and(|attempt| attempt.server == server)
         };
-        if shard.attempts.iter().any(asked) {
+        if shard.attempts.iter().any(is_outstanding) {
             return OptionStanding::Asked;
         }
         if !record.has_room() {
@@ -160,7 +160,7 @@
         OptionStanding::Passed
     }
 
-    fn candidate(
+    fn build_candidate(
         &self,
         upstream: UpstreamKey,
         server: ServerKey,
@@ -186,7 +186,7 @@
         }
     }
 
-    fn send(
+    fn send_subquery(
         &mut self,
         query: SlotKey,
         index: usize,
@@ -195,7 +195,7 @@
         now: Duration,
         out: &mut Vec<EntryAction>,
     ) {
-        let options = self.options_if_traced(query, index, server, now);
+        let options = self.list_options_if_traced(query, index, server, now);
         self.attempt_count += 1;
         let id = AttemptId {
             incarnation: self.options.incarnation,
@@ -234,7 +234,7 @@
             address,
             shard: shard.number,
             snapshot: state.snapshot,
-            until: state.deadline,
+            deadline: state.deadline,
             body: state.body.clone(),
         }));
         let gate = state.gate;
@@ -265,7 +265,7 @@
     }
 
     /// Lists how each server of the group stood, for a recorded query.
-    fn options_if_traced(
+    fn list_options_if_traced(
         &self,
         query: SlotKey,
         index: usize,
@@ -282,15 +282,15 @@
         let mut options = ArrayVec::new();
         for server in group.iter().take(OPTION_COUNT) {
             let record = self.roster.server(*server);
-            let standing = if *server == chosen {
+            let status = if *server == chosen {
                 OptionStanding::Chosen
             } else {
-                self.standing(*server, record, shard, now)
+                self.option_status(*server, record, shard, now)
             };
             options.push(RouteOption {
                 server: Arc::clone(&record.name),
-                standing,
-                cost: self.candidate(upstream, *server, record, now).cost,
+                standing: status,
+                cost: self.build_candidate(upstream, *server, record, now).cost,
             });
         }
         Some(options)
@@ -298,7 +298,7 @@
 }
 
 /// Tells whether a server's health speaks for asking it.
-fn is_trusted(record: &ServerRecord, now: Duration) -> bool {
+fn is_healthy(record: &ServerRecord, now: Duration) -> bool {
     let health = &record.health;
     let may_probe = !health.is_on_probation() || record.outstanding == 0;
     may_probe && !health.is_ejected(now) && !health.is_shedding(now)
@@ -306,19 +306,20 @@
 
 /// Chooses a server: a good one, or a poor one if no good one is to be had
 /// even with a wait. A hedge goes to a good one or not at all.
-fn choose_in<P: RoutePolicy>(
-    field: &RouteField,
+fn choose_server<P: RoutePolicy>(
+    candidates: &CandidateSet,
     cause: SendCause,
     policy: &mut P,
     rng: &mut rand::rngs::SmallRng,
 ) -> Option<ServerKey> {
-    if !field.good.is_empty() {
-        let index = policy.choose(&field.good, rng);
-        return Some(field.good[index].server);
+    if !candidates.preferred.is_empty() {
+        let index = policy.choose(&candidates.preferred, rng);
+        return Some(candidates.preferred[index].server);
     }
-    if cause == SendCause::Hedge || field.good_full || field.poor.is_empty() {
+    if cause == SendCause::Hedge || candidates.has_full_preferred || candidates.fallback.is_empty()
+    {
         return None;
     }
-    let index = policy.choose(&field.poor, rng);
-    Some(field.poor[index].server)
+    let index = policy.choose(&candidates.fallback, rng);
+    Some(candidates.fallback[index].server)
 }
--- a/crates/core/src/process/scatter.rs
+++ b/crates/core/src/process/scatter.rs
@@ -6,8 +6,8 @@
 
 use crate::arena::{SlotKey, UpstreamKey};
 use crate::process::action::EntryAction;
-use crate::process::cover::SnapshotChoice;
 use crate::process::entry::EntryMachine;
+use crate::process::placement::SnapshotChoice;
 use crate::process::policy::RoutePolicy;
 use crate::process::route::RouteOutcome;
 use crate::process::timer::TimerPurpose;
@@ -17,11 +17,16 @@
 use crate::version::row::{FirstAim, RequestKind};
 
 /// Decisions a recorded query makes besides one for each shard.
-const TRACE_OVERHEAD: usize = 4;
+const BASE_TRACE_DECISIONS: usize = 4;
 
 impl<P: RoutePolicy> EntryMachine<P> {
     /// Starts a request that has been let in.
-    pub(super) fn start(&mut self, query: SlotKey, now: Duration, out: &mut Vec<EntryAction>) {
+    pub(super) fn start_query(
+        &mut self,
+        query: SlotKey,
+        now: Duration,
+        out: &mut Vec<EntryAction>,
+    ) {
         let Some(state) = self.queries.get_mut(query) else {
             return;
         };
@@ -39,24 +44,28 @@
 
     /// Chooses a snapshot and sends a subquery for each shard.
     pub(super) fn scatter(&mut self, query: SlotKey, now: Duration, out: &mut Vec<EntryAction>) {
-        let Some((upstream, choice)) = self.choose(query, now) else {
+        let Some((upstream, choice)) = self.choose_snapshot(query, now) else {
             let reason = RefusalReason::NoServer;
-            return self.end_refused(query, reason, None, now, out);
+            return self.end_with_refusal(query, reason, None, now, out);
         };
         self.decide_query(query, now, out, |_| RouteDecision::Snapshot {
             snapshot: choice.snapshot,
             live: choice.live,
             shards: choice.shards,
         });
-        let count = self.lay_out(query, upstream, choice);
+        let count = self.set_up_shards(query, upstream, choice);
         self.set_timers(query, upstream, now);
         for index in 0..count {
-            self.send_first(query, index, now, out);
+            self.send_first_attempt(query, index, now, out);
         }
-        self.check_end(query, now, out);
+        self.end_if_decided(query, now, out);
     }
 
-    fn choose(&self, query: SlotKey, now: Duration) -> Option<(UpstreamKey, SnapshotChoice)> {
+    fn choose_snapshot(
+        &self,
+        query: SlotKey,
+        now: Duration,
+    ) -> Option<(UpstreamKey, SnapshotChoice)> {
         let state = self.queries.get(query)?;
         let upstream = self.roster.upstream(&state.row.upstream)?;
         let choice = self.roster.choose_snapshot(upstream, now)?;
@@ -64,7 +73,12 @@
     }
 
     /// Sets up the shards to ask and returns their number.
-    fn lay_out(&mut self, query: SlotKey, upstream: UpstreamKey, choice: SnapshotChoice) -> usize {
+    fn set_up_shards(
+        &mut self,
+        query: SlotKey,
+        upstream: UpstreamKey,
+        choice: SnapshotChoice,
+    ) -> usize {
         let Some(state) = self.queries.get_mut(query) else {
             return 0;
         };
@@ -76,12 +90,12 @@
         if state.row.kind == RequestKind::Query {
             state.shards.extend((0..choice.shards).map(ShardState::new));
         } else {
-            let number = shard_of(state, choice.shards);
+            let number = select_shard(state, choice.shards);
             state.shards.push(ShardState::new(number));
         }
         let count = state.shards.len();
         if state.traced {
-            self.charge_trace(count + TRACE_OVERHEAD);
+            self.charge_trace(count + BASE_TRACE_DECISIONS);
         }
         count
     }
@@ -92,14 +106,14 @@
         };
         let delay = self.hedge_delay(upstream, &state.row);
         self.timers.set(now + delay, TimerPurpose::Sweep(query));
-        let early = state.row.first == FirstAim::Time && self.policy.answers_early();
-        if early && !state.restarted {
+        let answers_early = state.row.first == FirstAim::Time && self.policy.answers_early();
+        if answers_early && !state.restarted {
             let partial = state.arrived + state.row.partial_after;
             self.timers.set(partial, TimerPurpose::Partial(query));
         }
     }
 
-    fn send_first(
+    fn send_first_attempt(
         &mut self,
         query: SlotKey,
         index: usize,
@@ -108,7 +122,7 @@
     ) {
         let outcome = self.route_shard(query, index, SendCause::First, now, out);
         if outcome == RouteOutcome::NoServer {
-            self.mark_missing(query, index, MissingReason::NoServer, now, out);
+            self.mark_shard_missing(query, index, MissingReason::NoServer, now, out);
         }
     }
 
@@ -120,24 +134,24 @@
         now: Duration,
         out: &mut Vec<EntryAction>,
     ) -> bool {
-        let Some((upstream, choice)) = self.choose(query, now) else {
+        let Some((upstream, choice)) = self.choose_snapshot(query, now) else {
             return false;
         };
         let Some(state) = self.queries.get(query) else {
             return false;
         };
         let from = state.snapshot;
-        let least = self.hedge_delay(upstream, &state.row);
-        let allowed = state.row.kind == RequestKind::Query
+        let min_time = self.hedge_delay(upstream, &state.row);
+        let may_restart = state.row.kind == RequestKind::Query
             && !state.restarted
             && choice.snapshot != from
-            && now + least < state.deadline;
-        if !allowed {
+            && now + min_time < state.deadline;
+        if !may_restart {
             return false;
         }
         self.counters.restarts += 1;
         self.decide_query(query, now, out, |_| RouteDecision::Restart { from });
-        self.cancel_all(query, now, out);
+        self.cancel_query_attempts(query, now, out);
         if let Some(state) = self.queries.get_mut(query) {
             state.restarted = true;
         }
@@ -152,7 +166,7 @@
 }
 
 /// Returns the shard that holds a key: its hash, spread over the shards.
-fn shard_of(state: &QueryState, shards: u32) -> u32 {
+fn select_shard(state: &QueryState, shards: u32) -> u32 {
     let hash = match &state.body.key {
         Some(key) => xxh3_64(key.as_bytes()),
         None => state.request.sequence,
--- a/crates/core/src/process/sweep.rs
+++ b/crates/core/src/process/sweep.rs
@@ -17,20 +17,20 @@
 use crate::version::row::ServiceRow;
 
 /// Hedge delay while too few latencies were seen.
-const UNSEEN_DELAY: Duration = Duration::from_millis(20);
+const DEFAULT_HEDGE_DELAY: Duration = Duration::from_millis(20);
 /// Least hedge delay.
-const LEAST_DELAY: Duration = Duration::from_millis(1);
+const MIN_HEDGE_DELAY: Duration = Duration::from_millis(1);
 /// Attempt timeout as a multiple of the hedge delay.
-const TIMEOUT_MULTIPLE: u32 = 6;
+const TIMEOUT_HEDGE_DELAYS: u32 = 6;
 /// Longest hedge delay, as a part of the row's deadline.
-const DELAY_DIVISOR: u32 = 16;
+const MAX_HEDGE_DELAY_DIVISOR: u32 = 16;
 /// Least attempt timeout.
-const LEAST_TIMEOUT: Duration = Duration::from_millis(40);
+const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(40);
 /// Longest time between two sweeps.
-const LONGEST_SWEEP: Duration = Duration::from_millis(50);
+const MAX_SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What a shard needs when it is looked over.
-enum ShardNeed {
+enum SweepAction {
     Nothing,
     /// It has no attempt outstanding.
     Send,
@@ -47,12 +47,19 @@
     /// is derived from it, useful while everything is slow.
     pub(super) fn hedge_delay(&self, upstream: UpstreamKey, row: &ServiceRow) -> Duration {
         let window = &self.roster.upstream_record(upstream).latency;
-        let delay = window.quantile(row.hedge_quantile).unwrap_or(UNSEEN_DELAY);
-        let longest = row.deadline / DELAY_DIVISOR;
-        delay.min(longest).max(LEAST_DELAY)
+        let delay = window
+            .quantile(row.hedge_quantile)
+            .unwrap_or(DEFAULT_HEDGE_DELAY);
+        let longest = row.deadline / MAX_HEDGE_DELAY_DIVISOR;
+        delay.min(longest).max(MIN_HEDGE_DELAY)
     }
 
-    pub(super) fn sweep(&mut self, query: SlotKey, now: Duration, out: &mut Vec<EntryAction>) {
+    pub(super) fn sweep_query(
+        &mut self,
+        query: SlotKey,
+        now: Duration,
+        out: &mut Vec<EntryAction>,
+    ) {
         let Some(state) = self.queries.get(query) else {
             return;
         };
@@ -61,78 +68,83 @@
         };
         let delay = self.hedge_delay(upstream, &state.row);
         for index in 0..count {
-            let need = self.shard_need(query, index, delay, now);
-            self.meet_need(query, index, need, now, out);
+            let action = self.choose_sweep_action(query, index, delay, now);
+            self.run_sweep_action(query, index, action, now, out);
             if self.queries.get(query).is_none() {
                 return;
             }
         }
-        let next = (delay / 2).clamp(LEAST_DELAY, LONGEST_SWEEP);
+        let next = (delay / 2).clamp(MIN_HEDGE_DELAY, MAX_SWEEP_INTERVAL);
         self.timers.set(now + next, TimerPurpose::Sweep(query));
     }
 
-    fn shard_need(
+    fn choose_sweep_action(
         &self,
         query: SlotKey,
         index: usize,
         delay: Duration,
         now: Duration,
-    ) -> ShardNeed {
+    ) -> SweepAction {
         let Some(state) = self.queries.get(query) else {
-            return ShardNeed::Nothing;
+            return SweepAction::Nothing;
         };
         // A restart in the middle of a sweep may leave fewer shards.
         let Some(shard) = state.shards.get(index) else {
-            return ShardNeed::Nothing;
+            return SweepAction::Nothing;
         };
         if shard.status != ShardStatus::Open {
-            return ShardNeed::Nothing;
+            return SweepAction::Nothing;
         }
         if shard.attempts.is_empty() {
-            return ShardNeed::Send;
+            return SweepAction::Send;
         }
         if !is_repeatable(state.row.kind) && self.options.guards.once {
-            return ShardNeed::Nothing;
+            return SweepAction::Nothing;
         }
-        if let Some(attempt) = self.timed_out(shard, delay, now) {
-            return ShardNeed::Timeout(attempt);
+        if let Some(attempt) = self.find_timed_out_attempt(shard, delay, now) {
+            return SweepAction::Timeout(attempt);
         }
-        let slow = now >= shard.sent_at + delay;
+        let is_slow = now >= shard.sent_at + delay;
         let may_hedge = self.policy.hedges() && state.row.hedge_quantile < 1.0;
         let may_send = shard.attempts.len() == 1 && shard.sends <= state.row.retries;
-        if may_hedge && slow && may_send {
-            ShardNeed::Hedge
+        if may_hedge && is_slow && may_send {
+            SweepAction::Hedge
         } else {
-            ShardNeed::Nothing
+            SweepAction::Nothing
         }
     }
 
-    fn timed_out(&self, shard: &ShardState, delay: Duration, now: Duration) -> Option<SlotKey> {
+    fn find_timed_out_attempt(
+        &self,
+        shard: &ShardState,
+        delay: Duration,
+        now: Duration,
+    ) -> Option<SlotKey> {
         if !self.policy.ejects() {
             return None;
         }
-        let timeout = (delay * TIMEOUT_MULTIPLE).max(LEAST_TIMEOUT);
+        let timeout = (delay * TIMEOUT_HEDGE_DELAYS).max(MIN_ATTEMPT_TIMEOUT);
         let mut attempts = shard.attempts.iter();
-        let outlasted = |key: &&SlotKey| {
+        let has_timed_out = |key: &&SlotKey| {
             let attempt = self.attempts.get(**key);
             attempt.is_some_and(|attempt| now >= attempt.sent_at + timeout)
         };
-        attempts.find(outlasted).copied()
+        attempts.find(has_timed_out).copied()
     }
 
-    fn meet_need(
+    fn run_sweep_action(
         &mut self,
         query: SlotKey,
         index: usize,
-        need: ShardNeed,
+        action: SweepAction,
         now: Duration,
         out: &mut Vec<EntryAction>,
     ) {
-        match need {
-            ShardNeed::Nothing => {}
-            ShardNeed::Send => self.retry_shard(query, index, now, out),
-            ShardNeed::Hedge => self.hedge_shard(query, index, now, out),
-            ShardNeed::Timeout(attempt) => self.time_out(query, index, attempt, now, out),
+        match action {
+            SweepAction::Nothing => {}
+            SweepAction::Send => self.retry_shard(query, index, now, out),
+            SweepAction::Hedge => self.hedge_shard(query, index, now, out),
+            SweepAction::Timeout(attempt) => self.time_out_attempt(query, index, attempt, now, out),
         }
     }
 
@@ -152,7 +164,7 @@
 
     /// Gives up an attempt that has outlasted its timeout, and counts it
     /// against its server.
-    fn time_out(
+    fn time_out_attempt(
         &mut self,
         query: SlotKey,
         index: usize,
@@ -166,8 +178,8 @@
         let (server, sent_at) = (attempt.server, attempt.sent_at);
         self.counters.timeouts += 1;
         self.cancel_attempt(key, CancelCause::TimedOut, now, out);
-        self.server_failed(server, now, out);
-        self.watch_domain(server, sent_at, now, out);
+        self.record_server_failure(server, now, out);
+        self.record_domain_timeout(server, sent_at, now, out);
         let Some(state) = self.queries.get_mut(query) else {
             return;
         };
@@ -192,16 +204,16 @@
         let shard = &state.shards[index];
         let trouble = shard.trouble.unwrap_or(MissingReason::NoServer);
         if shard.sends > state.row.retries {
-            return self.give_up(query, index, trouble, now, out);
+            return self.give_up_shard(query, index, trouble, now, out);
         }
-        let cause = self.next_cause(query, index);
+        let cause = self.next_send_cause(query, index);
         if cause.draws_budget() {
             let has_budget = self.allows_retry(query);
-            let is_silent = trouble == MissingReason::TooLate;
+            let has_timed_out = trouble == MissingReason::TooLate;
             // What was silent once is not waited for again, and a token that
             // may come is not waited for without hope of a good server.
-            if (is_silent || !has_budget) && !self.has_good_server(query, index, now) {
-                return self.give_up(query, index, trouble, now, out);
+            if (has_timed_out || !has_budget) && !self.has_preferred_server(query, index, now) {
+                return self.give_up_shard(query, index, trouble, now, out);
             }
             if !has_budget {
                 self.counters.budget_denied += 1;
@@ -210,7 +222,7 @@
         }
         let outcome = self.route_shard(query, index, cause, now, out);
         if outcome == RouteOutcome::NoServer {
-            self.give_up(query, index, trouble, now, out);
+            self.give_up_shard(query, index, trouble, now, out);
         }
     }
 
--- a/crates/core/src/process/wait.rs
+++ b/crates/core/src/process/wait.rs
@@ -11,11 +11,11 @@
 use crate::request::query::ShardStatus;
 
 /// Waiting tickets of a server above which stale ones are swept out.
-const TICKETS_SWEPT: usize = 1024;
+const WAITER_PRUNE_THRESHOLD: usize = 1024;
 
 impl<P: RoutePolicy> EntryMachine<P> {
     /// Puts a shard into the queues of the servers that could take it.
-    pub(super) fn wait_for_room(
+    pub(super) fn enqueue_shard(
         &mut self,
         query: SlotKey,
         index: usize,
@@ -42,7 +42,7 @@
             let server = self.roster.group(upstream, snapshot, number)[place];
             let queries = &self.queries;
             let record = self.roster.server_mut(server);
-            if record.waiters.len() >= TICKETS_SWEPT {
+            if record.waiters.len() >= WAITER_PRUNE_THRESHOLD {
                 record
                     .waiters
                     .retain(|ticket| queries.get(ticket.query).is_some());
@@ -55,7 +55,7 @@
     }
 
     /// Gives a server's free room to the shards that wait for it.
-    pub(super) fn serve_waiters(
+    pub(super) fn route_queued_shards(
         &mut self,
         server: ServerKey,
         now: Duration,
@@ -70,15 +70,15 @@
                 return;
             };
             let index = ticket.index as usize;
-            if self.still_waits(ticket) {
-                let cause = self.next_cause(ticket.query, index);
-                self.clear_wait(ticket);
+            if self.is_still_queued(ticket) {
+                let cause = self.next_send_cause(ticket.query, index);
+                self.clear_queued(ticket);
                 if cause.draws_budget() && !self.allows_retry(ticket.query) {
                     // The next sweep decides what becomes of it.
                     continue;
                 }
                 self.route_shard(ticket.query, index, cause, now, out);
-                if self.still_waits(ticket) {
+                if self.is_still_queued(ticket) {
                     // The server has room, yet the shard waits for a better
                     // one: leave the rest of the queue for the next time.
                     return;
@@ -87,13 +87,13 @@
         }
     }
 
-    fn clear_wait(&mut self, ticket: ShardTicket) {
+    fn clear_queued(&mut self, ticket: ShardTicket) {
         if let Some(state) = self.queries.get_mut(ticket.query) {
             state.shards[ticket.index as usize].waits = false;
         }
     }
 
-    fn still_waits(&self, ticket: ShardTicket) -> bool {
+    fn is_still_queued(&self, ticket: ShardTicket) -> bool {
         let state = self.queries.get(ticket.query);
         let shard = state.and_then(|state| state.shards.get(ticket.index as usize));
         shard.is_some_and(|shard| {
@@ -102,7 +102,7 @@
     }
 
     /// Returns the cause of the next send of a shard without attempts.
-    pub(super) fn next_cause(&self, query: SlotKey, index: usize) -> SendCause {
+    pub(super) fn next_send_cause(&self, query: SlotKey, index: usize) -> SendCause {
         let Some(state) = self.queries.get(query) else {
             return SendCause::First;
         };
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -252,7 +252,7 @@
                 }
             }
             EntryAction::Finish { call, outcome } => self.finish(call, outcome),
-            EntryAction::Decide(_) => {}
+            EntryAction::RecordDecision(_) => {}
             EntryAction::Left => self.left = true,
         }
     }
--- a/crates/node/src/connection/attempt.rs
+++ b/crates/node/src/connection/attempt.rs
@@ -26,7 +26,7 @@
     clock: ProcessClock,
     order: SendOrder,
 ) -> AttemptReply {
-    let limit = order.until.saturating_sub(clock.elapsed()) + OVERTIME;
+    let limit = order.deadline.saturating_sub(clock.elapsed()) + OVERTIME;
     let key = order.attempt;
     let mut connect = None;
     let exchange = exchange(&pool, source, clock, &order, &mut connect);
@@ -63,7 +63,7 @@
             SendEnd::NeverSent => {}
         }
     }
-    if clock.elapsed() >= order.until {
+    if clock.elapsed() >= order.deadline {
         // Nothing would be written, and opening costs the server a slot.
         return ReplyStatus::NeverSent;
     }
@@ -89,7 +89,7 @@
     }
     // What is told of time is worked out as it is written.
     let now = clock.elapsed();
-    if now >= order.until {
+    if now >= order.deadline {
         return SendEnd::NeverSent;
     }
     let Ok(body) = encode_search(order, now) else {
--- a/crates/node/src/process/entry.rs
+++ b/crates/node/src/process/entry.rs
@@ -145,7 +145,7 @@
                     let _ = sender.send(outcome);
                 }
             }
-            EntryAction::Decide(event) => self.journal.record(*event),
+            EntryAction::RecordDecision(event) => self.journal.record(*event),
             EntryAction::Left => {
                 if let Some(left) = self.left.take() {
                     let _ = left.send(());
--- a/crates/node/tests/attempt_time.rs
+++ b/crates/node/tests/attempt_time.rs
@@ -40,7 +40,7 @@
     (address, asked)
 }
 
-fn order(address: SocketAddr, until: Duration) -> SendOrder {
+fn order(address: SocketAddr, deadline: Duration) -> SendOrder {
     let identity = RequestId {
         incarnation: 1,
         sequence: 1,
@@ -59,7 +59,7 @@
             epoch: 1,
             version: 1,
         },
-        until,
+        deadline,
         body: Arc::new(RequestBody {
             kind: RequestKind::Query,
             key: None,
--- a/crates/wire/src/upstream.rs
+++ b/crates/wire/src/upstream.rs
@@ -162,7 +162,7 @@
         shard: order.shard,
         epoch: order.snapshot.epoch,
         version: order.snapshot.version,
-        remaining_ms: order.until.saturating_sub(now).as_millis() as u64,
+        remaining_ms: order.deadline.saturating_sub(now).as_millis() as u64,
         key: order.body.key.as_deref().map(str::to_string),
         payload: payload.to_owned(),
     };
