--- a/crates/core/src/process/action.rs
+++ b/crates/core/src/process/action.rs
@@ -1,4 +1,7 @@
-//! What the entry machine asks its driver to do.
+//! Outputs of the entry machine: the actions that its driver carries out.
+//!
+//! The entry machine does no input or output itself. It returns a list of [`EntryAction`]s
+//! for each input, and the driver (threads and sockets) executes them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,14 +14,14 @@
 use crate::request::identity::{AttemptId, RequestId};
 use crate::version::snapshot::SnapshotId;
 
-/// An order to send one subquery.
+/// An order to send one subquery, that is, a request for one shard to one server.
 #[derive(Debug, Clone)]
 pub struct SendOrder {
-    /// Key under which the reply is handed back.
+    /// Key of the attempt. The driver returns the reply under this key.
     pub attempt: SlotKey,
-    /// Identity sent with it and expected in the reply.
+    /// Identity of the attempt, sent to the server and expected back in the reply.
     pub id: AttemptId,
-    /// Request it belongs to.
+    /// Request that the subquery belongs to.
     pub request: RequestId,
     /// Server to send to.
     pub server: ServerKey,
@@ -28,36 +31,38 @@
     pub shard: u32,
     /// Snapshot to search.
     pub snapshot: SnapshotId,
-    /// The request's deadline, since the process started. A span would grow old
-    /// until it is written: another thread does that, on a connection that may
-    /// have to be opened first.
+    /// The request's deadline, as the time since the process started.
+    ///
+    /// An absolute time, because another thread writes the subquery and may have to open
+    /// a connection first: a remaining time would be outdated by then.
     pub deadline: Duration,
-    /// What is passed on.
+    /// Content of the request, passed to the server unchanged.
     pub body: Arc<RequestBody>,
 }
 
-/// One action of the entry machine.
+/// An action that the driver carries out for the entry machine.
 #[derive(Debug, Clone)]
 pub enum EntryAction {
-    /// Send a subquery.
+    /// Sends a subquery.
     Send(SendOrder),
-    /// Cancel a subquery; its reply is no longer wanted.
+    /// Cancels a subquery whose reply is no longer needed.
     Cancel {
-        /// The attempt.
+        /// Key of the attempt to cancel.
         attempt: SlotKey,
-        /// The server it was sent to.
+        /// Server that the attempt was sent to.
         server: ServerKey,
     },
-    /// Hand a request's outcome to its caller.
+    /// Sends the outcome of a request to its caller.
     Finish {
-        /// The request's name at the driver.
+        /// The driver's tag of the request.
         call: CallTag,
-        /// The outcome.
+        /// Answer or refusal.
         outcome: QueryOutcome,
     },
-    /// Record a decision. Boxed, as it is large and seldom: each action takes
-    /// the room of the largest.
+    /// Records a routing decision in the decision log. The event is large and rare, so it
+    /// is boxed to keep the size of all other actions small.
     RecordDecision(Box<DecisionEvent>),
-    /// The last request has ended after [`Leave`](super::input::EntryInput::Leave).
+    /// Reports that the instance is drained: the last request has ended after
+    /// [`Leave`](super::input::EntryInput::Leave).
     Left,
 }
--- a/crates/core/src/process/admission.rs
+++ b/crates/core/src/process/admission.rs
@@ -1,4 +1,8 @@
-//! Letting requests in: at once, after a wait, or not at all.
+//! Admission control: a new request starts at once, waits in its service's queue, or is
+//! refused.
+//!
+//! A request is queued only if the queue has a free place and the expected wait leaves
+//! enough time for an answer before the deadline.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,12 +21,13 @@
 use crate::version::row::{RequestKind, ServiceRow};
 use crate::version::snapshot::SnapshotId;
 
-/// Time kept back from a deadline for the answer's own way to the caller.
+/// Time subtracted from the caller's deadline for sending the response to the caller.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(2);
-/// When to come back after a refusal that names no better time.
+/// Retry time given to the caller when no better estimate exists.
 pub(super) const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl<P: RoutePolicy> EntryMachine<P> {
+    /// Handles a new request: starts it, queues it, or refuses it.
     pub(super) fn handle_request(
         &mut self,
         request: QueryRequest,
@@ -60,6 +65,7 @@
         }
     }
 
+    /// Ends the request of a caller that has disconnected.
     pub(super) fn handle_caller_left(
         &mut self,
         call: CallTag,
@@ -71,7 +77,7 @@
         }
     }
 
-    /// Starts waiting requests while there is room.
+    /// Starts queued requests while the limits on running requests allow it.
     pub(super) fn start_queued_requests(&mut self, now: Duration, out: &mut Vec<EntryAction>) {
         while let Some(query) = self.gates.take_next() {
             if self.queries.get(query).is_some() {
@@ -80,6 +86,10 @@
         }
     }
 
+    /// Finds the gate (admission state) and the table row of the requested service.
+    ///
+    /// Fails if the instance is shutting down, the service is not in the table, or the
+    /// service does not take this kind of request.
     fn resolve_service(
         &self,
         request: &QueryRequest,
@@ -97,9 +107,10 @@
         Ok((gate, row))
     }
 
-    /// Checks whether a request may wait: there is a place in the queue, and
-    /// the wait leaves enough time to answer. The reason comes with the time
-    /// after which it is worth to come back.
+    /// Checks that the queue has a free place and that the expected wait leaves enough
+    /// time for an answer.
+    ///
+    /// On failure, returns the reason and the time after which the caller should retry.
     fn check_queue(
         &self,
         gate: GateKey,
@@ -119,6 +130,7 @@
         Ok(())
     }
 
+    /// Stores the state of a new request and sets its deadline timer.
     fn insert_query(
         &mut self,
         request: QueryRequest,
@@ -157,6 +169,7 @@
         query
     }
 
+    /// Appends a request to the queue of its service and records that decision.
     fn enqueue(
         &mut self,
         query: SlotKey,
@@ -177,13 +190,14 @@
         });
     }
 
-    /// Refuses a request that was never let in; this is always "not run".
+    /// Refuses a request that was not admitted. No server has received any part of the
+    /// request, so its run state is always `NotRun`.
     fn refuse_unadmitted(
         &mut self,
         call: CallTag,
         request: RequestId,
         reason: RefusalReason,
-        wait: Option<Duration>,
+        retry_after: Option<Duration>,
         now: Duration,
         out: &mut Vec<EntryAction>,
     ) {
@@ -198,7 +212,7 @@
             table_version: self.table_version,
             reason,
             run: RunState::NotRun,
-            retry_after: wait.or_else(|| suggest_retry_after(reason)),
+            retry_after: retry_after.or_else(|| suggest_retry_after(reason)),
             coverage: CoverageReport::default(),
         };
         out.push(EntryAction::Finish {
@@ -208,7 +222,8 @@
     }
 }
 
-/// Returns when to come back, for the reasons that pass with time.
+/// Returns the retry time for refusals whose reason is temporary, and `None` for the
+/// others.
 pub(super) fn suggest_retry_after(reason: RefusalReason) -> Option<Duration> {
     match reason {
         RefusalReason::Leaving
@@ -219,8 +234,8 @@
     }
 }
 
-/// Tells whether a request of this kind may be sent again after it may have
-/// run.
+/// Returns whether a request of this kind may be sent a second time after a server may
+/// have run it.
 pub(super) fn is_repeatable(kind: RequestKind) -> bool {
     kind != RequestKind::NonRepeatable
 }
--- a/crates/core/src/process/finish.rs
+++ b/crates/core/src/process/finish.rs
@@ -1,4 +1,7 @@
-//! Ending a request: complete, partial, or refused.
+//! The end of a request: a complete answer, a partial answer, or a refusal.
+//!
+//! A query ends as soon as its outcome cannot change, at the latest at its deadline. Every
+//! request gets exactly one outcome.
 
 use std::time::Duration;
 
@@ -15,7 +18,10 @@
 use crate::request::query::{QueryState, ShardStatus};
 
 impl<P: RoutePolicy> EntryMachine<P> {
-    /// Gives up a shard, or restarts the query if another snapshot is better.
+    /// Gives up a shard: the answer will not include that shard.
+    ///
+    /// If no server holds the shard any more, first tries to restart the whole query on
+    /// another snapshot.
     pub(super) fn give_up_shard(
         &mut self,
         query: SlotKey,
@@ -35,6 +41,7 @@
         self.end_if_decided(query, now, out);
     }
 
+    /// Marks an open shard as missing from the answer and records that decision.
     pub(super) fn mark_shard_missing(
         &mut self,
         query: SlotKey,
@@ -56,7 +63,11 @@
         self.decide_query(query, now, out, |_| RouteDecision::GiveUp { shard, reason });
     }
 
-    /// Ends a query as soon as its outcome is certain.
+    /// Ends a query if its outcome is decided.
+    ///
+    /// The outcome is decided when no shard is open (neither answered nor given up), when the
+    /// service's minimum coverage can no longer be reached, or when a partial answer is
+    /// allowed and has the minimum coverage.
     pub(super) fn end_if_decided(
         &mut self,
         query: SlotKey,
@@ -66,14 +77,17 @@
         let Some(state) = self.queries.get(query) else {
             return;
         };
-        let floor = state.row.coverage_floor;
-        let is_hopeless = state.reachable() < floor;
-        let may_end_early = state.partial_due && state.fraction() >= floor && state.answered > 0;
-        if state.open() == 0 || is_hopeless || may_end_early {
+        let min_coverage = state.row.coverage_floor;
+        let is_coverage_unreachable = state.reachable() < min_coverage;
+        let may_end_early =
+            state.partial_due && state.fraction() >= min_coverage && state.answered > 0;
+        if state.open() == 0 || is_coverage_unreachable || may_end_early {
             self.end_running(query, now, out);
         }
     }
 
+    /// Handles the partial-answer timer: from now on the query ends as soon as it has the
+    /// service's minimum coverage.
     pub(super) fn allow_partial_answer(
         &mut self,
         query: SlotKey,
@@ -89,6 +103,7 @@
         }
     }
 
+    /// Handles the deadline timer: ends a running query and refuses a queued one.
     pub(super) fn handle_deadline(
         &mut self,
         query: SlotKey,
@@ -101,23 +116,32 @@
         if state.is_running {
             return self.end_running(query, now, out);
         }
-        let wait = self.gates.gate(state.gate).service_time;
-        self.end_with_refusal(query, RefusalReason::DeadlinePassed, Some(wait), now, out);
+        let retry_after = self.gates.gate(state.gate).service_time;
+        self.end_with_refusal(
+            query,
+            RefusalReason::DeadlinePassed,
+            Some(retry_after),
+            now,
+            out,
+        );
     }
 
-    /// Ends a running query with what it has.
+    /// Ends a running query: with an answer if it has the service's minimum coverage, else
+    /// with a refusal.
     fn end_running(&mut self, query: SlotKey, now: Duration, out: &mut Vec<EntryAction>) {
         let Some(state) = self.queries.get(query) else {
             return;
         };
-        let is_enough = state.answered > 0 && state.fraction() >= state.row.coverage_floor;
-        if is_enough {
+        let has_required_coverage =
+            state.answered > 0 && state.fraction() >= state.row.coverage_floor;
+        if has_required_coverage {
             return self.end_with_answer(query, now, out);
         }
         let reason = find_refusal_reason(state);
         self.end_with_refusal(query, reason, None, now, out);
     }
 
+    /// Answers a query with the merged hits of all shards that have replied.
     fn end_with_answer(&mut self, query: SlotKey, now: Duration, out: &mut Vec<EntryAction>) {
         self.cancel_query_attempts(query, now, out);
         let Some(mut state) = self.remove_query(query, now) else {
@@ -160,20 +184,20 @@
         self.keep_shards(state.shards);
     }
 
-    /// Ends a request, queued or running, without an answer.
+    /// Refuses a queued or running request.
     pub(super) fn end_with_refusal(
         &mut self,
         query: SlotKey,
         reason: RefusalReason,
-        wait: Option<Duration>,
+        retry_after: Option<Duration>,
         now: Duration,
         out: &mut Vec<EntryAction>,
     ) {
         let Some(state) = self.queries.get(query) else {
             return;
         };
-        // What may not be repeated is left to run to its end: cancelling it
-        // half way helps nobody.
+        // A request that may not be repeated is not cancelled: stopping it half way would
+        // help nobody.
         if is_repeatable(state.row.kind) {
             self.cancel_query_attempts(query, now, out);
         }
@@ -198,14 +222,15 @@
                 table_version: state.table_version,
                 reason,
                 run,
-                retry_after: wait.or_else(|| suggest_retry_after(reason)),
+                retry_after: retry_after.or_else(|| suggest_retry_after(reason)),
                 coverage: state.coverage(),
             }),
         });
         self.keep_shards(state.shards);
     }
 
-    /// Takes a query out of the machine and frees its place at the gate.
+    /// Removes a query and frees its place among the running or queued requests of its
+    /// service.
     fn remove_query(&mut self, query: SlotKey, now: Duration) -> Option<QueryState> {
         let state = self.queries.remove(query)?;
         self.calls.remove(&state.call);
@@ -221,7 +246,7 @@
     }
 }
 
-/// Returns why a query that has too little to answer is refused.
+/// Returns the refusal reason for a query that ends below its minimum coverage.
 fn find_refusal_reason(state: &QueryState) -> RefusalReason {
     if !is_repeatable(state.row.kind) && state.maybe_ran > 0 {
         return RefusalReason::OutcomeUnknown;
--- a/crates/core/src/process/latency.rs
+++ b/crates/core/src/process/latency.rs
@@ -1,24 +1,27 @@
-//! Quantiles of recent latencies, in constant space.
+//! Quantiles of recent latencies, from a histogram of constant size.
+//!
+//! Old samples lose weight because all counts are halved after every few thousand samples.
 
 use std::time::Duration;
 
-/// Buckets for each doubling of the latency.
+/// Number of buckets per doubling of the latency.
 const BUCKETS_PER_DOUBLING: f64 = 8.0;
-/// Number of buckets: 16 us to about 4 s, in steps of 9%.
+/// Number of buckets. They range from 16 us to about 4 s, in steps of 9%.
 const BUCKET_COUNT: usize = 144;
-/// Latency of the first bucket in microseconds.
+/// Lower bound of the first bucket, in microseconds. Lower latencies count there too.
 const FIRST_BUCKET_MICROS: f64 = 16.0;
-/// Samples after which all counts are halved.
+/// Number of counted samples at which all counts are halved.
 const HALVE_AT_SAMPLES: u32 = 4096;
-/// Samples after which the remembered quantiles are worked out anew.
+/// Number of new samples after which the cached median is computed again.
 const REFRESH_AFTER_SAMPLES: u32 = 64;
-/// Samples below which there is no quantile yet.
+/// Minimum number of samples for a quantile.
 const MIN_SAMPLES: u32 = 32;
 
 /// A histogram of recent latencies in logarithmic buckets.
 ///
-/// Counts are halved from time to time, so that the quantiles follow the last
-/// few thousand samples. A quantile is off by at most one bucket (9%).
+/// All counts are halved whenever their sum reaches `HALVE_AT_SAMPLES`, so that the
+/// quantiles follow the last few thousand samples. The error of a quantile is at most one
+/// bucket (9%).
 #[derive(Debug, Clone)]
 pub struct LatencyWindow {
     counts: [u32; BUCKET_COUNT],
@@ -41,7 +44,7 @@
 }
 
 impl LatencyWindow {
-    /// Adds a sample.
+    /// Adds a sample, and updates the cached median if enough samples are new.
     pub fn add(&mut self, latency: Duration) {
         self.counts[bucket_of(latency)] += 1;
         self.total += 1;
@@ -56,18 +59,19 @@
         }
     }
 
-    /// Returns the median as of the last few samples.
+    /// Returns the cached median, or `None` while there are too few samples.
     pub fn median(&self) -> Option<Duration> {
         self.median
     }
 
-    /// Returns the median in microseconds, worked out once for many costs.
+    /// Returns the cached median in microseconds. Routing reads it for the cost of every
+    /// candidate server.
     pub fn median_micros(&self) -> Option<f32> {
         self.median_micros
     }
 
-    /// Returns the latency that a fraction `quantile` of the samples keeps
-    /// below, once there are enough samples.
+    /// Returns the upper bound of the bucket that contains the given quantile (0 to 1), or
+    /// `None` while there are too few samples.
     pub fn quantile(&self, quantile: f64) -> Option<Duration> {
         if self.total < MIN_SAMPLES {
             return None;
@@ -83,6 +87,7 @@
         Some(bucket_upper_bound(BUCKET_COUNT - 1))
     }
 
+    /// Halves all counts, so that older samples lose weight.
     fn halve(&mut self) {
         self.total = 0;
         for count in &mut self.counts {
@@ -92,6 +97,7 @@
     }
 }
 
+/// Returns the index of the bucket for a latency.
 fn bucket_of(latency: Duration) -> usize {
     let micros = latency.as_secs_f64() * 1e6;
     if micros <= FIRST_BUCKET_MICROS {
@@ -101,6 +107,7 @@
     bucket.min(BUCKET_COUNT - 1)
 }
 
+/// Returns the highest latency of a bucket.
 fn bucket_upper_bound(bucket: usize) -> Duration {
     let doublings = (bucket as f64 + 1.0) / BUCKETS_PER_DOUBLING;
     Duration::from_secs_f64(FIRST_BUCKET_MICROS * doublings.exp2() / 1e6)
--- a/crates/core/src/process/placement.rs
+++ b/crates/core/src/process/placement.rs
@@ -1,37 +1,40 @@
-//! Which servers cover which shards of a snapshot.
+//! Placement of snapshots: which servers hold which shards of each snapshot.
+//!
+//! A snapshot is one consistent version of an upstream's data, split into shards.
 
 use crate::arena::ServerKey;
 use crate::process::news::HeldSnapshot;
 use crate::version::snapshot::SnapshotId;
 
-/// The servers of each shard of one snapshot.
+/// The servers that hold the shards of one snapshot.
 #[derive(Debug)]
 pub struct SnapshotPlacement {
-    /// The snapshot.
+    /// The placed snapshot.
     pub snapshot: SnapshotId,
-    /// For each shard, the servers that hold it.
+    /// For each shard number, the servers that hold that shard.
     pub servers_by_shard: Vec<Vec<ServerKey>>,
 }
 
-/// A snapshot chosen for a query.
+/// The snapshot chosen for a query, with the number of its live shards.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SnapshotChoice {
-    /// The snapshot.
+    /// The chosen snapshot.
     pub snapshot: SnapshotId,
-    /// Its shards that have a live server.
+    /// Number of shards of the snapshot that have at least one live server.
     pub live: u32,
-    /// Its shards.
+    /// Number of shards of the snapshot.
     pub shards: u32,
 }
 
 impl SnapshotChoice {
-    /// Returns the fraction of the shards that have a live server.
+    /// Returns the fraction of the shards that have a live server (0 to 1).
     pub fn live_fraction(self) -> f64 {
         f64::from(self.live) / f64::from(self.shards)
     }
 }
 
-/// Adds a server to the cover of a snapshot that it holds a shard of.
+/// Adds a server to the placement of the snapshot that `held` names, under the shard that
+/// the server holds. Creates the placement if the snapshot has none yet.
 pub(super) fn add_to_placement(
     placements: &mut Vec<SnapshotPlacement>,
     held: HeldSnapshot,
--- a/crates/core/src/process/replies.rs
+++ b/crates/core/src/process/replies.rs
@@ -1,4 +1,8 @@
-//! Taking replies: only what matches in attempt, request, shard and snapshot.
+//! Handling of replies: how the end of each attempt changes its query and its server.
+//!
+//! An attempt is one subquery sent to one server. A reply counts only if it names the
+//! attempt, request, shard and snapshot that the subquery was sent for; any other reply is
+//! dropped.
 
 use std::time::Duration;
 
@@ -12,21 +16,25 @@
 use crate::request::decision::{DropReason, EjectCause, RouteDecision};
 use crate::request::query::{AttemptState, ShardStatus};
 
-/// Why an attempt is cancelled.
+/// The reason for cancelling an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CancelCause {
-    /// Another attempt answered first.
+    /// Another attempt for the same shard was answered first.
     AnsweredElsewhere,
-    /// It outlasted its timeout.
+    /// The attempt exceeded its timeout.
     TimedOut,
-    /// Nobody waits for its query any more, or it is sent elsewhere.
+    /// The query has ended or restarted, or the shard is sent to another server.
     NoLongerNeeded,
 }
 
-/// Weight of a new sample in the moving average of the connection time.
+/// Weight of a new sample in the moving average of the time to open a connection.
 const CONNECT_TIME_GAIN: f32 = 0.1;
 
 impl<P: RoutePolicy> EntryMachine<P> {
+    /// Handles the end of an attempt, with or without a reply.
+    ///
+    /// Updates the server's health, then accepts the reply or retries the shard. A reply to
+    /// an attempt that has already ended is dropped and counted as late.
     pub(super) fn reply(&mut self, reply: AttemptReply, now: Duration, out: &mut Vec<EntryAction>) {
         let Some(attempt) = self.attempts.remove(reply.attempt) else {
             self.counters.drops_late += 1;
@@ -71,7 +79,8 @@
         self.route_queued_shards(attempt.server, now, out);
     }
 
-    /// Takes a well-formed reply, if it is the one that was asked for.
+    /// Handles a well-formed reply: stores its hits if the reply matches the attempt, else
+    /// drops the reply.
     fn handle_reply_body(
         &mut self,
         attempt: &AttemptState,
@@ -108,7 +117,10 @@
         self.end_if_decided(attempt.query, now, out);
     }
 
-    /// Returns in what a reply differs from what was asked for.
+    /// Returns the first difference between a reply and the subquery that was sent, or
+    /// `None` if they match.
+    ///
+    /// If the query has ended, only the identity of the attempt is compared.
     fn find_mismatch(&self, attempt: &AttemptState, body: &ReplyBody) -> Option<DropReason> {
         let guards = self.options.guards;
         let Some(state) = self.queries.get(attempt.query) else {
@@ -128,6 +140,10 @@
         None
     }
 
+    /// Drops a reply that does not match its attempt, and treats the attempt's reply as
+    /// lost.
+    ///
+    /// A reply from another snapshot does not count as a failure of the server.
     fn drop_reply(
         &mut self,
         attempt: &AttemptState,
@@ -147,7 +163,8 @@
             reason,
         });
         if reason == DropReason::Foreign {
-            // The driver closes a connection that is out of step.
+            // The driver closes a connection whose replies no longer match the requests, so
+            // that connection is not idle.
             let record = self.roster.server_mut(attempt.server);
             record.idle = record.idle.saturating_sub(1);
         }
@@ -157,7 +174,10 @@
         self.handle_lost_reply(attempt, now, out);
     }
 
-    /// Handles an attempt that may have run and whose reply is lost.
+    /// Handles an attempt whose subquery the server may have run and whose reply is lost.
+    ///
+    /// A request that may not be repeated is refused with an unknown outcome. For any other
+    /// request the attempt counts as failed.
     pub(super) fn handle_lost_reply(
         &mut self,
         attempt: &AttemptState,
@@ -174,8 +194,8 @@
         self.handle_failed_attempt(attempt, MissingReason::Failed, now, out);
     }
 
-    /// Handles an attempt that failed: its shard is tried elsewhere if the
-    /// retry limit and the budget allow.
+    /// Handles a failed attempt: sends the shard again if the retry limit and the
+    /// extra-load budget allow it.
     pub(super) fn handle_failed_attempt(
         &mut self,
         attempt: &AttemptState,
@@ -194,19 +214,22 @@
         }
     }
 
+    /// Records that no server has run an attempt's subquery.
     fn uncount_possible_run(&mut self, attempt: &AttemptState) {
         if let Some(state) = self.queries.get_mut(attempt.query) {
             state.maybe_ran -= 1;
         }
     }
 
+    /// Records that nothing of the shard's last attempt was written to a connection, so that
+    /// the next send is not charged to the extra-load budget.
     fn mark_last_unsent(&mut self, attempt: &AttemptState) {
         if let Some(state) = self.queries.get_mut(attempt.query) {
             state.shards[attempt.index as usize].unsent = true;
         }
     }
 
-    /// Takes an attempt off its shard.
+    /// Removes an attempt from the outstanding attempts of its shard.
     pub(super) fn detach_attempt(&mut self, attempt: &AttemptState, key: SlotKey) {
         if let Some(state) = self.queries.get_mut(attempt.query) {
             let shard = &mut state.shards[attempt.index as usize];
@@ -214,6 +237,7 @@
         }
     }
 
+    /// Records the latency of a valid reply for the server and its upstream.
     fn record_server_success(
         &mut self,
         server: ServerKey,
@@ -227,6 +251,7 @@
         self.eject_if_unhealthy(server, now, out);
     }
 
+    /// Records a failure of a server.
     pub(super) fn record_server_failure(
         &mut self,
         server: ServerKey,
@@ -238,7 +263,11 @@
         self.eject_if_unhealthy(server, now, out);
     }
 
-    /// Ejects a server if what was seen of it calls for that.
+    /// Ejects a server (avoids it for a period) if its failures or its latency exceed the
+    /// limits.
+    ///
+    /// If failures were the cause, the server's outstanding attempts are sent to other
+    /// servers.
     pub(super) fn eject_if_unhealthy(
         &mut self,
         server: ServerKey,
@@ -266,6 +295,8 @@
         }
     }
 
+    /// Updates the upstream's moving average of the time to open a connection, in
+    /// microseconds.
     fn update_connect_time(&mut self, server: ServerKey, connect: Duration) {
         let upstream = self.roster.server(server).upstream;
         let connect = connect.as_secs_f32() * 1e6;
@@ -276,7 +307,7 @@
         record.connect += (connect - record.connect) * CONNECT_TIME_GAIN;
     }
 
-    /// Cancels the attempts of a shard that are still outstanding.
+    /// Cancels all outstanding attempts of a shard.
     pub(super) fn cancel_shard_attempts(
         &mut self,
         query: SlotKey,
@@ -294,7 +325,11 @@
         }
     }
 
-    /// Cancels one attempt and gives its place at the server away.
+    /// Cancels an attempt and gives the capacity that becomes free at its server to queued
+    /// shards.
+    ///
+    /// The time since the send counts as a lower bound of the server's latency, unless the
+    /// attempt is cancelled because its reply is no longer needed.
     pub(super) fn cancel_attempt(
         &mut self,
         key: SlotKey,
@@ -315,8 +350,8 @@
         }
         let name = record.name.clone();
         let upstream = record.upstream;
-        // Timeouts stay out of the window: they would raise the quantile that
-        // they are derived from.
+        // The latency statistics leave timeouts out: the timeout is derived from a quantile
+        // of these statistics, and timed-out attempts would raise that quantile.
         if cause == CancelCause::AnsweredElsewhere {
             self.roster.upstream_mut(upstream).latency.add(elapsed);
         }
@@ -342,7 +377,8 @@
         let Some(state) = self.queries.get_mut(query) else {
             return;
         };
-        // Else the room that is given away would go to the query's own shards.
+        // Remove the query's shards from the queues first. Otherwise the capacity that the
+        // cancelled attempts free would go to other shards of the same query.
         for shard in &mut state.shards {
             shard.waits = false;
         }
--- a/crates/core/src/process/rescue.rs
+++ b/crates/core/src/process/rescue.rs
@@ -1,8 +1,10 @@
-//! Taking outstanding attempts back from servers that are lost.
+//! Rescue of attempts: outstanding attempts of a lost server are cancelled and their shards
+//! sent to other servers at once.
 //!
-//! A lost server does no work, so what is sent in its place is no extra load:
-//! a rescue draws on no budget. It is bounded all the same, by what this
-//! instance may have outstanding at the servers and by the row's retries.
+//! A server is lost when it is ejected for failures or when its failure domain is suspected
+//! to be unreachable. A lost server does no work, so a rescue adds no load and is not
+//! charged to the extra-load budget. Rescues are still bounded by the number of subqueries
+//! that this instance may have outstanding at each server and by the service's retry limit.
 
 use std::time::Duration;
 
@@ -19,7 +21,10 @@
 use crate::request::query::ShardStatus;
 
 impl<P: RoutePolicy> EntryMachine<P> {
-    /// Takes a timeout into account for the server's whole domain.
+    /// Records a timeout against the server's failure domain.
+    ///
+    /// If enough servers of the domain have timed out with no reply from the domain in
+    /// between, avoids all its servers for [`SUSPECT_PERIOD`] and rescues their attempts.
     pub(super) fn record_domain_timeout(
         &mut self,
         server: ServerKey,
@@ -47,8 +52,8 @@
         self.rescue_attempts(&servers, now, out);
     }
 
-    /// Cancels the attempts outstanding at `servers` and sends for their
-    /// shards elsewhere.
+    /// Cancels the attempts outstanding at `servers` and sends their shards to other
+    /// servers. Skips requests that may not be repeated.
     pub(super) fn rescue_attempts(
         &mut self,
         servers: &[ServerKey],
@@ -67,11 +72,16 @@
         }
     }
 
+    /// Returns whether the query's subqueries may be sent to a second server.
     fn may_rescue(&self, query: SlotKey) -> bool {
         let state = self.queries.get(query);
         state.is_some_and(|state| is_repeatable(state.row.kind))
     }
 
+    /// Sends a shard whose attempt was cancelled to another server.
+    ///
+    /// Gives the shard up if its retries are used up or no healthy server is left that has
+    /// not been tried.
     fn resend_shard(
         &mut self,
         query: SlotKey,
@@ -89,8 +99,8 @@
             return;
         }
         shard.trouble = Some(MissingReason::TooLate);
-        let has_no_retries = shard.sends > state.row.retries;
-        if has_no_retries || !self.has_preferred_server(query, index, now) {
+        let has_no_retry_left = shard.sends > state.row.retries;
+        if has_no_retry_left || !self.has_preferred_server(query, index, now) {
             return self.give_up_shard(query, index, MissingReason::TooLate, now, out);
         }
         let outcome = self.route_shard(query, index, SendCause::Rescue, now, out);
--- a/crates/core/src/process/route.rs
+++ b/crates/core/src/process/route.rs
@@ -1,4 +1,7 @@
-//! Choosing a server for a shard, and sending.
+//! Routing of one shard: chooses a server for the shard and sends the subquery.
+//!
+//! Healthy servers that the query has not tried for the shard are preferred; others are a
+//! fallback. If all usable servers are at their capacity limit, the shard is queued.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,35 +20,37 @@
 use crate::request::identity::AttemptId;
 use crate::request::query::{AttemptState, QueryState, ShardState};
 
-/// Most servers of a group that are weighed for one send.
+/// Maximum number of servers in each candidate list for one send.
 const MAX_CANDIDATES: usize = 8;
 
-/// What came of routing a shard.
+/// The result of routing a shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RouteOutcome {
     /// A subquery was sent.
     Sent,
-    /// The shard waits until a server has room.
+    /// The shard was queued until a server has free capacity.
     Queued,
-    /// No server can be asked.
+    /// No server can take the shard.
     NoServer,
 }
 
-/// The servers of a group, by how gladly they are asked.
+/// The servers that could take a shard, in two classes.
 #[derive(Default)]
 struct CandidateSet {
-    /// Healthy, not tried yet, with room.
+    /// Servers with free capacity that are healthy and not yet tried for this shard.
     preferred: ArrayVec<RouteCandidate, MAX_CANDIDATES>,
-    /// Ejected, shedding or tried already, with room.
+    /// Servers with free capacity that are ejected, on probation, shedding load or already
+    /// tried for this shard.
     fallback: ArrayVec<RouteCandidate, MAX_CANDIDATES>,
-    /// Whether a healthy server would do if it had room.
+    /// Whether a server without free capacity would otherwise be preferred.
     has_full_preferred: bool,
-    /// Whether any live server would do if it had room.
+    /// Whether any live server lacks only free capacity.
     has_full_server: bool,
 }
 
 impl<P: RoutePolicy> EntryMachine<P> {
-    /// Routes one shard of a query: sends a subquery or has it wait.
+    /// Sends a subquery for one shard of a query, or queues the shard if its servers have no
+    /// free capacity. A hedge is never queued.
     pub(super) fn route_shard(
         &mut self,
         query: SlotKey,
@@ -73,8 +78,8 @@
         RouteOutcome::Queued
     }
 
-    /// Tells whether a healthy server, not tried yet, could take a shard, now
-    /// or after a wait.
+    /// Returns whether a healthy server that was not yet tried could take a shard, now or
+    /// once it has free capacity.
     pub(super) fn has_preferred_server(&self, query: SlotKey, index: usize, now: Duration) -> bool {
         let Some(state) = self.queries.get(query) else {
             return false;
@@ -86,7 +91,7 @@
         !candidates.preferred.is_empty() || candidates.has_full_preferred
     }
 
-    /// Looks over the servers that hold a shard.
+    /// Sorts the live servers that hold a shard into preferred and fallback candidates.
     fn collect_candidates(
         &self,
         upstream: UpstreamKey,
@@ -97,8 +102,8 @@
         let mut candidates = CandidateSet::default();
         let shard = &state.shards[index];
         let group = self.roster.group(upstream, state.snapshot, shard.number);
-        // A group larger than the lists is weighed from another place each
-        // time, so that each of its servers gets its turn.
+        // The lists may be too short for all servers. Then each request starts at another
+        // server, so that every server becomes a candidate for some requests.
         let start = if group.len() > MAX_CANDIDATES {
             state.request.sequence as usize % group.len()
         } else {
@@ -123,12 +128,15 @@
             } else {
                 &mut candidates.fallback
             };
-            // A group larger than the list is weighed in part only.
+            // A full list takes no more candidates.
             let _ = list.try_push(candidate);
         }
         candidates
     }
 
+    /// Returns whether a server can take a shard now, or the reason why not.
+    ///
+    /// `Ejected` is no hard obstacle: an ejected server is still a fallback.
     fn option_status(
         &self,
         server: ServerKey,
@@ -160,6 +168,8 @@
         OptionStanding::Passed
     }
 
+    /// Builds the routing candidate for a server, with its expected cost. The cost includes
+    /// the time to open a connection if none is idle.
     fn build_candidate(
         &self,
         upstream: UpstreamKey,
@@ -186,6 +196,8 @@
         }
     }
 
+    /// Sends a subquery for a shard to `server` and updates the counts and the extra-load
+    /// budget.
     fn send_subquery(
         &mut self,
         query: SlotKey,
@@ -224,7 +236,7 @@
         shard.sent_at = now;
         shard.waits = false;
         shard.unsent = false;
-        // With the list full the oldest names keep their place.
+        // A full list keeps the servers that were tried first.
         let _ = shard.tried.try_push(server);
         out.push(EntryAction::Send(SendOrder {
             attempt,
@@ -264,7 +276,9 @@
         }
     }
 
-    /// Lists how each server of the group stood, for a recorded query.
+    /// Lists the servers that hold the shard with their status and cost, for the decision
+    /// log. Returns `None` if the query is not traced, that is, if its decisions are not
+    /// recorded.
     fn list_options_if_traced(
         &self,
         query: SlotKey,
@@ -297,15 +311,17 @@
     }
 }
 
-/// Tells whether a server's health speaks for asking it.
+/// Returns whether a server is neither ejected nor shedding load, and, if on probation, has
+/// no other subquery outstanding. A server is on probation after an ejection until it
+/// answers again.
 fn is_healthy(record: &ServerRecord, now: Duration) -> bool {
     let health = &record.health;
     let may_probe = !health.is_on_probation() || record.outstanding == 0;
     may_probe && !health.is_ejected(now) && !health.is_shedding(now)
 }
 
-/// Chooses a server: a good one, or a poor one if no good one is to be had
-/// even with a wait. A hedge goes to a good one or not at all.
+/// Chooses a preferred candidate, or a fallback candidate if there is no preferred one even
+/// after waiting for capacity. A hedge goes only to a preferred candidate.
 fn choose_server<P: RoutePolicy>(
     candidates: &CandidateSet,
     cause: SendCause,
--- a/crates/core/src/process/scatter.rs
+++ b/crates/core/src/process/scatter.rs
@@ -1,4 +1,8 @@
-//! Starting a request: its snapshot, its shards, its first sends.
+//! Start of a request: chooses a snapshot and sends the first subquery for each shard.
+//!
+//! A query searches all shards of one snapshot. Other requests go to a single shard. If
+//! the snapshot disappears while a query runs, the query restarts once on another
+//! snapshot.
 
 use std::time::Duration;
 
@@ -16,11 +20,12 @@
 use crate::request::query::{QueryState, ShardState};
 use crate::version::row::{FirstAim, RequestKind};
 
-/// Decisions a recorded query makes besides one for each shard.
+/// Estimated number of decisions that a traced query (one whose decisions are recorded)
+/// records, besides one for each shard.
 const BASE_TRACE_DECISIONS: usize = 4;
 
 impl<P: RoutePolicy> EntryMachine<P> {
-    /// Starts a request that has been let in.
+    /// Starts an admitted request.
     pub(super) fn start_query(
         &mut self,
         query: SlotKey,
@@ -42,7 +47,7 @@
         self.scatter(query, now, out);
     }
 
-    /// Chooses a snapshot and sends a subquery for each shard.
+    /// Chooses a snapshot, sends a subquery for each shard, and sets the query's timers.
     pub(super) fn scatter(&mut self, query: SlotKey, now: Duration, out: &mut Vec<EntryAction>) {
         let Some((upstream, choice)) = self.choose_snapshot(query, now) else {
             let reason = RefusalReason::NoServer;
@@ -61,6 +66,7 @@
         self.end_if_decided(query, now, out);
     }
 
+    /// Finds the query's upstream and chooses one of the upstream's snapshots.
     fn choose_snapshot(
         &self,
         query: SlotKey,
@@ -72,7 +78,9 @@
         Some((upstream, choice))
     }
 
-    /// Sets up the shards to ask and returns their number.
+    /// Creates the state of the shards that the query needs, and returns their number.
+    ///
+    /// A query needs all shards of the snapshot, any other request only one.
     fn set_up_shards(
         &mut self,
         query: SlotKey,
@@ -100,6 +108,8 @@
         count
     }
 
+    /// Sets the timer for the first sweep over the query's attempts and, if the service puts
+    /// response time before coverage, the timer for a partial answer.
     fn set_timers(&mut self, query: SlotKey, upstream: UpstreamKey, now: Duration) {
         let Some(state) = self.queries.get(query) else {
             return;
@@ -113,6 +123,7 @@
         }
     }
 
+    /// Sends the first subquery for a shard, or marks the shard missing if no server has it.
     fn send_first_attempt(
         &mut self,
         query: SlotKey,
@@ -126,8 +137,10 @@
         }
     }
 
-    /// Restarts a query on another snapshot, whole, if that is better, was not
-    /// done before, and its time allows. Returns whether it did.
+    /// Restarts the whole query on another snapshot, and returns whether it did.
+    ///
+    /// Requires that the best snapshot now differs from the query's, that the query has not
+    /// restarted before, and that more than the hedge delay is left until its deadline.
     pub(super) fn try_restart(
         &mut self,
         query: SlotKey,
@@ -159,13 +172,15 @@
         true
     }
 
+    /// Returns the name of the query's service, or an empty name if the query has ended.
     pub(super) fn service_name(&self, query: SlotKey) -> Box<str> {
         let state = self.queries.get(query);
         state.map_or("".into(), |state| state.row.service.clone())
     }
 }
 
-/// Returns the shard that holds a key: its hash, spread over the shards.
+/// Returns the shard for a single-shard request: the hash of its key modulo the number of
+/// shards, or the request's sequence number modulo that number if it has no key.
 fn select_shard(state: &QueryState, shards: u32) -> u32 {
     let hash = match &state.body.key {
         Some(key) => xxh3_64(key.as_bytes()),
--- a/crates/core/src/process/sweep.rs
+++ b/crates/core/src/process/sweep.rs
@@ -1,4 +1,8 @@
-//! Looking over a query's outstanding attempts: hedges, timeouts, retries.
+//! Sweeps: a periodic check of a query's shards that sends hedges, times attempts out and
+//! retries shards.
+//!
+//! A hedge is a second subquery for a shard whose first attempt is slow; the first reply
+//! wins. Hedges and retries are charged to the service's extra-load budget.
 
 use std::time::Duration;
 
@@ -16,44 +20,48 @@
 use crate::request::query::{ShardState, ShardStatus};
 use crate::version::row::ServiceRow;
 
-/// Hedge delay while too few latencies were seen.
+/// Hedge delay while the upstream has too few latency samples for a quantile.
 const DEFAULT_HEDGE_DELAY: Duration = Duration::from_millis(20);
-/// Least hedge delay.
+/// Minimum hedge delay, and minimum time between two sweeps of a query.
 const MIN_HEDGE_DELAY: Duration = Duration::from_millis(1);
 /// Attempt timeout as a multiple of the hedge delay.
 const TIMEOUT_HEDGE_DELAYS: u32 = 6;
-/// Longest hedge delay, as a part of the row's deadline.
+/// Divisor of the service's deadline that gives the maximum hedge delay.
 const MAX_HEDGE_DELAY_DIVISOR: u32 = 16;
-/// Least attempt timeout.
+/// Minimum attempt timeout.
 const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(40);
-/// Longest time between two sweeps.
+/// Maximum time between two sweeps of a query.
 const MAX_SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a shard needs when it is looked over.
+/// What a sweep does for one shard.
 enum SweepAction {
+    /// Leaves the shard as it is.
     Nothing,
-    /// It has no attempt outstanding.
+    /// Sends a subquery, because the shard has no attempt outstanding.
     Send,
-    /// Its only attempt is slow.
+    /// Sends a hedge, because the shard's only attempt is slow.
     Hedge,
-    /// An attempt has outlasted the attempt timeout.
+    /// Times out the attempt with this key.
     Timeout(SlotKey),
 }
 
 impl<P: RoutePolicy> EntryMachine<P> {
     /// Returns the time after which a slow attempt is hedged.
     ///
-    /// The bound by the row's deadline keeps the delay, and the timeout that
-    /// is derived from it, useful while everything is slow.
+    /// The delay is a quantile of the upstream's recent latencies; the service's row in the
+    /// service table sets the quantile. The delay is at most a fixed fraction of the row's
+    /// deadline, so that hedges and the attempt timeouts derived from the delay still come in
+    /// time while all servers are slow.
     pub(super) fn hedge_delay(&self, upstream: UpstreamKey, row: &ServiceRow) -> Duration {
         let window = &self.roster.upstream_record(upstream).latency;
         let delay = window
             .quantile(row.hedge_quantile)
             .unwrap_or(DEFAULT_HEDGE_DELAY);
-        let longest = row.deadline / MAX_HEDGE_DELAY_DIVISOR;
-        delay.min(longest).max(MIN_HEDGE_DELAY)
+        let max_delay = row.deadline / MAX_HEDGE_DELAY_DIVISOR;
+        delay.min(max_delay).max(MIN_HEDGE_DELAY)
     }
 
+    /// Checks every shard of a query once and schedules the next sweep.
     pub(super) fn sweep_query(
         &mut self,
         query: SlotKey,
@@ -74,10 +82,11 @@
                 return;
             }
         }
-        let next = (delay / 2).clamp(MIN_HEDGE_DELAY, MAX_SWEEP_INTERVAL);
-        self.timers.set(now + next, TimerPurpose::Sweep(query));
+        let interval = (delay / 2).clamp(MIN_HEDGE_DELAY, MAX_SWEEP_INTERVAL);
+        self.timers.set(now + interval, TimerPurpose::Sweep(query));
     }
 
+    /// Returns what the sweep has to do for a shard.
     fn choose_sweep_action(
         &self,
         query: SlotKey,
@@ -88,7 +97,7 @@
         let Some(state) = self.queries.get(query) else {
             return SweepAction::Nothing;
         };
-        // A restart in the middle of a sweep may leave fewer shards.
+        // If the query restarts during the sweep, the new snapshot may have fewer shards.
         let Some(shard) = state.shards.get(index) else {
             return SweepAction::Nothing;
         };
@@ -114,6 +123,8 @@
         }
     }
 
+    /// Returns an attempt of the shard that has exceeded the attempt timeout, if any. Finds
+    /// none if the policy has ejection, and with it timeouts, switched off.
     fn find_timed_out_attempt(
         &self,
         shard: &ShardState,
@@ -132,6 +143,7 @@
         attempts.find(has_timed_out).copied()
     }
 
+    /// Carries out what [`choose_sweep_action`](Self::choose_sweep_action) returned.
     fn run_sweep_action(
         &mut self,
         query: SlotKey,
@@ -148,6 +160,7 @@
         }
     }
 
+    /// Sends a hedge for a shard if the extra-load budget allows it.
     fn hedge_shard(
         &mut self,
         query: SlotKey,
@@ -162,8 +175,8 @@
         self.route_shard(query, index, SendCause::Hedge, now, out);
     }
 
-    /// Gives up an attempt that has outlasted its timeout, and counts it
-    /// against its server.
+    /// Cancels an attempt that has exceeded its timeout, records a failure of its server, and
+    /// retries the shard if no other attempt is outstanding.
     fn time_out_attempt(
         &mut self,
         query: SlotKey,
@@ -190,7 +203,10 @@
         }
     }
 
-    /// Sends for a shard that has no attempt outstanding, or gives it up.
+    /// Sends a shard that has no attempt outstanding again, or gives it up.
+    ///
+    /// If the extra-load budget is empty and a healthy, untried server exists, the shard
+    /// stays open and the next sweep tries again.
     pub(super) fn retry_shard(
         &mut self,
         query: SlotKey,
@@ -210,8 +226,8 @@
         if cause.draws_budget() {
             let has_budget = self.allows_retry(query);
             let has_timed_out = trouble == MissingReason::TooLate;
-            // What was silent once is not waited for again, and a token that
-            // may come is not waited for without hope of a good server.
+            // After a timeout the shard is not sent to a tried or unhealthy server, and
+            // waiting for a budget token is useless without a healthy, untried server.
             if (has_timed_out || !has_budget) && !self.has_preferred_server(query, index, now) {
                 return self.give_up_shard(query, index, trouble, now, out);
             }
@@ -226,15 +242,17 @@
         }
     }
 
-    /// Tells whether the budget has a token for a retry of this query.
+    /// Returns whether the budget of the query's service has a token for a retry.
     pub(super) fn allows_retry(&self, query: SlotKey) -> bool {
         self.budget(query).is_some_and(ExtraBudget::allows_retry)
     }
 
+    /// Returns whether the budget of the query's service has a token for a hedge.
     fn allows_hedge(&self, query: SlotKey) -> bool {
         self.budget(query).is_some_and(ExtraBudget::allows_hedge)
     }
 
+    /// Returns the extra-load budget of the query's service.
     fn budget(&self, query: SlotKey) -> Option<&ExtraBudget> {
         let state = self.queries.get(query)?;
         Some(&self.gates.gate(state.gate).budget)
--- a/crates/core/src/process/wait.rs
+++ b/crates/core/src/process/wait.rs
@@ -1,4 +1,8 @@
-//! Shards that wait until a server has room.
+//! Queues of shards that wait until one of their servers has free capacity.
+//!
+//! This instance limits the subqueries it has outstanding at each server. A shard whose
+//! servers are all at that limit is put into the queue of each of them, and is sent to the
+//! first one that gets free capacity.
 
 use std::time::Duration;
 
@@ -10,11 +14,12 @@
 use crate::request::decision::{RouteDecision, SendCause};
 use crate::request::query::ShardStatus;
 
-/// Waiting tickets of a server above which stale ones are swept out.
+/// Length of a server's queue from which entries of ended queries are removed before a new
+/// entry is added.
 const WAITER_PRUNE_THRESHOLD: usize = 1024;
 
 impl<P: RoutePolicy> EntryMachine<P> {
-    /// Puts a shard into the queues of the servers that could take it.
+    /// Adds a shard to the queue of each live server that holds the shard.
     pub(super) fn enqueue_shard(
         &mut self,
         query: SlotKey,
@@ -54,7 +59,7 @@
         self.decide_query(query, now, out, |_| RouteDecision::Wait { shard: number });
     }
 
-    /// Gives a server's free room to the shards that wait for it.
+    /// Routes queued shards while their server has free capacity.
     pub(super) fn route_queued_shards(
         &mut self,
         server: ServerKey,
@@ -74,25 +79,29 @@
                 let cause = self.next_send_cause(ticket.query, index);
                 self.clear_queued(ticket);
                 if cause.draws_budget() && !self.allows_retry(ticket.query) {
-                    // The next sweep decides what becomes of it.
+                    // The budget has no token for a retry: the next sweep either sends the
+                    // shard or gives it up.
                     continue;
                 }
                 self.route_shard(ticket.query, index, cause, now, out);
                 if self.is_still_queued(ticket) {
-                    // The server has room, yet the shard waits for a better
-                    // one: leave the rest of the queue for the next time.
+                    // The server has capacity, but the shard was queued again to wait for
+                    // a better server. Leave the rest of the queue until the next call.
                     return;
                 }
             }
         }
     }
 
+    /// Records that a shard is no longer queued.
     fn clear_queued(&mut self, ticket: ShardTicket) {
         if let Some(state) = self.queries.get_mut(ticket.query) {
             state.shards[ticket.index as usize].waits = false;
         }
     }
 
+    /// Returns whether the shard of a queue entry is still queued, not yet answered or given
+    /// up, and without outstanding attempts.
     fn is_still_queued(&self, ticket: ShardTicket) -> bool {
         let state = self.queries.get(ticket.query);
         let shard = state.and_then(|state| state.shards.get(ticket.index as usize));
@@ -101,7 +110,8 @@
         })
     }
 
-    /// Returns the cause of the next send of a shard without attempts.
+    /// Returns the cause to record for the next send of a shard that has no attempt
+    /// outstanding: first send, resend of a subquery that was never written, or retry.
     pub(super) fn next_send_cause(&self, query: SlotKey, index: usize) -> SendCause {
         let Some(state) = self.queries.get(query) else {
             return SendCause::First;
--- a/crates/core/tests/promises.rs
+++ b/crates/core/tests/promises.rs
@@ -1,5 +1,9 @@
-//! No interleaving of replies, duplicates, losses, version changes and
-//! cancellations breaks a promise; and with a guard off, it is noticed.
+//! Property tests of the entry machine's promises, that is, the guarantees that `Broken`
+//! counts violations of: for example that an answer never mixes two snapshots.
+//!
+//! Random sequences of replies, duplicates, losses, new snapshot versions and cancellations
+//! must not violate any promise. With one safety check (a field of `GuardSet`) switched off,
+//! the tests must find a violation; otherwise they could not detect a missing check.
 
 mod support;
 
@@ -11,23 +15,26 @@
 use support::{Broken, Rig, REPLICAS, SHARDS};
 use wheelmast_core::prelude::*;
 
-/// One thing that happens.
+/// One step of a random sequence.
+///
+/// The number in an event chooses a service, a caller, a server or an order (a subquery that
+/// the machine has sent). In `Advance` the number is a time in milliseconds.
 #[derive(Debug, Clone)]
 enum Event {
     Submit(u8),
     CallerLeft(u8),
     Advance(u16),
     Reply(u8),
-    /// A true reply that arrives twice.
+    /// A correct reply that arrives twice.
     Duplicate(u8),
-    /// A reply to an order that had ended before.
+    /// A reply to an order that has already ended.
     Late(u8),
-    /// Another order's reply.
+    /// Two orders whose replies are swapped.
     Crossed(u8, u8),
     WrongShard(u8),
     WrongSnapshot(u8),
-    /// It ran, and the reply was lost.
-    Broke(u8),
+    /// The server runs the subquery, and its reply is lost.
+    ReplyLost(u8),
     NeverSent(u8),
     Shed(u8),
     Gone(u8),
@@ -36,6 +43,7 @@
     Serve(u8),
 }
 
+/// Returns the strategy that generates events, with their weights.
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
         6 => any::<u8>().prop_map(Event::Submit),
@@ -47,7 +55,7 @@
         2 => (any::<u8>(), any::<u8>()).prop_map(|(a, b)| Event::Crossed(a, b)),
         1 => any::<u8>().prop_map(Event::WrongShard),
         1 => any::<u8>().prop_map(Event::WrongSnapshot),
-        2 => any::<u8>().prop_map(Event::Broke),
+        2 => any::<u8>().prop_map(Event::ReplyLost),
         1 => any::<u8>().prop_map(Event::NeverSent),
         1 => any::<u8>().prop_map(Event::Shed),
         1 => any::<u8>().prop_map(Event::Gone),
@@ -57,11 +65,13 @@
     ]
 }
 
-fn server_of(pick: u8) -> u32 {
+/// Returns the number of the server that `pick` chooses.
+fn choose_server(pick: u8) -> u32 {
     u32::from(pick) % (SHARDS * REPLICAS)
 }
 
-fn play(rig: &mut Rig, event: &Event) {
+/// Applies an event to the machine under test.
+fn apply_event(rig: &mut Rig, event: &Event) {
     match event {
         Event::Submit(pick) => {
             let (service, kind) = match pick % 4 {
@@ -80,20 +90,21 @@
                 rig.reply(&order, ReplyStatus::Body(body));
             }
         }
-        Event::NewVersion(pick) => rig.add_version(server_of(*pick)),
-        Event::Drain(pick) => rig.announce(server_of(*pick), ServerPhase::Draining),
-        Event::Serve(pick) => rig.announce(server_of(*pick), ServerPhase::Serving),
-        reply => play_reply(rig, reply),
+        Event::NewVersion(pick) => rig.add_version(choose_server(*pick)),
+        Event::Drain(pick) => rig.announce(choose_server(*pick), ServerPhase::Draining),
+        Event::Serve(pick) => rig.announce(choose_server(*pick), ServerPhase::Serving),
+        reply => apply_reply(rig, reply),
     }
 }
 
-fn play_reply(rig: &mut Rig, event: &Event) {
+/// Ends the order that the event chooses, in the way the event says.
+fn apply_reply(rig: &mut Rig, event: &Event) {
     let (Event::Reply(pick)
     | Event::Duplicate(pick)
     | Event::Crossed(pick, _)
     | Event::WrongShard(pick)
     | Event::WrongSnapshot(pick)
-    | Event::Broke(pick)
+    | Event::ReplyLost(pick)
     | Event::NeverSent(pick)
     | Event::Shed(pick)
     | Event::Gone(pick)) = event
@@ -114,14 +125,14 @@
             rig.reply(&order, ReplyStatus::Body(body));
         }
         Event::Crossed(_, other) => {
-            let own = rig.run(&order);
+            let own_body = rig.run(&order);
             let other = rig.take_order(usize::from(*other));
             let Some(other) = other else {
-                return rig.reply(&order, ReplyStatus::Body(own));
+                return rig.reply(&order, ReplyStatus::Body(own_body));
             };
-            let foreign = rig.run(&other);
-            rig.reply(&order, ReplyStatus::Body(foreign));
-            rig.reply(&other, ReplyStatus::Body(own));
+            let other_body = rig.run(&other);
+            rig.reply(&order, ReplyStatus::Body(other_body));
+            rig.reply(&other, ReplyStatus::Body(own_body));
         }
         Event::WrongShard(_) => {
             let body = rig.run_as(&order, (order.shard + 1) % SHARDS, order.snapshot);
@@ -133,7 +144,7 @@
             let body = rig.run_as(&order, order.shard, snapshot);
             rig.reply(&order, ReplyStatus::Body(body));
         }
-        Event::Broke(_) => {
+        Event::ReplyLost(_) => {
             rig.run(&order);
             rig.reply(&order, ReplyStatus::Failed);
         }
@@ -143,20 +154,21 @@
     }
 }
 
-fn run_case(events: &[Event], seed: u64, guards: GuardSet) -> Broken {
+/// Runs one sequence of events on a new machine and returns the violations.
+fn run_sequence(events: &[Event], seed: u64, guards: GuardSet) -> Broken {
     let mut rig = Rig::new(guards, seed);
     for event in events {
-        play(&mut rig, event);
+        apply_event(&mut rig, event);
     }
     rig.close()
 }
 
-/// Cases that the promise is tried on.
-const CASES: u32 = 3000;
+/// Number of random sequences that the property test runs.
+const CASE_COUNT: u32 = 3000;
 
 proptest! {
     #![proptest_config(Config {
-        cases: CASES,
+        cases: CASE_COUNT,
         failure_persistence: None,
         rng_seed: RngSeed::Fixed(20_261_202),
         ..Config::default()
@@ -164,76 +176,78 @@
 
     #[test]
     fn promises_hold(events in prop::collection::vec(event(), 1..120), seed in any::<u64>()) {
-        prop_assert_eq!(run_case(&events, seed, GuardSet::default()), Broken::default());
+        prop_assert_eq!(run_sequence(&events, seed, GuardSet::default()), Broken::default());
     }
 }
 
-/// Runs seeded cases without a guard and sums what broke.
-fn broken_without(guards: GuardSet) -> Broken {
+/// Runs 400 random sequences from a fixed seed with the given checks, and returns the sum of
+/// the violations.
+fn count_violations(guards: GuardSet) -> Broken {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[9; 32]);
     let mut runner = TestRunner::new_with_rng(Config::default(), rng);
     let strategy = prop::collection::vec(event(), 40..120);
-    let mut sum = Broken::default();
+    let mut total = Broken::default();
     for seed in 0..400 {
         let tree = strategy
             .new_tree(&mut runner)
             .expect("the strategy rejects nothing");
-        let broken = run_case(&tree.current(), seed, guards);
-        sum.mixed_snapshot += broken.mixed_snapshot;
-        sum.false_coverage += broken.false_coverage;
-        sum.foreign_answer += broken.foreign_answer;
-        sum.double_run += broken.double_run;
-        sum.false_not_run += broken.false_not_run;
-        sum.work_after_leaving += broken.work_after_leaving;
+        let broken = run_sequence(&tree.current(), seed, guards);
+        total.mixed_snapshot += broken.mixed_snapshot;
+        total.false_coverage += broken.false_coverage;
+        total.foreign_answer += broken.foreign_answer;
+        total.double_run += broken.double_run;
+        total.false_not_run += broken.false_not_run;
+        total.work_after_leaving += broken.work_after_leaving;
     }
-    sum
+    total
 }
 
-struct GuardCase {
+/// A safety check to switch off, and the violations that this must cause.
+struct DisabledCheckCase {
     name: &'static str,
-    off: fn(&mut GuardSet),
+    disable: fn(&mut GuardSet),
     count: fn(&Broken) -> u32,
 }
 
 #[test]
-fn a_guard_that_is_off_is_noticed() {
+fn a_disabled_safety_check_violates_its_promise() {
     let cases = [
-        GuardCase {
+        DisabledCheckCase {
             name: "snapshot",
-            off: |guards| guards.snapshot = false,
+            disable: |guards| guards.snapshot = false,
             count: |broken| broken.mixed_snapshot,
         },
-        GuardCase {
+        DisabledCheckCase {
             name: "shard",
-            off: |guards| guards.shard = false,
+            disable: |guards| guards.shard = false,
             count: |broken| broken.false_coverage,
         },
-        GuardCase {
+        DisabledCheckCase {
             name: "identity",
-            off: |guards| guards.identity = false,
+            disable: |guards| guards.identity = false,
             count: |broken| broken.foreign_answer,
         },
-        GuardCase {
+        DisabledCheckCase {
             name: "once",
-            off: |guards| guards.once = false,
+            disable: |guards| guards.once = false,
             count: |broken| broken.double_run,
         },
-        GuardCase {
+        DisabledCheckCase {
             name: "refusal",
-            off: |guards| guards.refusal = false,
+            disable: |guards| guards.refusal = false,
             count: |broken| broken.false_not_run,
         },
-        GuardCase {
+        DisabledCheckCase {
             name: "drain",
-            off: |guards| guards.drain = false,
+            disable: |guards| guards.drain = false,
             count: |broken| broken.work_after_leaving,
         },
     ];
     for case in cases {
         let mut guards = GuardSet::default();
-        (case.off)(&mut guards);
-        let broken = broken_without(guards);
+        (case.disable)(&mut guards);
+        let broken = count_violations(guards);
         assert!((case.count)(&broken) > 0, "{} off: {broken:?}", case.name);
     }
-    assert_eq!(broken_without(GuardSet::default()), Broken::default());
+    assert_eq!(count_violations(GuardSet::default()), Broken::default());
 }
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -1,4 +1,8 @@
-//! Where shards go: hedges, timeouts, ejection, domains, draining, waiting.
+//! Tests of the entry machine's routing: hedges, retries, ejection of servers, suspected
+//! failure domains, restarts on another snapshot, queues and draining.
+//!
+//! `Rig` drives the machine without sockets: `orders` holds the subqueries that the machine
+//! has sent and no test step has answered yet.
 
 mod support;
 
@@ -18,23 +22,25 @@
     Duration::from_millis(millis)
 }
 
-/// Answers every outstanding order.
-fn answer_all(rig: &mut Rig) {
+/// Answers all outstanding subqueries, and those that the machine sends meanwhile.
+fn answer_all_orders(rig: &mut Rig) {
     while let Some(order) = rig.take_order(0) {
         let body = rig.run(&order);
         rig.reply(&order, ReplyStatus::Body(body));
     }
 }
 
-/// Makes `count` queries that are answered within a millisecond.
-fn warm(rig: &mut Rig, count: u32) {
+/// Submits `count` queries and answers each after one millisecond, so that the machine has
+/// latency samples.
+fn run_answered_queries(rig: &mut Rig, count: u32) {
     for _ in 0..count {
         rig.submit("search", RequestKind::Query);
         rig.advance(millis(1));
-        answer_all(rig);
+        answer_all_orders(rig);
     }
 }
 
+/// Returns the outcome of a call, and fails unless the call has exactly one.
 fn only_outcome(rig: &Rig, call: CallTag) -> QueryOutcome {
     let outcomes = &rig.calls[&call].outcomes;
     assert_eq!(outcomes.len(), 1);
@@ -42,13 +48,13 @@
 }
 
 #[test]
-fn a_query_asks_each_shard_once() {
+fn a_query_sends_one_subquery_to_each_shard() {
     let mut rig = rig();
     let call = rig.submit("search", RequestKind::Query);
     let mut shards: Vec<u32> = rig.orders.iter().map(|order| order.shard).collect();
     shards.sort_unstable();
     assert_eq!(shards, (0..SHARDS).collect::<Vec<_>>());
-    answer_all(&mut rig);
+    answer_all_orders(&mut rig);
     assert_matches!(only_outcome(&rig, call), QueryOutcome::Answer(answer) => {
         assert_eq!(answer.coverage.answered, SHARDS);
         assert_eq!(answer.snapshot, FIRST);
@@ -56,16 +62,16 @@
 }
 
 #[test]
-fn a_slow_attempt_is_hedged_at_the_other_server() {
+fn a_slow_attempt_is_hedged_on_the_other_server() {
     let mut rig = rig();
-    warm(&mut rig, 40);
+    run_answered_queries(&mut rig, 40);
     rig.submit("search", RequestKind::Query);
-    let slow = rig.orders.remove(0);
-    answer_all(&mut rig);
+    let slow_order = rig.orders.remove(0);
+    answer_all_orders(&mut rig);
     rig.advance(millis(10));
     let hedge = rig.orders.first().expect("a hedge was sent").clone();
-    assert_eq!(hedge.shard, slow.shard);
-    assert_ne!(hedge.server, slow.server);
+    assert_eq!(hedge.shard, slow_order.shard);
+    assert_ne!(hedge.server, slow_order.server);
     let body = rig.run(&hedge);
     rig.reply(&hedge, ReplyStatus::Body(body));
     assert_eq!(rig.machine.counters().hedges, 1);
@@ -76,7 +82,7 @@
 #[test]
 fn a_request_that_may_not_be_repeated_is_never_hedged() {
     let mut rig = rig();
-    warm(&mut rig, 40);
+    run_answered_queries(&mut rig, 40);
     let call = rig.submit("order", RequestKind::NonRepeatable);
     rig.advance(millis(390));
     assert_eq!(rig.orders.len(), 1);
@@ -88,19 +94,19 @@
 }
 
 #[test]
-fn time_first_answers_in_part_and_coverage_first_waits() {
-    struct FirstCase {
+fn time_first_gives_a_partial_answer_and_coverage_first_waits() {
+    struct PreferenceCase {
         service: &'static str,
         answered_at_100: bool,
         coverage: u32,
     }
     let cases = [
-        FirstCase {
+        PreferenceCase {
             service: "search",
             answered_at_100: true,
             coverage: SHARDS - 1,
         },
-        FirstCase {
+        PreferenceCase {
             service: "whole",
             answered_at_100: false,
             coverage: SHARDS,
@@ -109,14 +115,14 @@
     for case in cases {
         let mut rig = rig();
         let call = rig.submit(case.service, RequestKind::Query);
-        let silent = rig.orders[0].shard;
-        rig.orders.retain(|order| order.shard != silent);
-        answer_all(&mut rig);
+        let unanswered_shard = rig.orders[0].shard;
+        rig.orders.retain(|order| order.shard != unanswered_shard);
+        answer_all_orders(&mut rig);
         rig.advance(millis(100));
         let is_answered = !rig.calls[&call].outcomes.is_empty();
         assert_eq!(is_answered, case.answered_at_100, "{}", case.service);
-        // By now a hedge or a retry for the silent shard is out.
-        answer_all(&mut rig);
+        // The machine has sent a hedge or a retry for the unanswered shard by now.
+        answer_all_orders(&mut rig);
         assert_matches!(only_outcome(&rig, call), QueryOutcome::Answer(answer) => {
             assert_eq!(answer.coverage.answered, case.coverage, "{}", case.service);
         });
@@ -124,13 +130,16 @@
 }
 
 #[test]
-fn what_is_given_up_is_refused_at_once() {
+fn a_query_that_cannot_reach_minimum_coverage_is_refused_at_once() {
     let mut rig = rig();
     let call = rig.submit("whole", RequestKind::Query);
-    let failing = rig.orders[0].shard;
+    let failing_shard = rig.orders[0].shard;
     for _ in 0..6 {
-        let pick = rig.orders.iter().position(|order| order.shard == failing);
-        let Some(order) = pick.and_then(|pick| rig.take_order(pick)) else {
+        let position = rig
+            .orders
+            .iter()
+            .position(|order| order.shard == failing_shard);
+        let Some(order) = position.and_then(|position| rig.take_order(position)) else {
             break;
         };
         rig.reply(&order, ReplyStatus::Failed);
@@ -144,12 +153,12 @@
 }
 
 #[test]
-fn silence_of_three_servers_suspects_their_domain() {
+fn timeouts_at_three_servers_suspect_their_failure_domain() {
     let mut rig = rig();
-    warm(&mut rig, 40);
-    // Shard s is held by servers 2s and 2s+1; a server's domain is its number
-    // modulo 3. Nothing is heard from domain 0 any more.
-    let is_cut = |rig: &Rig, order: &SendOrder| {
+    run_answered_queries(&mut rig, 40);
+    // Servers 2s and 2s+1 hold shard s. The failure domain of a server is its number
+    // modulo 3. From here on no server of domain 0 replies.
+    let is_in_cut_domain = |rig: &Rig, order: &SendOrder| {
         let record = rig.machine.roster().server(order.server);
         &*rig.machine.roster().domain(record.domain).name == "d0"
     };
@@ -157,8 +166,9 @@
         rig.submit("search", RequestKind::Query);
         rig.advance(millis(3));
         loop {
-            let pick = (0..rig.orders.len()).find(|index| !is_cut(&rig, &rig.orders[*index]));
-            let Some(order) = pick.and_then(|pick| rig.take_order(pick)) else {
+            let position =
+                (0..rig.orders.len()).find(|index| !is_in_cut_domain(&rig, &rig.orders[*index]));
+            let Some(order) = position.and_then(|position| rig.take_order(position)) else {
                 break;
             };
             let body = rig.run(&order);
@@ -167,20 +177,23 @@
     }
     rig.advance(millis(100));
     assert!(rig.machine.counters().suspicions >= 1);
-    let before = rig.machine.counters();
+    let counters_before = rig.machine.counters();
     let call = rig.submit("search", RequestKind::Query);
     assert!(rig
         .orders
         .iter()
         .filter(|order| call_of(order) == call)
-        .all(|order| { !is_cut(&rig, order) }));
-    assert_eq!(rig.machine.counters().suspicions, before.suspicions);
+        .all(|order| { !is_in_cut_domain(&rig, order) }));
+    assert_eq!(
+        rig.machine.counters().suspicions,
+        counters_before.suspicions
+    );
 }
 
 #[test]
-fn the_last_server_of_a_shard_is_never_taken_away() {
+fn a_shard_gets_a_subquery_even_if_all_its_servers_are_ejected() {
     let mut rig = rig();
-    warm(&mut rig, 40);
+    run_answered_queries(&mut rig, 40);
     for _ in 0..30 {
         rig.submit("search", RequestKind::Query);
         while let Some(order) = rig.take_order(0) {
@@ -189,32 +202,33 @@
     }
     assert!(rig.machine.counters().ejections > 0);
     let call = rig.submit("search", RequestKind::Query);
-    let asked = rig.orders.iter().filter(|order| call_of(order) == call);
-    assert_eq!(asked.count(), SHARDS as usize);
+    let new_orders = rig.orders.iter().filter(|order| call_of(order) == call);
+    assert_eq!(new_orders.count(), SHARDS as usize);
 }
 
 #[test]
-fn a_query_restarts_whole_when_its_snapshot_is_retired() {
+fn a_query_restarts_on_a_new_snapshot_when_its_snapshot_is_retired() {
     let mut rig = rig();
     let call = rig.submit("search", RequestKind::Query);
-    let first = rig.take_order(0).expect("an order is out");
-    let body = rig.run(&first);
-    rig.reply(&first, ReplyStatus::Body(body));
+    let first_order = rig.take_order(0).expect("an order is sent out");
+    let body = rig.run(&first_order);
+    rig.reply(&first_order, ReplyStatus::Body(body));
     for index in 0..8 {
         rig.add_version(index);
         rig.add_version(index);
     }
-    // The old snapshot is gone everywhere: the next refusal restarts.
-    let next = rig.take_order(0).expect("an order is out");
+    // No server holds the old snapshot any more. When a server refuses the next subquery
+    // for that reason, the query restarts.
+    let next_order = rig.take_order(0).expect("an order is sent out");
     rig.reply(
-        &next,
+        &next_order,
         ReplyStatus::Gone {
             held: rig.held[0].clone(),
         },
     );
     let order = rig.orders[0].clone();
     assert!(order.snapshot > FIRST);
-    answer_all(&mut rig);
+    answer_all_orders(&mut rig);
     assert_matches!(only_outcome(&rig, call), QueryOutcome::Answer(answer) => {
         assert!(answer.restarted);
         assert_eq!(answer.coverage.answered, SHARDS);
@@ -224,9 +238,9 @@
 }
 
 #[test]
-fn a_full_queue_refuses_at_once_and_says_when_to_come_back() {
+fn a_full_queue_refuses_at_once_with_a_retry_time() {
     let mut rig = rig();
-    warm(&mut rig, 3);
+    run_answered_queries(&mut rig, 3);
     let calls: Vec<CallTag> = (0..9)
         .map(|_| rig.submit("search", RequestKind::Query))
         .collect();
@@ -239,46 +253,54 @@
 }
 
 #[test]
-fn a_flooded_service_leaves_the_others_their_weight() {
+fn a_flooded_service_leaves_other_services_their_share() {
     let mut rig = rig();
-    warm(&mut rig, 3);
+    run_answered_queries(&mut rig, 3);
     for _ in 0..8 {
         rig.submit("search", RequestKind::Query);
     }
-    // The instance takes 6 at a time; "search" may have 4 of them.
+    // The instance runs 6 requests at a time and at most 4 of the service "search".
     let call = rig.submit("record", RequestKind::Fetch);
-    // All servers have what they may; the first room that comes free goes to
-    // the one that was let in, not to the flood that still queues.
+    // All servers are at their capacity limit. The first capacity that becomes free must
+    // go to the admitted request, not to the queued requests of "search".
     for _ in 0..SHARDS {
-        let order = rig.take_order(0).expect("the flood has orders out");
+        let order = rig
+            .take_order(0)
+            .expect("the flooded service has orders out");
         let body = rig.run(&order);
         rig.reply(&order, ReplyStatus::Body(body));
     }
     assert!(rig.orders.iter().any(|order| call_of(order) == call));
-    answer_all(&mut rig);
+    answer_all_orders(&mut rig);
     assert_matches!(only_outcome(&rig, call), QueryOutcome::Answer(_));
 }
 
 #[test]
-fn a_leaving_instance_ends_what_it_has() {
+fn a_leaving_instance_finishes_running_requests_and_refuses_new_ones() {
     let mut rig = rig();
     let call = rig.submit("search", RequestKind::Query);
     rig.step(EntryInput::Leave);
     assert!(!rig.left);
-    let late = rig.submit("search", RequestKind::Query);
-    assert_matches!(only_outcome(&rig, late), QueryOutcome::Refusal(refusal) => {
+    let refused_call = rig.submit("search", RequestKind::Query);
+    assert_matches!(only_outcome(&rig, refused_call), QueryOutcome::Refusal(refusal) => {
         assert_eq!(refusal.reason, RefusalReason::Leaving);
     });
-    answer_all(&mut rig);
+    answer_all_orders(&mut rig);
     assert_matches!(only_outcome(&rig, call), QueryOutcome::Answer(_));
     assert!(rig.left);
 }
 
 #[test]
-fn older_news_never_undoes_a_drain() {
+fn an_older_announcement_never_undoes_a_drain() {
     let mut rig = rig();
     rig.announce(0, ServerPhase::Draining);
-    let record = rig.machine.roster().servers().next().expect("known").1;
+    let record = rig
+        .machine
+        .roster()
+        .servers()
+        .next()
+        .expect("the server is known")
+        .1;
     assert_eq!(record.phase, ServerPhase::Draining);
     let stale = ServerNews {
         name: "s0".into(),
@@ -295,7 +317,13 @@
         lease: Duration::from_secs(100),
     };
     rig.step(EntryInput::Announce(stale));
-    let record = rig.machine.roster().servers().next().expect("known").1;
+    let record = rig
+        .machine
+        .roster()
+        .servers()
+        .next()
+        .expect("the server is known")
+        .1;
     assert_eq!(record.phase, ServerPhase::Draining);
     assert_eq!(rig.machine.counters().stale_announcements, 1);
 }
@@ -312,11 +340,11 @@
     for _ in 0..1000 {
         budget.earn(0.05);
     }
-    let mut all = 0;
+    let mut spent = 0;
     while budget.spend() {
-        all += 1;
+        spent += 1;
     }
-    assert_eq!(f64::from(all), BUDGET_BURST);
+    assert_eq!(f64::from(spent), BUDGET_BURST);
 }
 
 #[test]
@@ -327,10 +355,13 @@
     }
     for quantile in [0.5, 0.9, 0.99] {
         let exact = quantile * 10_000.0;
-        let found = window
+        let estimate = window
             .quantile(quantile)
-            .expect("enough samples")
+            .expect("the window has enough samples")
             .as_micros() as f64;
-        assert!((exact..exact * 1.1).contains(&found), "{quantile}: {found}");
+        assert!(
+            (exact..exact * 1.1).contains(&estimate),
+            "{quantile}: {estimate}"
+        );
     }
 }
