--- a/crates/core/src/process/admission.rs
+++ b/crates/core/src/process/admission.rs
@@ -1,4 +1,8 @@
-//! Letting requests in: at once, after a wait, or not at all.
+//! Admission control: a new request starts at once, waits in its service's queue, or is
+//! refused.
+//!
+//! A request is queued only if the queue has a free place and the expected wait leaves
+//! enough time for an answer before the deadline.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,13 +21,14 @@
 use crate::version::row::{RequestKind, ServiceRow};
 use crate::version::snapshot::SnapshotId;
 
-/// Time kept back from a deadline for the answer's own way to the caller.
-const ANSWER_MARGIN: Duration = Duration::from_millis(2);
-/// When to come back after a refusal that names no better time.
-pub(super) const RETRY_SOON: Duration = Duration::from_secs(1);
+/// Time subtracted from the caller's deadline for sending the response to the caller.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(2);
+/// Retry time given to the caller when no better estimate exists.
+pub(super) const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl<P: RoutePolicy> EntryMachine<P> {
-    pub(super) fn submit(
+    /// Handles a new request: starts it, queues it, or refuses it.
+    pub(super) fn handle_request(
         &mut self,
         request: QueryRequest,
         now: Duration,
@@ -35,23 +40,23 @@
             incarnation: self.options.incarnation,
             sequence: self.requests,
         };
-        let (gate, row) = match self.admissible(&request) {
+        let (gate, row) = match self.resolve_service(&request) {
             Ok(found) => found,
-            Err(reason) => return self.refuse_early(request.call, id, reason, None, now, out),
+            Err(reason) => return self.refuse_unadmitted(request.call, id, reason, None, now, out),
         };
-        let allowed = request.deadline.unwrap_or(row.deadline);
-        if allowed <= ANSWER_MARGIN {
+        let time_limit = request.deadline.unwrap_or(row.deadline);
+        if time_limit <= RESPONSE_MARGIN {
             let reason = RefusalReason::DeadlinePassed;
-            return self.refuse_early(request.call, id, reason, None, now, out);
+            return self.refuse_unadmitted(request.call, id, reason, None, now, out);
         }
-        let deadline = now + allowed - ANSWER_MARGIN;
+        let deadline = now + time_limit - RESPONSE_MARGIN;
         if self.gates.may_start(gate) {
             let query = self.insert_query(request, id, gate, row, deadline, now);
-            return self.start(query, now, out);
+            return self.start_query(query, now, out);
         }
-        match self.queue_check(gate, &row, deadline - now) {
+        match self.check_queue(gate, &row, deadline - now) {
             Err((reason, wait)) => {
-                self.refuse_early(request.call, id, reason, Some(wait), now, out)
+                self.refuse_unadmitted(request.call, id, reason, Some(wait), now, out)
             }
             Ok(()) => {
                 let query = self.insert_query(request, id, gate, row, deadline, now);
@@ -60,22 +65,32 @@
         }
     }
 
-    pub(super) fn caller_left(&mut self, call: CallTag, now: Duration, out: &mut Vec<EntryAction>) {
+    /// Ends the request of a caller that has disconnected.
+    pub(super) fn handle_caller_left(
+        &mut self,
+        call: CallTag,
+        now: Duration,
+        out: &mut Vec<EntryAction>,
+    ) {
         if let Some(query) = self.calls.get(&call).copied() {
-            self.end_refused(query, RefusalReason::CallerLeft, None, now, out);
+            self.end_with_refusal(query, RefusalReason::CallerLeft, None, now, out);
         }
     }
 
-    /// Starts waiting requests while there is room.
-    pub(super) fn start_waiting(&mut self, now: Duration, out: &mut Vec<EntryAction>) {
+    /// Starts queued requests while the limits on running requests allow it.
+    pub(super) fn start_queued_requests(&mut self, now: Duration, out: &mut Vec<EntryAction>) {
         while let Some(query) = self.gates.take_next() {
             if self.queries.get(query).is_some() {
-                self.start(query, now, out);
+                self.start_query(query, now, out);
             }
         }
     }
 
-    fn admissible(
+    /// Finds the gate (admission state) and the table row of the requested service.
+    ///
+    /// Fails if the instance is shutting down, the service is not in the table, or the
+    /// service does not take this kind of request.
+    fn resolve_service(
         &self,
         request: &QueryRequest,
     ) -> Result<(GateKey, Arc<ServiceRow>), RefusalReason> {
@@ -92,10 +107,11 @@
         Ok((gate, row))
     }
 
-    /// Checks whether a request may wait: there is a place in the queue, and
-    /// the wait leaves enough time to answer. The reason comes with the time
-    /// after which it is worth to come back.
-    fn queue_check(
+    /// Checks that the queue has a free place and that the expected wait leaves enough
+    /// time for an answer.
+    ///
+    /// On failure, returns the reason and the time after which the caller should retry.
+    fn check_queue(
         &self,
         gate: GateKey,
         row: &ServiceRow,
@@ -114,6 +130,7 @@
         Ok(())
     }
 
+    /// Stores the state of a new request and sets its deadline timer.
     fn insert_query(
         &mut self,
         request: QueryRequest,
@@ -152,6 +169,7 @@
         query
     }
 
+    /// Appends a request to the queue of its service and records that decision.
     fn enqueue(
         &mut self,
         query: SlotKey,
@@ -172,13 +190,14 @@
         });
     }
 
-    /// Refuses a request that was never let in; this is always "not run".
-    fn refuse_early(
+    /// Refuses a request that was not admitted. No server has received any part of the
+    /// request, so its run state is always `NotRun`.
+    fn refuse_unadmitted(
         &mut self,
         call: CallTag,
         request: RequestId,
         reason: RefusalReason,
-        wait: Option<Duration>,
+        retry_after: Option<Duration>,
         now: Duration,
         out: &mut Vec<EntryAction>,
     ) {
@@ -193,7 +212,7 @@
             table_version: self.table_version,
             reason,
             run: RunState::NotRun,
-            retry_after: wait.or_else(|| helpful_wait(reason)),
+            retry_after: retry_after.or_else(|| suggest_retry_after(reason)),
             coverage: CoverageReport::default(),
         };
         out.push(EntryAction::Finish {
@@ -203,19 +222,20 @@
     }
 }
 
-/// Returns when to come back, for the reasons that pass with time.
-pub(super) fn helpful_wait(reason: RefusalReason) -> Option<Duration> {
+/// Returns the retry time for refusals whose reason is temporary, and `None` for the
+/// others.
+pub(super) fn suggest_retry_after(reason: RefusalReason) -> Option<Duration> {
     match reason {
         RefusalReason::Leaving
         | RefusalReason::NoServer
         | RefusalReason::BelowFloor
-        | RefusalReason::Shed => Some(RETRY_SOON),
+        | RefusalReason::Shed => Some(DEFAULT_RETRY_AFTER),
         _ => None,
     }
 }
 
-/// Tells whether a request of this kind may be sent again after it may have
-/// run.
+/// Returns whether a request of this kind may be sent a second time after a server may
+/// have run it.
 pub(super) fn is_repeatable(kind: RequestKind) -> bool {
     kind != RequestKind::NonRepeatable
 }
--- a/crates/core/src/process/finish.rs
+++ b/crates/core/src/process/finish.rs
@@ -1,10 +1,13 @@
-//! Ending a request: complete, partial, or refused.
+//! The end of a request: a complete answer, a partial answer, or a refusal.
+//!
+//! A query ends as soon as its outcome cannot change, at the latest at its deadline. Every
+//! request gets exactly one outcome.
 
 use std::time::Duration;
 
 use crate::arena::SlotKey;
 use crate::process::action::EntryAction;
-use crate::process::admission::{helpful_wait, is_repeatable};
+use crate::process::admission::{is_repeatable, suggest_retry_after};
 use crate::process::entry::EntryMachine;
 use crate::process::policy::RoutePolicy;
 use crate::request::answer::{
@@ -15,8 +18,11 @@
 use crate::request::query::{QueryState, ShardStatus};
 
 impl<P: RoutePolicy> EntryMachine<P> {
-    /// Gives up a shard, or restarts the query if another snapshot is better.
-    pub(super) fn give_up(
+    /// Gives up a shard: the answer will not include that shard.
+    ///
+    /// If no server holds the shard any more, first tries to restart the whole query on
+    /// another snapshot.
+    pub(super) fn give_up_shard(
         &mut self,
         query: SlotKey,
         index: usize,
@@ -24,18 +30,19 @@
         now: Duration,
         out: &mut Vec<EntryAction>,
     ) {
-        let is_gone = matches!(
+        let has_no_holder = matches!(
             reason,
             MissingReason::NoServer | MissingReason::SnapshotRetired
         );
-        if is_gone && self.try_restart(query, now, out) {
+        if has_no_holder && self.try_restart(query, now, out) {
             return;
         }
-        self.mark_missing(query, index, reason, now, out);
-        self.check_end(query, now, out);
+        self.mark_shard_missing(query, index, reason, now, out);
+        self.end_if_decided(query, now, out);
     }
 
-    pub(super) fn mark_missing(
+    /// Marks an open shard as missing from the answer and records that decision.
+    pub(super) fn mark_shard_missing(
         &mut self,
         query: SlotKey,
         index: usize,
@@ -56,21 +63,32 @@
         self.decide_query(query, now, out, |_| RouteDecision::GiveUp { shard, reason });
     }
 
-    /// Ends a query as soon as its outcome is certain.
-    pub(super) fn check_end(&mut self, query: SlotKey, now: Duration, out: &mut Vec<EntryAction>) {
+    /// Ends a query if its outcome is decided.
+    ///
+    /// The outcome is decided when no shard is open (neither answered nor given up), when the
+    /// service's minimum coverage can no longer be reached, or when a partial answer is
+    /// allowed and has the minimum coverage.
+    pub(super) fn end_if_decided(
+        &mut self,
+        query: SlotKey,
+        now: Duration,
+        out: &mut Vec<EntryAction>,
+    ) {
         let Some(state) = self.queries.get(query) else {
             return;
         };
-        let floor = state.row.coverage_floor;
-        let is_hopeless = state.reachable_fraction() < floor;
-        let is_enough =
-            state.partial_due && state.answered_fraction() >= floor && state.answered > 0;
-        if state.open_shards() == 0 || is_hopeless || is_enough {
-            self.end(query, now, out);
+        let min_coverage = state.row.coverage_floor;
+        let is_coverage_unreachable = state.reachable_fraction() < min_coverage;
+        let may_end_early =
+            state.partial_due && state.answered_fraction() >= min_coverage && state.answered > 0;
+        if state.open_shards() == 0 || is_coverage_unreachable || may_end_early {
+            self.end_running(query, now, out);
         }
     }
 
-    pub(super) fn partial_due(
+    /// Handles the partial-answer timer: from now on the query ends as soon as it has the
+    /// service's minimum coverage.
+    pub(super) fn allow_partial_answer(
         &mut self,
         query: SlotKey,
         now: Duration,
@@ -81,11 +99,12 @@
         };
         state.partial_due = true;
         if state.is_running {
-            self.check_end(query, now, out);
+            self.end_if_decided(query, now, out);
         }
     }
 
-    pub(super) fn deadline_passed(
+    /// Handles the deadline timer: ends a running query and refuses a queued one.
+    pub(super) fn handle_deadline(
         &mut self,
         query: SlotKey,
         now: Duration,
@@ -95,28 +114,37 @@
             return;
         };
         if state.is_running {
-            return self.end(query, now, out);
+            return self.end_running(query, now, out);
         }
-        let wait = self.gates.gate(state.gate).service_time;
-        self.end_refused(query, RefusalReason::DeadlinePassed, Some(wait), now, out);
+        let retry_after = self.gates.gate(state.gate).service_time;
+        self.end_with_refusal(
+            query,
+            RefusalReason::DeadlinePassed,
+            Some(retry_after),
+            now,
+            out,
+        );
     }
 
-    /// Ends a running query with what it has.
-    fn end(&mut self, query: SlotKey, now: Duration, out: &mut Vec<EntryAction>) {
+    /// Ends a running query: with an answer if it has the service's minimum coverage, else
+    /// with a refusal.
+    fn end_running(&mut self, query: SlotKey, now: Duration, out: &mut Vec<EntryAction>) {
         let Some(state) = self.queries.get(query) else {
             return;
         };
-        let enough = state.answered > 0 && state.answered_fraction() >= state.row.coverage_floor;
-        if enough {
-            return self.end_answered(query, now, out);
+        let has_required_coverage =
+            state.answered > 0 && state.answered_fraction() >= state.row.coverage_floor;
+        if has_required_coverage {
+            return self.end_with_answer(query, now, out);
         }
-        let reason = refusal_reason(state);
-        self.end_refused(query, reason, None, now, out);
+        let reason = find_refusal_reason(state);
+        self.end_with_refusal(query, reason, None, now, out);
     }
 
-    fn end_answered(&mut self, query: SlotKey, now: Duration, out: &mut Vec<EntryAction>) {
-        self.cancel_all(query, now, out);
-        let Some(mut state) = self.take_query(query, now) else {
+    /// Answers a query with the merged hits of all shards that have replied.
+    fn end_with_answer(&mut self, query: SlotKey, now: Duration, out: &mut Vec<EntryAction>) {
+        self.cancel_query_attempts(query, now, out);
+        let Some(mut state) = self.remove_query(query, now) else {
             return;
         };
         let coverage = state.coverage();
@@ -156,24 +184,24 @@
         self.keep_shards(state.shards);
     }
 
-    /// Ends a request, queued or running, without an answer.
-    pub(super) fn end_refused(
+    /// Refuses a queued or running request.
+    pub(super) fn end_with_refusal(
         &mut self,
         query: SlotKey,
         reason: RefusalReason,
-        wait: Option<Duration>,
+        retry_after: Option<Duration>,
         now: Duration,
         out: &mut Vec<EntryAction>,
     ) {
         let Some(state) = self.queries.get(query) else {
             return;
         };
-        // What may not be repeated is left to run to its end: cancelling it
-        // half way helps nobody.
+        // A request that may not be repeated is not cancelled: stopping it half way would
+        // help nobody.
         if is_repeatable(state.row.kind) {
-            self.cancel_all(query, now, out);
+            self.cancel_query_attempts(query, now, out);
         }
-        let Some(state) = self.take_query(query, now) else {
+        let Some(state) = self.remove_query(query, now) else {
             return;
         };
         let run = if state.possible_runs == 0 || !self.options.guards.refusal {
@@ -194,15 +222,16 @@
                 table_version: state.table_version,
                 reason,
                 run,
-                retry_after: wait.or_else(|| helpful_wait(reason)),
+                retry_after: retry_after.or_else(|| suggest_retry_after(reason)),
                 coverage: state.coverage(),
             }),
         });
         self.keep_shards(state.shards);
     }
 
-    /// Takes a query out of the machine and frees its place at the gate.
-    fn take_query(&mut self, query: SlotKey, now: Duration) -> Option<QueryState> {
+    /// Removes a query and frees its place among the running or queued requests of its
+    /// service.
+    fn remove_query(&mut self, query: SlotKey, now: Duration) -> Option<QueryState> {
         let state = self.queries.remove(query)?;
         self.calls.remove(&state.call);
         if state.is_running {
@@ -217,8 +246,8 @@
     }
 }
 
-/// Returns why a query that has too little to answer is refused.
-fn refusal_reason(state: &QueryState) -> RefusalReason {
+/// Returns the refusal reason for a query that ends below its minimum coverage.
+fn find_refusal_reason(state: &QueryState) -> RefusalReason {
     if !is_repeatable(state.row.kind) && state.possible_runs > 0 {
         return RefusalReason::OutcomeUnknown;
     }
--- a/crates/core/src/process/forward/roll.rs
+++ b/crates/core/src/process/forward/roll.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 use crate::process::forward::input::EntryPeer;
-use crate::process::rendezvous::highest;
+use crate::process::rendezvous::select_highest;
 
 /// Number of entries of each other failure domain that an entry is told about.
 pub const PEERS_PER_REMOTE_DOMAIN: usize = 8;
@@ -30,7 +30,7 @@
             continue;
         }
         let named = peers.into_iter().map(|peer| (peer.id(), peer));
-        let some = highest(&key, PEERS_PER_REMOTE_DOMAIN, named, |(id, _)| id);
+        let some = select_highest(&key, PEERS_PER_REMOTE_DOMAIN, named, |(id, _)| id);
         selected.extend(some.into_iter().map(|(_, peer)| peer));
     }
     selected
--- a/crates/core/src/process/route.rs
+++ b/crates/core/src/process/route.rs
@@ -1,4 +1,7 @@
-//! Choosing a server for a shard, and sending.
+//! Routing of one shard: chooses a server for the shard and sends the subquery.
+//!
+//! Healthy servers that the query has not tried for the shard are preferred; others are a
+//! fallback. If all usable servers are at their capacity limit, the shard is queued.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,35 +20,37 @@
 use crate::request::identity::AttemptId;
 use crate::request::query::{AttemptState, QueryState, ShardState};
 
-/// Most servers of a group that are weighed for one send.
-const CANDIDATES: usize = 8;
+/// Maximum number of servers in each candidate list for one send.
+const MAX_CANDIDATES: usize = 8;
 
-/// What came of routing a shard.
+/// The result of routing a shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RouteOutcome {
     /// A subquery was sent.
     Sent,
-    /// The shard waits until a server has room.
-    Waits,
-    /// No server can be asked.
+    /// The shard was queued until a server has free capacity.
+    Queued,
+    /// No server can take the shard.
     NoServer,
 }
 
-/// The servers of a group, by how gladly they are asked.
+/// The servers that could take a shard, in two classes.
 #[derive(Default)]
-struct RouteField {
-    /// Healthy, not tried yet, with room.
-    good: ArrayVec<RouteCandidate, CANDIDATES>,
-    /// Ejected, shedding or tried already, with room.
-    poor: ArrayVec<RouteCandidate, CANDIDATES>,
-    /// Whether a healthy server would do if it had room.
-    good_full: bool,
-    /// Whether any live server would do if it had room.
-    any_full: bool,
+struct CandidateSet {
+    /// Servers with free capacity that are healthy and not yet tried for this shard.
+    preferred: ArrayVec<RouteCandidate, MAX_CANDIDATES>,
+    /// Servers with free capacity that are ejected, on probation, shedding load or already
+    /// tried for this shard.
+    fallback: ArrayVec<RouteCandidate, MAX_CANDIDATES>,
+    /// Whether a server without free capacity would otherwise be preferred.
+    has_full_preferred: bool,
+    /// Whether any live server lacks only free capacity.
+    has_full_server: bool,
 }
 
 impl<P: RoutePolicy> EntryMachine<P> {
-    /// Routes one shard of a query: sends a subquery or has it wait.
+    /// Sends a subquery for one shard of a query, or queues the shard if its servers have no
+    /// free capacity. A hedge is never queued.
     pub(super) fn route_shard(
         &mut self,
         query: SlotKey,
@@ -60,76 +65,79 @@
         let Some(upstream) = state.upstream else {
             return RouteOutcome::NoServer;
         };
-        let field = self.survey(upstream, state, index, now);
-        let choice = choose_in(&field, cause, &mut self.policy, &mut self.rng);
+        let candidates = self.collect_candidates(upstream, state, index, now);
+        let choice = choose_server(&candidates, cause, &mut self.policy, &mut self.rng);
         if let Some(server) = choice {
-            self.send(query, index, server, cause, now, out);
+            self.send_subquery(query, index, server, cause, now, out);
             return RouteOutcome::Sent;
         }
-        if cause == SendCause::Hedge || !field.any_full {
+        if cause == SendCause::Hedge || !candidates.has_full_server {
             return RouteOutcome::NoServer;
         }
-        self.wait_for_room(query, index, now, out);
-        RouteOutcome::Waits
+        self.enqueue_shard(query, index, now, out);
+        RouteOutcome::Queued
     }
 
-    /// Tells whether a healthy server, not tried yet, could take a shard, now
-    /// or after a wait.
-    pub(super) fn has_good_server(&self, query: SlotKey, index: usize, now: Duration) -> bool {
+    /// Returns whether a healthy server that was not yet tried could take a shard, now or
+    /// once it has free capacity.
+    pub(super) fn has_preferred_server(&self, query: SlotKey, index: usize, now: Duration) -> bool {
         let Some(state) = self.queries.get(query) else {
             return false;
         };
         let Some(upstream) = state.upstream else {
             return false;
         };
-        let field = self.survey(upstream, state, index, now);
-        !field.good.is_empty() || field.good_full
+        let candidates = self.collect_candidates(upstream, state, index, now);
+        !candidates.preferred.is_empty() || candidates.has_full_preferred
     }
 
-    /// Looks over the servers that hold a shard.
-    fn survey(
+    /// Sorts the live servers that hold a shard into preferred and fallback candidates.
+    fn collect_candidates(
         &self,
         upstream: UpstreamKey,
         state: &QueryState,
         index: usize,
         now: Duration,
-    ) -> RouteField {
-        let mut field = RouteField::default();
+    ) -> CandidateSet {
+        let mut candidates = CandidateSet::default();
         let shard = &state.shards[index];
         let group = self.roster.group(upstream, state.snapshot, shard.number);
-        // A group larger than the lists is weighed from another place each
-        // time, so that each of its servers gets its turn.
-        let start = if group.len() > CANDIDATES {
+        // The lists may be too short for all servers. Then each request starts at another
+        // server, so that every server becomes a candidate for some requests.
+        let start = if group.len() > MAX_CANDIDATES {
             state.request.sequence as usize % group.len()
         } else {
             0
         };
         for server in group[start..].iter().chain(&group[..start]) {
             let record = self.roster.server(*server);
-            let standing = self.standing(*server, record, shard, now);
-            let is_good = !shard.tried.contains(server) && is_trusted(record, now);
-            match standing {
+            let status = self.option_status(*server, record, shard, now);
+            let is_preferred = !shard.tried.contains(server) && is_healthy(record, now);
+            match status {
                 OptionStatus::Full => {
-                    field.any_full = true;
-                    field.good_full |= is_good;
+                    candidates.has_full_server = true;
+                    candidates.has_full_preferred |= is_preferred;
                     continue;
                 }
                 OptionStatus::NotChosen | OptionStatus::Ejected => {}
                 _ => continue,
             }
-            let candidate = self.candidate(upstream, *server, record, now);
-            let list = if is_good {
-                &mut field.good
+            let candidate = self.build_candidate(upstream, *server, record, now);
+            let list = if is_preferred {
+                &mut candidates.preferred
             } else {
-                &mut field.poor
+                &mut candidates.fallback
             };
-            // A group larger than the list is weighed in part only.
+            // A full list takes no more candidates.
             let _ = list.try_push(candidate);
         }
-        field
+        candidates
     }
 
-    fn standing(
+    /// Returns whether a server can take a shard now, or the reason why not.
+    ///
+    /// `Ejected` is no hard obstacle: an ejected server is still a fallback.
+    fn option_status(
         &self,
         server: ServerKey,
         record: &ServerRecord,
@@ -144,11 +152,11 @@
                 return OptionStatus::Expired;
             }
         }
-        let asked = |attempt: &SlotKey| {
+        let is_outstanding = |attempt: &SlotKey| {
             let attempt = self.attempts.get(*attempt);
             attempt.is_some_and(|attempt| attempt.server == server)
         };
-        if shard.attempts.iter().any(asked) {
+        if shard.attempts.iter().any(is_outstanding) {
             return OptionStatus::Outstanding;
         }
         if !record.has_room() {
@@ -160,7 +168,9 @@
         OptionStatus::NotChosen
     }
 
-    fn candidate(
+    /// Builds the routing candidate for a server, with its expected cost. The cost includes
+    /// the time to open a connection if none is idle.
+    fn build_candidate(
         &self,
         upstream: UpstreamKey,
         server: ServerKey,
@@ -186,7 +196,9 @@
         }
     }
 
-    fn send(
+    /// Sends a subquery for a shard to `server` and updates the counts and the extra-load
+    /// budget.
+    fn send_subquery(
         &mut self,
         query: SlotKey,
         index: usize,
@@ -195,7 +207,7 @@
         now: Duration,
         out: &mut Vec<EntryAction>,
     ) {
-        let options = self.options_if_traced(query, index, server, now);
+        let options = self.list_options_if_traced(query, index, server, now);
         self.attempt_count += 1;
         let id = AttemptId {
             incarnation: self.options.incarnation,
@@ -224,7 +236,7 @@
         shard.sent_at = now;
         shard.is_queued = false;
         shard.was_last_unsent = false;
-        // With the list full the oldest names keep their place.
+        // A full list keeps the servers that were tried first.
         let _ = shard.tried.try_push(server);
         out.push(EntryAction::Send(SendOrder {
             attempt,
@@ -234,7 +246,7 @@
             address,
             shard: shard.number,
             snapshot: state.snapshot,
-            until: state.deadline,
+            deadline: state.deadline,
             body: state.body.clone(),
         }));
         let gate = state.gate;
@@ -264,8 +276,10 @@
         }
     }
 
-    /// Lists how each server of the group stood, for a recorded query.
-    fn options_if_traced(
+    /// Lists the servers that hold the shard with their status and cost, for the decision
+    /// log. Returns `None` if the query is not traced, that is, if its decisions are not
+    /// recorded.
+    fn list_options_if_traced(
         &self,
         query: SlotKey,
         index: usize,
@@ -282,43 +296,46 @@
         let mut options = ArrayVec::new();
         for server in group.iter().take(MAX_ROUTE_OPTIONS) {
             let record = self.roster.server(*server);
-            let standing = if *server == chosen {
+            let status = if *server == chosen {
                 OptionStatus::Chosen
             } else {
-                self.standing(*server, record, shard, now)
+                self.option_status(*server, record, shard, now)
             };
             options.push(RouteOption {
                 server: Arc::clone(&record.name),
-                standing,
-                cost: self.candidate(upstream, *server, record, now).cost,
+                standing: status,
+                cost: self.build_candidate(upstream, *server, record, now).cost,
             });
         }
         Some(options)
     }
 }
 
-/// Tells whether a server's health speaks for asking it.
-fn is_trusted(record: &ServerRecord, now: Duration) -> bool {
+/// Returns whether a server is neither ejected nor shedding load, and, if on probation, has
+/// no other subquery outstanding. A server is on probation after an ejection until it
+/// answers again.
+fn is_healthy(record: &ServerRecord, now: Duration) -> bool {
     let health = &record.health;
     let may_probe = !health.is_on_probation() || record.outstanding == 0;
     may_probe && !health.is_ejected(now) && !health.is_shedding(now)
 }
 
-/// Chooses a server: a good one, or a poor one if no good one is to be had
-/// even with a wait. A hedge goes to a good one or not at all.
-fn choose_in<P: RoutePolicy>(
-    field: &RouteField,
+/// Chooses a preferred candidate, or a fallback candidate if there is no preferred one even
+/// after waiting for capacity. A hedge goes only to a preferred candidate.
+fn choose_server<P: RoutePolicy>(
+    candidates: &CandidateSet,
     cause: SendCause,
     policy: &mut P,
     rng: &mut rand::rngs::SmallRng,
 ) -> Option<ServerKey> {
-    if !field.good.is_empty() {
-        let index = policy.choose(&field.good, rng);
-        return Some(field.good[index].server);
+    if !candidates.preferred.is_empty() {
+        let index = policy.choose(&candidates.preferred, rng);
+        return Some(candidates.preferred[index].server);
     }
-    if cause == SendCause::Hedge || field.good_full || field.poor.is_empty() {
+    if cause == SendCause::Hedge || candidates.has_full_preferred || candidates.fallback.is_empty()
+    {
         return None;
     }
-    let index = policy.choose(&field.poor, rng);
-    Some(field.poor[index].server)
+    let index = policy.choose(&candidates.fallback, rng);
+    Some(candidates.fallback[index].server)
 }
