--- a/crates/cli/src/cmd/data.rs
+++ b/crates/cli/src/cmd/data.rs
@@ -63,7 +63,7 @@
             .map_or(kept.place.index, |entry| entry.index);
         println!(
             "replica {replica}, term {}, vote {:?}",
-            kept.hard.term, kept.hard.vote
+            kept.hard_state.term, kept.hard_state.vote
         );
         println!(
             "snapshot up to {}, entries up to {last}, committed up to {}",
--- a/crates/cli/src/measure/capacity.rs
+++ b/crates/cli/src/measure/capacity.rs
@@ -6,7 +6,7 @@
 
 use wheelmast_core::prelude::*;
 use wheelmast_core::process::control::fence::ClaimRequest;
-use wheelmast_core::process::control::log::LogPlace;
+use wheelmast_core::process::control::log::LogPosition;
 use wheelmast_core::process::control::message::ReplicaMessage;
 use wheelmast_core::process::control::state::{ControlCommand, ControlState, TableVersion};
 use wheelmast_core::process::gossip::machine::{GossipInput, GossipMachine};
@@ -84,7 +84,7 @@
         from: u64::MAX,
         message: ReplicaMessage::Append {
             term: 1000,
-            previous: LogPlace {
+            previous: LogPosition {
                 term: 1000,
                 index: 1_000_000,
             },
--- a/crates/cli/src/measure/fleet.rs
+++ b/crates/cli/src/measure/fleet.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use wheelmast_core::process::control::log::LogPlace;
+use wheelmast_core::process::control::log::LogPosition;
 use wheelmast_core::process::control::message::ReplicaMessage;
 use wheelmast_core::process::control::state::MemberRecord;
 use wheelmast_core::process::forward::directory::{ServerNotice, ServerStanding};
@@ -139,7 +139,7 @@
             to: u64::MAX,
             message: ReplicaMessage::Append {
                 term: 4,
-                previous: LogPlace {
+                previous: LogPosition {
                     term: 4,
                     index: 400,
                 },
--- a/crates/core/src/process/control/apply.rs
+++ b/crates/core/src/process/control/apply.rs
@@ -2,28 +2,28 @@
 
 use std::time::Duration;
 
-use crate::process::control::log::{LogEntry, LogPlace};
-use crate::process::control::message::{ProposalEnd, ReplicaAction};
+use crate::process::control::log::{LogEntry, LogPosition};
+use crate::process::control::message::{ProposalResult, ReplicaAction};
 use crate::process::control::replica::ReplicaMachine;
 use crate::process::control::state::ControlCommand;
 
 /// Entries after which the log is compacted into a snapshot.
-const COMPACT_AFTER: usize = 256;
+const COMPACT_AFTER_ENTRIES: usize = 256;
 /// Bytes of entries after which it is compacted in any case: entries hold
 /// whole tables, and a snapshot holds one.
-const COMPACT_BYTES: usize = 4 * 1024 * 1024;
+const COMPACT_AFTER_BYTES: usize = 4 * 1024 * 1024;
 
 impl ReplicaMachine {
-    pub(super) fn drop_proposals(&mut self, out: &mut Vec<ReplicaAction>) {
-        let proposals = std::mem::take(&mut self.proposals).into_values();
-        let reads = std::mem::take(&mut self.reads).into_iter();
-        let ends = std::mem::take(&mut self.ends).into_iter();
-        let tags = proposals.map(|(tag, _)| tag);
-        let tags = tags.chain(reads.map(|read| read.tag));
-        let tags = tags.chain(ends.map(|end| end.tag));
-        out.extend(tags.map(|tag| ReplicaAction::End {
+    pub(super) fn abort_pending(&mut self, out: &mut Vec<ReplicaAction>) {
+        let pending_proposals = std::mem::take(&mut self.pending_proposals).into_values();
+        let pending_reads = std::mem::take(&mut self.pending_reads).into_iter();
+        let pending_results = std::mem::take(&mut self.pending_results).into_iter();
+        let tags = pending_proposals.map(|(tag, _)| tag);
+        let tags = tags.chain(pending_reads.map(|read| read.tag));
+        let tags = tags.chain(pending_results.map(|result| result.tag));
+        out.extend(tags.map(|tag| ReplicaAction::Complete {
             tag,
-            end: ProposalEnd::Unknown,
+            result: ProposalResult::Unknown,
         }));
     }
 
@@ -35,30 +35,31 @@
         out: &mut Vec<ReplicaAction>,
     ) {
         if !self.is_leader() {
-            out.push(ReplicaAction::End {
+            out.push(ReplicaAction::Complete {
                 tag,
-                end: ProposalEnd::NotLeader(self.leader),
+                result: ProposalResult::NotLeader(self.leader),
             });
             return;
         }
-        let index = self.add_entry(command, out);
-        self.proposals.insert(index, (tag, self.hard.term));
-        self.send_all(now, out);
+        let index = self.append_command(command, out);
+        self.pending_proposals
+            .insert(index, (tag, self.hard_state.term));
+        self.replicate_to_all(now, out);
         self.advance_commit(out);
     }
 
-    pub(super) fn add_entry(
+    pub(super) fn append_command(
         &mut self,
         command: ControlCommand,
         out: &mut Vec<ReplicaAction>,
     ) -> u64 {
         let entry = LogEntry {
-            term: self.hard.term,
+            term: self.hard_state.term,
             index: self.log.last().index + 1,
             command,
         };
         let index = entry.index;
-        out.push(ReplicaAction::KeepEntry(entry.clone()));
+        out.push(ReplicaAction::PersistEntry(entry.clone()));
         self.push_entry(entry);
         index
     }
@@ -84,10 +85,11 @@
             };
             let outcome = self.state.apply(&entry.command);
             let term = entry.term;
-            let is_published = entry.command.is_published() && self.rules.known_commits;
+            let is_published =
+                entry.command.is_published() && self.safety_checks.awaits_known_commit;
             members_changed |= matches!(entry.command, ControlCommand::Members { .. });
             self.applied = index;
-            let Some((tag, proposed)) = self.proposals.remove(&index) else {
+            let Some((tag, proposed)) = self.pending_proposals.remove(&index) else {
                 continue;
             };
             let is_own = proposed == term;
@@ -95,36 +97,36 @@
                 self.put_off_end(tag, outcome, index);
                 continue;
             }
-            let end = if is_own {
-                ProposalEnd::Done(outcome)
+            let result = if is_own {
+                ProposalResult::Done(outcome)
             } else {
-                ProposalEnd::Unknown
+                ProposalResult::Unknown
             };
-            out.push(ReplicaAction::End { tag, end });
+            out.push(ReplicaAction::Complete { tag, result });
         }
         let after = self.state.published_marks();
         if after != before || members_changed {
-            out.push(ReplicaAction::KeepCommit(self.applied));
-            out.push(ReplicaAction::Changed);
+            out.push(ReplicaAction::PersistCommitIndex(self.applied));
+            out.push(ReplicaAction::StateChanged);
         }
-        self.compact(out);
+        self.compact_log(out);
     }
 
-    fn compact(&mut self, out: &mut Vec<ReplicaAction>) {
+    fn compact_log(&mut self, out: &mut Vec<ReplicaAction>) {
         let covered = self.applied - self.log.base().index;
-        let is_large = covered > 0 && self.log.bytes() > COMPACT_BYTES;
-        if (covered as usize) < COMPACT_AFTER && !is_large {
+        let is_large = covered > 0 && self.log.bytes() > COMPACT_AFTER_BYTES;
+        if (covered as usize) < COMPACT_AFTER_ENTRIES && !is_large {
             return;
         }
         let Some(term) = self.log.term_at(self.applied) else {
             return;
         };
-        let place = LogPlace {
+        let place = LogPosition {
             term,
             index: self.applied,
         };
         self.log.compact(place);
-        out.push(ReplicaAction::KeepSnapshot {
+        out.push(ReplicaAction::PersistSnapshot {
             place,
             state: Box::new(self.state.clone()),
             is_installed: false,
--- a/crates/core/src/process/control/log.rs
+++ b/crates/core/src/process/control/log.rs
@@ -30,7 +30,7 @@
 
 /// A place in the log and the term of the entry there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct LogPlace {
+pub struct LogPosition {
     /// Term of the entry.
     pub term: u64,
     /// Its index.
@@ -40,7 +40,7 @@
 /// The entries after the last snapshot.
 #[derive(Debug, Clone, Default)]
 pub struct EntryLog {
-    base: LogPlace,
+    base: LogPosition,
     entries: Vec<LogEntry>,
     /// Bytes of all entries.
     bytes: usize,
@@ -48,8 +48,8 @@
 
 impl EntryLog {
     /// Returns a log that starts after `base`.
-    pub fn new(base: LogPlace, entries: Vec<LogEntry>) -> EntryLog {
-        let bytes = bytes_of(&entries);
+    pub fn new(base: LogPosition, entries: Vec<LogEntry>) -> EntryLog {
+        let bytes = total_bytes(&entries);
         EntryLog {
             base,
             entries,
@@ -58,15 +58,15 @@
     }
 
     /// Returns the place of the last entry.
-    pub fn last(&self) -> LogPlace {
-        self.entries.last().map_or(self.base, |entry| LogPlace {
+    pub fn last(&self) -> LogPosition {
+        self.entries.last().map_or(self.base, |entry| LogPosition {
             term: entry.term,
             index: entry.index,
         })
     }
 
     /// Returns the place the log starts after.
-    pub fn base(&self) -> LogPlace {
+    pub fn base(&self) -> LogPosition {
         self.base
     }
 
@@ -86,7 +86,7 @@
 
     /// Returns entries from `index` on: at most `count`, and of at most `bytes`
     /// together unless the first alone has more.
-    pub fn from(&self, index: u64, count: usize, bytes: usize) -> &[LogEntry] {
+    pub fn entries_from(&self, index: u64, count: usize, bytes: usize) -> &[LogEntry] {
         let start = index.saturating_sub(self.base.index + 1) as usize;
         let start = start.min(self.entries.len());
         let mut end = start;
@@ -111,15 +111,15 @@
     pub fn truncate(&mut self, index: u64) {
         let keep = index.saturating_sub(self.base.index + 1) as usize;
         let keep = keep.min(self.entries.len());
-        self.bytes -= bytes_of(&self.entries[keep..]);
+        self.bytes -= total_bytes(&self.entries[keep..]);
         self.entries.truncate(keep);
     }
 
     /// Drops the entries up to `place`, which a snapshot covers.
-    pub fn compact(&mut self, place: LogPlace) {
+    pub fn compact(&mut self, place: LogPosition) {
         let dropped = place.index.saturating_sub(self.base.index) as usize;
         let dropped = dropped.min(self.entries.len());
-        self.bytes -= bytes_of(&self.entries[..dropped]);
+        self.bytes -= total_bytes(&self.entries[..dropped]);
         self.entries.drain(..dropped);
         self.base = place;
     }
@@ -140,6 +140,6 @@
     }
 }
 
-fn bytes_of(entries: &[LogEntry]) -> usize {
+fn total_bytes(entries: &[LogEntry]) -> usize {
     entries.iter().map(|entry| entry.command.bytes()).sum()
 }
--- a/crates/core/src/process/control/members.rs
+++ b/crates/core/src/process/control/members.rs
@@ -54,29 +54,29 @@
         });
         let (index, records) = newest.unwrap_or((base, self.state.members().to_vec()));
         self.members = if records.is_empty() {
-            self.named.clone()
+            self.configured_members.clone()
         } else {
             records.iter().map(|record| record.id).collect()
         };
         self.records = records;
-        self.records_index = index;
+        self.members_index = index;
     }
 
     /// Founds the group with this replica alone; the others join it.
     pub(super) fn found(&mut self, record: MemberRecord, out: &mut Vec<ReplicaAction>) {
         let is_empty = self.log.last().index == 0 && self.members.is_empty();
-        if !is_empty || self.hard.term > 0 {
+        if !is_empty || self.hard_state.term > 0 {
             return;
         }
-        self.hard = HardState {
+        self.hard_state = HardState {
             term: 1,
             vote: Some(self.id),
         };
-        out.push(ReplicaAction::KeepHard(self.hard));
+        out.push(ReplicaAction::PersistHardState(self.hard_state));
         self.role = ReplicaRole::Leader(Default::default());
         self.leader = Some(self.id);
-        out.push(ReplicaAction::Role {
-            term: self.hard.term,
+        out.push(ReplicaAction::RoleChanged {
+            term: self.hard_state.term,
             leads: true,
         });
         self.name_members(vec![record], out);
@@ -84,7 +84,7 @@
 
     /// Takes note of a replica that asks to be kept up to date.
     pub(super) fn take_learner(&mut self, record: MemberRecord, now: Duration) {
-        if self.size == 0 || self.members.contains(&record.id) {
+        if self.target_size == 0 || self.members.contains(&record.id) {
             return;
         }
         let progress = self.new_progress(now);
@@ -99,9 +99,9 @@
     /// it should be.
     pub(super) fn mend_group(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         self.drop_learners(now);
-        let is_settled = self.records_index <= self.commit
-            && self.log.term_at(self.commit) == Some(self.hard.term);
-        if self.size == 0 || (self.rules.one_change && !is_settled) {
+        let is_settled = self.members_index <= self.commit
+            && self.log.term_at(self.commit) == Some(self.hard_state.term);
+        if self.target_size == 0 || (self.safety_checks.changes_one_member && !is_settled) {
             return;
         }
         if let Some(members) = self.next_members(now) {
@@ -115,7 +115,7 @@
             return;
         };
         let members = &self.members;
-        peers.retain(|id, peer| members.contains(id) || now < peer.heard + DROP_LEARNER);
+        peers.retain(|id, peer| members.contains(id) || now < peer.last_seen_at + DROP_LEARNER);
         self.learners
             .retain(|id, _| peers.contains_key(id) && !members.contains(id));
     }
@@ -134,14 +134,14 @@
                 members[former] = learner.clone();
                 return Some(members);
             }
-            let is_short = self.records.len() < self.size;
+            let is_short = self.records.len() < self.target_size;
             if is_short || self.lost_member(now).is_some() {
                 let mut members = self.records.clone();
                 members.push(learner.clone());
                 return Some(members);
             }
         }
-        if self.records.len() <= self.size {
+        if self.records.len() <= self.target_size {
             return None;
         }
         let surplus = self.lost_member(now)?;
@@ -158,9 +158,9 @@
         self.learners.values().find(|learner| {
             let progress = peers.get(&learner.id);
             progress.is_some_and(|progress| {
-                progress.matched > 0
-                    && progress.matched + LEARNER_LAG >= last
-                    && now < progress.heard + self.timing.election
+                progress.match_index > 0
+                    && progress.match_index + LEARNER_LAG >= last
+                    && now < progress.last_seen_at + self.timing.election
             })
         })
     }
@@ -172,14 +172,14 @@
         };
         let silent = self.members.iter().filter_map(|id| {
             let progress = peers.get(id)?;
-            (now > progress.heard + REPLACE_AFTER).then_some((progress.heard, *id))
+            (now > progress.last_seen_at + REPLACE_AFTER).then_some((progress.last_seen_at, *id))
         });
         silent.min().map(|(_, id)| id)
     }
 
     fn name_members(&mut self, members: Vec<MemberRecord>, out: &mut Vec<ReplicaAction>) {
-        let is_whole = members.len() >= self.size;
-        self.add_entry(ControlCommand::Members { members, is_whole }, out);
+        let is_whole = members.len() >= self.target_size;
+        self.append_command(ControlCommand::Members { members, is_whole }, out);
         self.advance_commit(out);
     }
 
@@ -197,17 +197,17 @@
 
     /// Lets the follower that holds most lead.
     pub(super) fn hand_over(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
-        self.send_all(now, out);
+        self.replicate_to_all(now, out);
         let ReplicaRole::Leader(peers) = &self.role else {
             return;
         };
         let voters = peers.iter().filter(|(id, _)| self.members.contains(id));
-        let best = voters.max_by_key(|(_, peer)| (peer.matched, peer.heard));
+        let best = voters.max_by_key(|(_, peer)| (peer.match_index, peer.last_seen_at));
         if let Some((id, _)) = best {
             out.push(ReplicaAction::Send {
                 to: *id,
                 message: ReplicaMessage::Lead {
-                    term: self.hard.term,
+                    term: self.hard_state.term,
                 },
             });
         }
--- a/crates/core/src/process/control/message.rs
+++ b/crates/core/src/process/control/message.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::process::control::log::{HardState, LogEntry, LogPlace, ReplicaId};
+use crate::process::control::log::{HardState, LogEntry, LogPosition, ReplicaId};
 use crate::process::control::state::{CommandOutcome, ControlCommand, ControlState, MemberRecord};
 
 /// A message between replicas.
@@ -16,7 +16,7 @@
         /// The term it would stand in.
         term: u64,
         /// Its last entry.
-        last: LogPlace,
+        last: LogPosition,
     },
     /// The answer to [`ReplicaMessage::AskPreVote`].
     PreVote {
@@ -30,7 +30,7 @@
         /// The candidate's term.
         term: u64,
         /// Its last entry.
-        last: LogPlace,
+        last: LogPosition,
     },
     /// The answer to [`ReplicaMessage::AskVote`].
     Vote {
@@ -44,7 +44,7 @@
         /// The leader's term.
         term: u64,
         /// The place before the first entry.
-        previous: LogPlace,
+        previous: LogPosition,
         /// The entries.
         entries: Vec<LogEntry>,
         /// The leader's commit index.
@@ -74,7 +74,7 @@
         /// The leader's term.
         term: u64,
         /// The last entry the state includes.
-        place: LogPlace,
+        place: LogPosition,
         /// The state.
         state: Box<ControlState>,
     },
@@ -105,16 +105,16 @@
         tag: u64,
     },
     /// A replica without a vote asks to be kept up to date.
-    Learner(MemberRecord),
+    AddLearner(MemberRecord),
     /// This replica, which holds nothing, founds the group.
-    Found(MemberRecord),
+    Bootstrap(MemberRecord),
     /// This replica is leaving for a while: another should lead.
-    HandOver,
+    TransferLeadership,
 }
 
 /// What becomes of a proposal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ProposalEnd {
+pub enum ProposalResult {
     /// It is committed, with this outcome.
     Done(CommandOutcome),
     /// This replica does not lead; it knows who may.
@@ -131,16 +131,16 @@
 #[derive(Debug, Clone)]
 pub enum ReplicaAction {
     /// Keep the hard state.
-    KeepHard(HardState),
+    PersistHardState(HardState),
     /// Keep an entry; it replaces any entry kept at or after its index.
-    KeepEntry(LogEntry),
+    PersistEntry(LogEntry),
     /// Keep the commit index: what was in force here must be so again after a
     /// restart.
-    KeepCommit(u64),
+    PersistCommitIndex(u64),
     /// Keep a snapshot and drop the entries it includes.
-    KeepSnapshot {
+    PersistSnapshot {
         /// The last entry the state includes.
-        place: LogPlace,
+        place: LogPosition,
         /// The state.
         state: Box<ControlState>,
         /// Whether entries after `place` are dropped as well.
@@ -154,16 +154,16 @@
         message: ReplicaMessage,
     },
     /// A proposal has ended.
-    End {
+    Complete {
         /// The driver's name for it.
         tag: u64,
         /// What became of it.
-        end: ProposalEnd,
+        result: ProposalResult,
     },
     /// The state changed: a version came in force, or the replicas are others.
-    Changed,
+    StateChanged,
     /// The role changed.
-    Role {
+    RoleChanged {
         /// The term.
         term: u64,
         /// Whether this replica leads now.
@@ -173,13 +173,13 @@
 
 impl ReplicaAction {
     /// Tells whether it is to be written and synced before any other action.
-    pub fn is_kept(&self) -> bool {
+    pub fn must_persist_first(&self) -> bool {
         matches!(
             self,
-            ReplicaAction::KeepHard(_)
-                | ReplicaAction::KeepEntry(_)
-                | ReplicaAction::KeepCommit(_)
-                | ReplicaAction::KeepSnapshot { .. }
+            ReplicaAction::PersistHardState(_)
+                | ReplicaAction::PersistEntry(_)
+                | ReplicaAction::PersistCommitIndex(_)
+                | ReplicaAction::PersistSnapshot { .. }
         )
     }
 }
--- a/crates/core/src/process/control/publish.rs
+++ b/crates/core/src/process/control/publish.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use crate::process::control::log::ReplicaId;
-use crate::process::control::message::{ProposalEnd, ReplicaAction};
+use crate::process::control::message::{ProposalResult, ReplicaAction};
 use crate::process::control::replica::ReplicaMachine;
 use crate::process::control::state::CommandOutcome;
 
@@ -34,7 +34,7 @@
     pub(super) fn put_off_end(&mut self, tag: u64, outcome: CommandOutcome, index: u64) {
         self.round += 1;
         self.heartbeat_at = Duration::ZERO;
-        self.ends.push(PendingEnd {
+        self.pending_results.push(PendingEnd {
             tag,
             outcome,
             index,
@@ -49,10 +49,10 @@
     /// What was sent in that round told of the commit, so that a follower with
     /// the entry has kept the commit before it answered.
     pub(super) fn note_known(&mut self, from: ReplicaId, index: u64, round: u64) {
-        for end in &mut self.ends {
-            let knows = round >= end.round && index >= end.index;
-            if knows && !end.knowing.contains(&from) {
-                end.knowing.push(from);
+        for result in &mut self.pending_results {
+            let knows = round >= result.round && index >= result.index;
+            if knows && !result.knowing.contains(&from) {
+                result.knowing.push(from);
             }
         }
     }
@@ -60,16 +60,16 @@
     /// Ends the proposals whose commit a quorum knows.
     pub(super) fn end_known(&mut self, out: &mut Vec<ReplicaAction>) {
         let own = usize::from(self.is_voter());
-        let quorum = self.quorum();
+        let quorum_size = self.quorum_size();
         let members = &self.members;
-        let is_known = |end: &mut PendingEnd| {
-            let knowing = end.knowing.iter().filter(|peer| members.contains(peer));
-            knowing.count() + own >= quorum
+        let is_known = |result: &mut PendingEnd| {
+            let knowing = result.knowing.iter().filter(|peer| members.contains(peer));
+            knowing.count() + own >= quorum_size
         };
-        let known = self.ends.extract_if(.., is_known);
-        out.extend(known.map(|end| ReplicaAction::End {
-            tag: end.tag,
-            end: ProposalEnd::Done(end.outcome),
+        let known = self.pending_results.extract_if(.., is_known);
+        out.extend(known.map(|result| ReplicaAction::Complete {
+            tag: result.tag,
+            result: ProposalResult::Done(result.outcome),
         }));
     }
 }
--- a/crates/core/src/process/control/replica.rs
+++ b/crates/core/src/process/control/replica.rs
@@ -6,7 +6,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::process::control::log::{EntryLog, HardState, LogEntry, LogPlace, ReplicaId};
+use crate::process::control::log::{EntryLog, HardState, LogEntry, LogPosition, ReplicaId};
 use crate::process::control::message::{
     ReplicaAction, ReplicaInput, ReplicaMessage, ReplicaTiming,
 };
@@ -17,46 +17,46 @@
 /// Longest wait of a replica that has just started, as a part of the election
 /// time. Nobody was heard yet, and a pre-vote disturbs no leader that is; chance
 /// keeps those that start together from standing at the same moment.
-const FIRST_WAIT: f64 = 0.25;
+const MAX_START_DELAY: f64 = 0.25;
 
 /// Part of the election time that goes by before another election, while no
 /// leader was heard of since the start: a split vote is soon mended, and there
 /// is no leader to disturb.
-const FIRST_ELECTION: f64 = 0.4;
+const INITIAL_TIMEOUT_SCALE: f64 = 0.4;
 
 /// The rules that keep accepted changes. All are on in a running replica; a
 /// test switches one off to show that the loss would be noticed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ReplicaRules {
+pub struct SafetyChecks {
     /// Only an entry of the current term is committed by counting.
-    pub current_term_only: bool,
+    pub commits_current_term_only: bool,
     /// A vote is kept and given once a term.
-    pub one_vote: bool,
+    pub votes_once_per_term: bool,
     /// A vote is given only to a log that is not behind.
-    pub up_to_date: bool,
+    pub requires_up_to_date_log: bool,
     /// A majority commits, not fewer.
-    pub majority: bool,
+    pub requires_majority: bool,
     /// A learner has no vote and does not count.
-    pub learners_apart: bool,
+    pub excludes_learners: bool,
     /// The replicas change one at a time.
-    pub one_change: bool,
+    pub changes_one_member: bool,
     /// A read is confirmed by a quorum.
-    pub confirmed_reads: bool,
+    pub confirms_reads: bool,
     /// What comes in force is acknowledged once a quorum knows that it does.
-    pub known_commits: bool,
+    pub awaits_known_commit: bool,
 }
 
-impl Default for ReplicaRules {
+impl Default for SafetyChecks {
     fn default() -> Self {
-        ReplicaRules {
-            current_term_only: true,
-            one_vote: true,
-            up_to_date: true,
-            majority: true,
-            learners_apart: true,
-            one_change: true,
-            confirmed_reads: true,
-            known_commits: true,
+        SafetyChecks {
+            commits_current_term_only: true,
+            votes_once_per_term: true,
+            requires_up_to_date_log: true,
+            requires_majority: true,
+            excludes_learners: true,
+            changes_one_member: true,
+            confirms_reads: true,
+            awaits_known_commit: true,
         }
     }
 }
@@ -71,11 +71,11 @@
     pub members: Vec<ReplicaId>,
     /// Replicas that a group which keeps them in its log should have; 0 for
     /// one that never changes.
-    pub size: usize,
+    pub target_size: usize,
     /// Its hard state.
-    pub hard: HardState,
+    pub hard_state: HardState,
     /// Its snapshot, and the last entry that includes.
-    pub snapshot: (LogPlace, ControlState),
+    pub snapshot: (LogPosition, ControlState),
     /// Its entries after the snapshot.
     pub entries: Vec<LogEntry>,
     /// Its commit index, as far as it was kept.
@@ -83,7 +83,7 @@
     /// Its timing.
     pub timing: ReplicaTiming,
     /// Its rules; all on but in tests.
-    pub rules: ReplicaRules,
+    pub safety_checks: SafetyChecks,
     /// Seed of its random numbers.
     pub seed: u64,
 }
@@ -102,13 +102,13 @@
 /// How far a leader knows a follower's log.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PeerProgress {
-    pub(super) matched: u64,
-    pub(super) next: u64,
-    pub(super) heard: Duration,
+    pub(super) match_index: u64,
+    pub(super) next_index: u64,
+    pub(super) last_seen_at: Duration,
     /// Last round of heartbeats it answered.
     pub(super) round: u64,
     /// When the whole state may be sent to it again.
-    pub(super) snapshot_due: Duration,
+    pub(super) next_snapshot_at: Duration,
 }
 
 /// One replica.
@@ -117,20 +117,20 @@
     pub(super) id: ReplicaId,
     pub(super) members: Vec<ReplicaId>,
     /// Replicas that the start named.
-    pub(super) named: Vec<ReplicaId>,
+    pub(super) configured_members: Vec<ReplicaId>,
     /// The replicas, where the log keeps them, and the index that says so.
     pub(super) records: Vec<MemberRecord>,
-    pub(super) records_index: u64,
-    pub(super) size: usize,
+    pub(super) members_index: u64,
+    pub(super) target_size: usize,
     /// Replicas without a vote that are kept up to date.
     pub(super) learners: BTreeMap<ReplicaId, MemberRecord>,
     pub(super) round: u64,
-    pub(super) reads: Vec<PendingRead>,
-    pub(super) ends: Vec<PendingEnd>,
+    pub(super) pending_reads: Vec<PendingRead>,
+    pub(super) pending_results: Vec<PendingEnd>,
     pub(super) timing: ReplicaTiming,
-    pub(super) rules: ReplicaRules,
+    pub(super) safety_checks: SafetyChecks,
     pub(super) rng: SmallRng,
-    pub(super) hard: HardState,
+    pub(super) hard_state: HardState,
     pub(super) log: EntryLog,
     pub(super) state: ControlState,
     pub(super) commit: u64,
@@ -138,13 +138,13 @@
     pub(super) role: ReplicaRole,
     pub(super) leader: Option<ReplicaId>,
     /// When a leader was last heard of in this lifetime.
-    pub(super) heard: Option<Duration>,
+    pub(super) leader_seen_at: Option<Duration>,
     pub(super) election_at: Duration,
     pub(super) heartbeat_at: Duration,
     /// When a leader looks after the group again. What it sends otherwise puts
     /// heartbeats off, and must not put this off.
-    pub(super) tend_at: Duration,
-    pub(super) proposals: BTreeMap<u64, (u64, u64)>,
+    pub(super) maintain_at: Duration,
+    pub(super) pending_proposals: BTreeMap<u64, (u64, u64)>,
 }
 
 impl ReplicaMachine {
@@ -154,40 +154,40 @@
         let mut replica = ReplicaMachine {
             id: start.id,
             members: start.members.clone(),
-            named: start.members,
+            configured_members: start.members,
             records: Vec::new(),
-            records_index: 0,
-            size: start.size,
+            members_index: 0,
+            target_size: start.target_size,
             learners: BTreeMap::new(),
             round: 0,
-            reads: Vec::new(),
-            ends: Vec::new(),
+            pending_reads: Vec::new(),
+            pending_results: Vec::new(),
             timing: start.timing,
-            rules: start.rules,
+            safety_checks: start.safety_checks,
             rng: SmallRng::seed_from_u64(start.seed),
-            hard: start.hard,
+            hard_state: start.hard_state,
             log: EntryLog::new(place, start.entries),
             state,
             commit: place.index,
             applied: place.index,
             role: ReplicaRole::Follower,
             leader: None,
-            heard: None,
+            leader_seen_at: None,
             election_at: now,
             heartbeat_at: now,
-            tend_at: now,
-            proposals: BTreeMap::new(),
+            maintain_at: now,
+            pending_proposals: BTreeMap::new(),
         };
-        let wait = FIRST_WAIT * replica.rng.random::<f64>();
+        let wait = MAX_START_DELAY * replica.rng.random::<f64>();
         replica.election_at = now + replica.timing.election.mul_f64(wait);
         replica.commit = start.commit.clamp(place.index, replica.log.last().index);
-        replica.replay();
+        replica.apply_recovered();
         replica.find_members();
         replica
     }
 
     /// Applies what was committed before the start.
-    fn replay(&mut self) {
+    fn apply_recovered(&mut self) {
         while let Some(entry) = self.log.get(self.applied + 1) {
             if entry.index > self.commit {
                 return;
@@ -201,12 +201,12 @@
     pub fn step(&mut self, now: Duration, input: ReplicaInput, out: &mut Vec<ReplicaAction>) {
         match input {
             ReplicaInput::Wake => {}
-            ReplicaInput::Message { from, message } => self.take(from, message, now, out),
+            ReplicaInput::Message { from, message } => self.handle_message(from, message, now, out),
             ReplicaInput::Propose { tag, command } => self.propose(tag, command, now, out),
-            ReplicaInput::Read { tag } => self.read(tag, now, out),
-            ReplicaInput::Learner(record) => self.take_learner(record, now),
-            ReplicaInput::Found(record) => self.found(record, out),
-            ReplicaInput::HandOver => self.hand_over(now, out),
+            ReplicaInput::Read { tag } => self.start_read(tag, now, out),
+            ReplicaInput::AddLearner(record) => self.take_learner(record, now),
+            ReplicaInput::Bootstrap(record) => self.found(record, out),
+            ReplicaInput::TransferLeadership => self.hand_over(now, out),
         }
         self.run_timers(now, out);
     }
@@ -214,7 +214,7 @@
     /// Returns when the next timer is due.
     pub fn next_wake(&self) -> Duration {
         match self.role {
-            ReplicaRole::Leader(_) => self.heartbeat_at.min(self.tend_at),
+            ReplicaRole::Leader(_) => self.heartbeat_at.min(self.maintain_at),
             _ => self.election_at,
         }
     }
@@ -231,7 +231,7 @@
 
     /// Returns the term.
     pub fn term(&self) -> u64 {
-        self.hard.term
+        self.hard_state.term
     }
 
     /// Tells whether this replica leads.
@@ -259,7 +259,7 @@
         self.log.len()
     }
 
-    fn take(
+    fn handle_message(
         &mut self,
         from: ReplicaId,
         message: ReplicaMessage,
@@ -269,19 +269,21 @@
         // Somebody who is not a member has no say, whatever it claims; but
         // where the log keeps the members, it may know more of them than this
         // replica does, and the log itself decides.
-        if self.size == 0 && !self.members.contains(&from) {
+        if self.target_size == 0 && !self.members.contains(&from) {
             return;
         }
         match message {
             ReplicaMessage::AskPreVote { term, last } => {
-                self.answer_pre_vote(from, term, last, now, out);
+                self.handle_pre_vote_request(from, term, last, now, out);
             }
             ReplicaMessage::PreVote { term, granted } => {
-                self.count_pre_vote(from, term, granted, now, out);
+                self.handle_pre_vote_reply(from, term, granted, now, out);
+            }
+            ReplicaMessage::AskVote { term, last } => {
+                self.handle_vote_request(from, term, last, now, out)
             }
-            ReplicaMessage::AskVote { term, last } => self.answer_vote(from, term, last, now, out),
             ReplicaMessage::Vote { term, granted } => {
-                self.count_vote(from, term, granted, now, out);
+                self.handle_vote_reply(from, term, granted, now, out);
             }
             ReplicaMessage::Append {
                 term,
@@ -290,14 +292,14 @@
                 commit,
                 round,
             } => {
-                if self.follow(from, term, now, out) {
-                    let index = self.append(previous, entries, commit, out);
-                    self.answer_append(from, index, round, out);
+                if self.accept_leader(from, term, now, out) {
+                    let index = self.append_entries(previous, entries, commit, out);
+                    self.send_append_reply(from, index, round, out);
                 }
             }
             ReplicaMessage::Lead { term } => {
-                if term == self.hard.term && self.is_voter() {
-                    self.stand(now, out);
+                if term == self.hard_state.term && self.is_voter() {
+                    self.start_election(now, out);
                 }
             }
             ReplicaMessage::Appended {
@@ -307,11 +309,11 @@
                 round,
             } => {
                 let index = if fitted { Ok(index) } else { Err(index) };
-                self.appended(from, term, index, round, now, out);
+                self.handle_append_reply(from, term, index, round, now, out);
             }
             ReplicaMessage::Snapshot { term, place, state } => {
-                if self.follow(from, term, now, out) {
-                    self.install(from, place, *state, out);
+                if self.accept_leader(from, term, now, out) {
+                    self.install_snapshot(from, place, *state, out);
                 }
             }
         }
@@ -319,26 +321,26 @@
 
     fn run_timers(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         if self.is_leader() {
-            if now >= self.tend_at {
-                self.tend(now, out);
+            if now >= self.maintain_at {
+                self.maintain_group(now, out);
             }
             if self.is_leader() && now >= self.heartbeat_at {
-                self.send_all(now, out);
+                self.replicate_to_all(now, out);
             }
         } else if now >= self.election_at {
             if self.is_voter() {
-                self.ask_pre_votes(now, out);
+                self.start_pre_vote(now, out);
             } else {
                 // It says whom it follows, and must not say that of one it has lost.
                 self.leader = None;
-                self.reset_election(now);
+                self.reset_election_timer(now);
             }
         }
     }
 
-    pub(super) fn reset_election(&mut self, now: Duration) {
-        let part = if self.heard.is_none() {
-            FIRST_ELECTION
+    pub(super) fn reset_election_timer(&mut self, now: Duration) {
+        let part = if self.leader_seen_at.is_none() {
+            INITIAL_TIMEOUT_SCALE
         } else {
             1.0
         };
@@ -347,8 +349,8 @@
     }
 
     /// Returns the number of replicas that decides.
-    pub(super) fn quorum(&self) -> usize {
-        if self.rules.majority {
+    pub(super) fn quorum_size(&self) -> usize {
+        if self.safety_checks.requires_majority {
             self.members.len() / 2 + 1
         } else {
             1
@@ -357,17 +359,17 @@
 
     /// Becomes a follower, in a higher term if `term` is one.
     pub(super) fn step_down(&mut self, term: u64, out: &mut Vec<ReplicaAction>) {
-        if term > self.hard.term {
-            self.hard = HardState { term, vote: None };
-            out.push(ReplicaAction::KeepHard(self.hard));
+        if term > self.hard_state.term {
+            self.hard_state = HardState { term, vote: None };
+            out.push(ReplicaAction::PersistHardState(self.hard_state));
             self.leader = None;
         }
         if self.is_leader() {
-            out.push(ReplicaAction::Role {
-                term: self.hard.term,
+            out.push(ReplicaAction::RoleChanged {
+                term: self.hard_state.term,
                 leads: false,
             });
-            self.drop_proposals(out);
+            self.abort_pending(out);
         }
         self.role = ReplicaRole::Follower;
         self.learners.clear();
--- a/crates/core/src/process/control/replicate.rs
+++ b/crates/core/src/process/control/replicate.rs
@@ -2,36 +2,36 @@
 
 use std::time::Duration;
 
-use crate::process::control::log::{EntryLog, LogEntry, LogPlace, ReplicaId};
+use crate::process::control::log::{EntryLog, LogEntry, LogPosition, ReplicaId};
 use crate::process::control::message::{ReplicaAction, ReplicaMessage};
 use crate::process::control::replica::{PeerProgress, ReplicaMachine, ReplicaRole};
 use crate::process::control::state::ControlState;
 
 /// Most entries in one message.
-const BATCH: usize = 64;
+const MAX_BATCH_ENTRIES: usize = 64;
 /// Most bytes of entries in one message, unless one alone has more.
-const BATCH_BYTES: usize = 512 * 1024;
+const MAX_BATCH_BYTES: usize = 512 * 1024;
 /// Heartbeats between two sends of the whole state to a follower: it may be
 /// down for long, and the state may be large.
-const SNAPSHOT_BEATS: u32 = 10;
+const SNAPSHOT_RETRY_HEARTBEATS: u32 = 10;
 
 impl ReplicaMachine {
     /// Sends every follower what it lacks, or a heartbeat.
-    pub(super) fn send_all(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
+    pub(super) fn replicate_to_all(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         self.heartbeat_at = now + self.timing.heartbeat;
         let ReplicaRole::Leader(peers) = &self.role else {
             return;
         };
         let peers: Vec<ReplicaId> = peers.keys().copied().collect();
         for peer in peers {
-            if !self.send_entries(peer, now, out) {
-                self.send_beat(peer, out);
+            if !self.replicate_to(peer, now, out) {
+                self.send_heartbeat(peer, out);
             }
         }
     }
 
     /// Sends the replicas that have a vote what they lack, or a heartbeat.
-    pub(super) fn send_voters(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
+    pub(super) fn replicate_to_voters(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         let ReplicaRole::Leader(peers) = &self.role else {
             return;
         };
@@ -39,18 +39,18 @@
         let voters = peers.keys().filter(|peer| members.contains(peer));
         let voters: Vec<ReplicaId> = voters.copied().collect();
         for peer in voters {
-            if !self.send_entries(peer, now, out) {
-                self.send_beat(peer, out);
+            if !self.replicate_to(peer, now, out) {
+                self.send_heartbeat(peer, out);
             }
         }
     }
 
     /// Sends a follower that waits for the whole state a heartbeat alone.
-    fn send_beat(&self, peer: ReplicaId, out: &mut Vec<ReplicaAction>) {
+    fn send_heartbeat(&self, peer: ReplicaId, out: &mut Vec<ReplicaAction>) {
         out.push(ReplicaAction::Send {
             to: peer,
             message: ReplicaMessage::Append {
-                term: self.hard.term,
+                term: self.hard_state.term,
                 previous: self.log.base(),
                 entries: Vec::new(),
                 commit: self.log.base().index,
@@ -60,7 +60,7 @@
     }
 
     /// Sends a follower what it lacks. Returns whether anything was sent.
-    fn send_entries(
+    fn replicate_to(
         &mut self,
         peer: ReplicaId,
         now: Duration,
@@ -72,34 +72,37 @@
         let Some(progress) = peers.get_mut(&peer) else {
             return false;
         };
-        let previous = progress.next - 1;
+        let previous = progress.next_index - 1;
         let Some(term) = self.log.term_at(previous) else {
-            if progress.snapshot_due > now {
+            if progress.next_snapshot_at > now {
                 return false;
             }
-            progress.snapshot_due = now + self.timing.heartbeat * SNAPSHOT_BEATS;
-            let place = LogPlace {
+            progress.next_snapshot_at = now + self.timing.heartbeat * SNAPSHOT_RETRY_HEARTBEATS;
+            let place = LogPosition {
                 term: self.log.term_at(self.applied).unwrap_or_default(),
                 index: self.applied,
             };
             out.push(ReplicaAction::Send {
                 to: peer,
                 message: ReplicaMessage::Snapshot {
-                    term: self.hard.term,
+                    term: self.hard_state.term,
                     place,
                     state: Box::new(self.state.clone()),
                 },
             });
             return true;
         };
-        let entries = self.log.from(progress.next, BATCH, BATCH_BYTES).to_vec();
+        let entries = self
+            .log
+            .entries_from(progress.next_index, MAX_BATCH_ENTRIES, MAX_BATCH_BYTES)
+            .to_vec();
         // Optimistic: what is lost is found out by the next heartbeat.
-        progress.next += entries.len() as u64;
+        progress.next_index += entries.len() as u64;
         out.push(ReplicaAction::Send {
             to: peer,
             message: ReplicaMessage::Append {
-                term: self.hard.term,
-                previous: LogPlace {
+                term: self.hard_state.term,
+                previous: LogPosition {
                     term,
                     index: previous,
                 },
@@ -113,9 +116,9 @@
 
     /// Takes a leader's entries, if they fit onto the log. Returns the last
     /// index known to match, or where to try next.
-    pub(super) fn append(
+    pub(super) fn append_entries(
         &mut self,
-        previous: LogPlace,
+        previous: LogPosition,
         entries: Vec<LogEntry>,
         commit: u64,
         out: &mut Vec<ReplicaAction>,
@@ -130,7 +133,7 @@
         }
         let last = previous.index + entries.len() as u64;
         for entry in entries {
-            self.take_entry(entry, out);
+            self.append_entry(entry, out);
         }
         if commit.min(last) > self.commit {
             self.commit = commit.min(last);
@@ -139,7 +142,7 @@
         Ok(last)
     }
 
-    fn take_entry(&mut self, entry: LogEntry, out: &mut Vec<ReplicaAction>) {
+    fn append_entry(&mut self, entry: LogEntry, out: &mut Vec<ReplicaAction>) {
         match self.log.term_at(entry.index) {
             Some(term) if term == entry.term => return,
             Some(_) => {
@@ -148,15 +151,15 @@
             }
             None => {}
         }
-        out.push(ReplicaAction::KeepEntry(entry.clone()));
+        out.push(ReplicaAction::PersistEntry(entry.clone()));
         self.push_entry(entry);
     }
 
     /// Takes a leader's whole state, if it is ahead of the own one.
-    pub(super) fn install(
+    pub(super) fn install_snapshot(
         &mut self,
         from: ReplicaId,
-        place: LogPlace,
+        place: LogPosition,
         state: ControlState,
         out: &mut Vec<ReplicaAction>,
     ) {
@@ -166,17 +169,17 @@
             self.commit = place.index;
             self.applied = place.index;
             self.find_members();
-            out.push(ReplicaAction::KeepSnapshot {
+            out.push(ReplicaAction::PersistSnapshot {
                 place,
                 state: Box::new(self.state.clone()),
                 is_installed: true,
             });
-            out.push(ReplicaAction::Changed);
+            out.push(ReplicaAction::StateChanged);
         }
-        self.answer_append(from, Ok(place.index), 0, out);
+        self.send_append_reply(from, Ok(place.index), 0, out);
     }
 
-    pub(super) fn answer_append(
+    pub(super) fn send_append_reply(
         &self,
         to: ReplicaId,
         index: Result<u64, u64>,
@@ -188,7 +191,7 @@
         out.push(ReplicaAction::Send {
             to,
             message: ReplicaMessage::Appended {
-                term: self.hard.term,
+                term: self.hard_state.term,
                 fitted,
                 index,
                 round,
@@ -196,7 +199,7 @@
         });
     }
 
-    pub(super) fn appended(
+    pub(super) fn handle_append_reply(
         &mut self,
         from: ReplicaId,
         term: u64,
@@ -205,10 +208,10 @@
         now: Duration,
         out: &mut Vec<ReplicaAction>,
     ) {
-        if term > self.hard.term {
+        if term > self.hard_state.term {
             return self.step_down(term, out);
         }
-        if term < self.hard.term {
+        if term < self.hard_state.term {
             return;
         }
         let last = self.log.last().index;
@@ -218,29 +221,29 @@
         let Some(progress) = peers.get_mut(&from) else {
             return;
         };
-        progress.heard = now;
+        progress.last_seen_at = now;
         progress.round = progress.round.max(round);
         match index {
             Ok(index) => {
-                progress.matched = progress.matched.max(index.min(last));
-                progress.next = progress.next.max(progress.matched + 1);
+                progress.match_index = progress.match_index.max(index.min(last));
+                progress.next_index = progress.next_index.max(progress.match_index + 1);
             }
-            Err(index) => progress.next = (index + 1).max(progress.matched + 1),
+            Err(index) => progress.next_index = (index + 1).max(progress.match_index + 1),
         }
-        let lacks = progress.next <= last;
+        let lacks = progress.next_index <= last;
         if let Ok(index) = index {
             self.note_known(from, index, round);
         }
         self.advance_commit(out);
         self.confirm_reads(now, out);
         if lacks {
-            self.send_entries(from, now, out);
+            self.replicate_to(from, now, out);
         }
     }
 
     /// Returns how far a quorum has come, if this replica leads: its own value
     /// is `own`, `reach` reads a follower's.
-    pub(super) fn quorum_reach(
+    pub(super) fn quorum_value(
         &self,
         own: u64,
         reach: impl Fn(&PeerProgress) -> u64,
@@ -248,33 +251,33 @@
         let ReplicaRole::Leader(peers) = &self.role else {
             return None;
         };
-        let counted = peers
-            .iter()
-            .filter(|(peer, _)| !self.rules.learners_apart || self.members.contains(peer));
+        let counted = peers.iter().filter(|(peer, _)| {
+            !self.safety_checks.excludes_learners || self.members.contains(peer)
+        });
         let mut values: Vec<u64> = counted.map(|(_, peer)| reach(peer)).collect();
         if self.is_voter() {
             values.push(own);
         }
         values.sort_unstable();
-        let place = values.len().checked_sub(self.quorum())?;
+        let place = values.len().checked_sub(self.quorum_size())?;
         Some(values[place])
     }
 
     /// Commits what a quorum holds, and ends what a quorum knows to be committed.
     pub(super) fn advance_commit(&mut self, out: &mut Vec<ReplicaAction>) {
         let last = self.log.last().index;
-        let Some(index) = self.quorum_reach(last, |peer| peer.matched) else {
+        let Some(index) = self.quorum_value(last, |peer| peer.match_index) else {
             return;
         };
-        let is_own = self.log.term_at(index) == Some(self.hard.term);
-        if index > self.commit && (is_own || !self.rules.current_term_only) {
+        let is_own = self.log.term_at(index) == Some(self.hard_state.term);
+        if index > self.commit && (is_own || !self.safety_checks.commits_current_term_only) {
             self.commit = index;
             self.apply_committed(out);
         }
         self.end_known(out);
-        if !self.is_voter() && self.records_index <= self.commit {
+        if !self.is_voter() && self.members_index <= self.commit {
             // It was taken out of the group, and that is decided.
-            self.step_down(self.hard.term, out);
+            self.step_down(self.hard_state.term, out);
         }
     }
 }
--- a/crates/core/tests/control.rs
+++ b/crates/core/tests/control.rs
@@ -14,9 +14,9 @@
 use wheelmast_core::process::control::fence::{ClaimOutcome, ClaimRequest};
 use wheelmast_core::process::control::log::ReplicaId;
 use wheelmast_core::process::control::message::{
-    ProposalEnd, ReplicaAction, ReplicaInput, ReplicaMessage, ReplicaTiming,
+    ProposalResult, ReplicaAction, ReplicaInput, ReplicaMessage, ReplicaTiming,
 };
-use wheelmast_core::process::control::replica::{ReplicaMachine, ReplicaRules, ReplicaStart};
+use wheelmast_core::process::control::replica::{ReplicaMachine, ReplicaStart, SafetyChecks};
 use wheelmast_core::process::control::state::{
     ChangeOutcome, CommandOutcome, ControlCommand, ControlState,
 };
@@ -97,7 +97,7 @@
     nodes: Vec<Node>,
     now: Duration,
     wire: Vec<(usize, usize, ReplicaMessage)>,
-    rules: ReplicaRules,
+    safety_checks: SafetyChecks,
     seed: u64,
     tags: HashMap<u64, String>,
     claimants: HashMap<String, u64>,
@@ -111,7 +111,7 @@
 }
 
 impl Group {
-    fn new(count: usize, rules: ReplicaRules, lies: bool, seed: u64) -> Group {
+    fn new(count: usize, safety_checks: SafetyChecks, lies: bool, seed: u64) -> Group {
         let nodes = (0..count).map(|_| Node {
             machine: None,
             disk: Disk::default(),
@@ -124,7 +124,7 @@
             nodes: nodes.collect(),
             now: Duration::ZERO,
             wire: Vec::new(),
-            rules,
+            safety_checks,
             seed,
             tags: HashMap::new(),
             claimants: HashMap::new(),
@@ -148,13 +148,13 @@
         let start = ReplicaStart {
             id: id_of(node),
             members,
-            size: 0,
-            hard: disk.hard,
+            target_size: 0,
+            hard_state: disk.hard_state,
             snapshot: (disk.place, disk.state),
             entries: disk.entries,
             commit: disk.commit,
             timing: ReplicaTiming::default(),
-            rules: self.rules,
+            safety_checks: self.safety_checks,
             seed: self.seed,
         };
         self.nodes[node].crash_after = None;
@@ -174,7 +174,7 @@
         // The driver's duty: everything to be kept is synced before anything
         // else is done.
         for action in &out {
-            if action.is_kept() && !self.sync(node, action) {
+            if action.must_persist_first() && !self.sync(node, action) {
                 return;
             }
         }
@@ -199,7 +199,7 @@
             }
             None => {
                 // Sound disks sync; a lying one forgets entries now and then.
-                let forgets = node.lies && matches!(action, ReplicaAction::KeepEntry(_));
+                let forgets = node.lies && matches!(action, ReplicaAction::PersistEntry(_));
                 if !forgets {
                     node.disk.keep(action);
                 }
@@ -213,22 +213,22 @@
             ReplicaAction::Send { to, message } => {
                 self.wire.push((node, to as usize - 10, message));
             }
-            ReplicaAction::End { tag, end } => {
+            ReplicaAction::Complete { tag, result } => {
                 let name = self.tags[&tag].clone();
-                match end {
-                    ProposalEnd::Done(CommandOutcome::Change(outcome)) => {
+                match result {
+                    ProposalResult::Done(CommandOutcome::Change(outcome)) => {
                         let first = *self.outcomes.entry(name).or_insert(outcome);
                         self.broken.two_outcomes += u32::from(first != outcome);
                         self.broken.known_to_few += u32::from(self.is_known_to_few(outcome));
                     }
-                    ProposalEnd::Done(CommandOutcome::Claim(ClaimOutcome::Granted)) => {
+                    ProposalResult::Done(CommandOutcome::Claim(ClaimOutcome::Granted)) => {
                         let first = *self.claimants.entry(name).or_insert(tag);
                         self.broken.two_claims += u32::from(first != tag);
                     }
                     _ => {}
                 }
             }
-            ReplicaAction::Changed => {
+            ReplicaAction::StateChanged => {
                 let node = &mut self.nodes[node];
                 let version = node
                     .machine
@@ -236,7 +236,7 @@
                     .map(|machine| machine.state().version());
                 node.in_force = version.unwrap_or(node.in_force);
             }
-            ReplicaAction::Role { term, leads: true } => {
+            ReplicaAction::RoleChanged { term, leads: true } => {
                 let first = *self.leaders.entry(term).or_insert(node);
                 self.broken.two_leaders += u32::from(first != node);
             }
@@ -377,8 +377,14 @@
     }
 }
 
-fn run_case(events: &[Event], count: usize, seed: u64, rules: ReplicaRules, lies: bool) -> Broken {
-    let mut group = Group::new(count, rules, lies, seed);
+fn run_case(
+    events: &[Event],
+    count: usize,
+    seed: u64,
+    safety_checks: SafetyChecks,
+    lies: bool,
+) -> Broken {
+    let mut group = Group::new(count, safety_checks, lies, seed);
     for event in events {
         group.play(event);
     }
@@ -398,20 +404,20 @@
 
     #[test]
     fn three_replicas_lose_nothing(events in prop::collection::vec(event(), 1..200), seed in any::<u32>()) {
-        let broken = run_case(&events, 3, seed.into(), ReplicaRules::default(), false);
+        let broken = run_case(&events, 3, seed.into(), SafetyChecks::default(), false);
         prop_assert_eq!(broken, Broken::default());
     }
 
     #[test]
     fn five_replicas_lose_nothing(events in prop::collection::vec(event(), 1..200), seed in any::<u32>()) {
-        let broken = run_case(&events, 5, seed.into(), ReplicaRules::default(), false);
+        let broken = run_case(&events, 5, seed.into(), SafetyChecks::default(), false);
         prop_assert_eq!(broken, Broken::default());
     }
 }
 
 struct RuleCase {
     name: &'static str,
-    off: fn(&mut ReplicaRules),
+    off: fn(&mut SafetyChecks),
     lies: bool,
 }
 
@@ -420,22 +426,22 @@
     let cases = [
         RuleCase {
             name: "a vote once a term",
-            off: |rules| rules.one_vote = false,
+            off: |safety_checks| safety_checks.votes_once_per_term = false,
             lies: false,
         },
         RuleCase {
             name: "a vote for no log that is behind",
-            off: |rules| rules.up_to_date = false,
+            off: |safety_checks| safety_checks.requires_up_to_date_log = false,
             lies: false,
         },
         RuleCase {
             name: "a majority",
-            off: |rules| rules.majority = false,
+            off: |safety_checks| safety_checks.requires_majority = false,
             lies: false,
         },
         RuleCase {
             name: "what comes in force is known to a quorum",
-            off: |rules| rules.known_commits = false,
+            off: |safety_checks| safety_checks.awaits_known_commit = false,
             lies: false,
         },
         RuleCase {
@@ -445,15 +451,15 @@
         },
     ];
     for case in cases {
-        let mut rules = ReplicaRules::default();
-        (case.off)(&mut rules);
+        let mut safety_checks = SafetyChecks::default();
+        (case.off)(&mut safety_checks);
         let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[4; 32]);
         let mut runner = TestRunner::new_with_rng(Config::default(), rng);
         let strategy = prop::collection::vec(event(), 100..200);
         let mut total = 0;
         for seed in 0..600 {
             let tree = strategy.new_tree(&mut runner).expect("nothing is rejected");
-            total += run_case(&tree.current(), 3, seed, rules, case.lies).total();
+            total += run_case(&tree.current(), 3, seed, safety_checks, case.lies).total();
         }
         assert!(total > 0, "{}", case.name);
     }
@@ -461,7 +467,7 @@
 
 #[test]
 fn a_replica_that_was_cut_off_disturbs_nobody() {
-    let mut group = Group::new(3, ReplicaRules::default(), false, 1);
+    let mut group = Group::new(3, SafetyChecks::default(), false, 1);
     let run = |group: &mut Group, rounds: u32| {
         for _ in 0..rounds {
             group.advance(Duration::from_millis(40));
--- a/crates/core/tests/members/cases.rs
+++ b/crates/core/tests/members/cases.rs
@@ -5,9 +5,9 @@
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRng, TestRunner};
-use wheelmast_core::process::control::log::{HardState, LogPlace};
+use wheelmast_core::process::control::log::{HardState, LogPosition};
 use wheelmast_core::process::control::message::{ReplicaInput, ReplicaMessage, ReplicaTiming};
-use wheelmast_core::process::control::replica::{ReplicaMachine, ReplicaRules, ReplicaStart};
+use wheelmast_core::process::control::replica::{ReplicaMachine, ReplicaStart, SafetyChecks};
 use wheelmast_core::process::control::state::ControlState;
 
 use crate::harness::{event, Broken, Group, WipedName};
@@ -15,8 +15,8 @@
 struct GroupCase {
     name: &'static str,
     nodes: usize,
-    size: usize,
-    rules: ReplicaRules,
+    target_size: usize,
+    safety_checks: SafetyChecks,
     wiped: WipedName,
     /// Whether something must break.
     breaks: bool,
@@ -37,8 +37,8 @@
         let events = events.new_tree(&mut runner).expect("events").current();
         let mut group = Group::new(
             case.nodes,
-            case.size,
-            case.rules,
+            case.target_size,
+            case.safety_checks,
             case.wiped,
             u64::from(seed) * 1000,
         );
@@ -58,13 +58,13 @@
 
 #[test]
 fn nothing_acknowledged_is_lost_and_each_rule_counts() {
-    let rules = ReplicaRules::default();
+    let safety_checks = SafetyChecks::default();
     let cases = [
         GroupCase {
             name: "three of three",
             nodes: 3,
-            size: 3,
-            rules,
+            target_size: 3,
+            safety_checks,
             wiped: WipedName::New,
             breaks: false,
             seeds: 300,
@@ -72,8 +72,8 @@
         GroupCase {
             name: "three of four",
             nodes: 4,
-            size: 3,
-            rules,
+            target_size: 3,
+            safety_checks,
             wiped: WipedName::New,
             breaks: false,
             seeds: 300,
@@ -81,8 +81,8 @@
         GroupCase {
             name: "five of six",
             nodes: 6,
-            size: 5,
-            rules,
+            target_size: 5,
+            safety_checks,
             wiped: WipedName::New,
             breaks: false,
             seeds: 150,
@@ -90,8 +90,8 @@
         GroupCase {
             name: "a wiped replica votes under its old name",
             nodes: 3,
-            size: 3,
-            rules,
+            target_size: 3,
+            safety_checks,
             wiped: WipedName::Old,
             breaks: true,
             seeds: 600,
@@ -99,10 +99,10 @@
         GroupCase {
             name: "a learner counts",
             nodes: 4,
-            size: 3,
-            rules: ReplicaRules {
-                learners_apart: false,
-                ..rules
+            target_size: 3,
+            safety_checks: SafetyChecks {
+                excludes_learners: false,
+                ..safety_checks
             },
             wiped: WipedName::New,
             breaks: true,
@@ -111,10 +111,10 @@
         GroupCase {
             name: "two changes at once",
             nodes: 5,
-            size: 3,
-            rules: ReplicaRules {
-                one_change: false,
-                ..rules
+            target_size: 3,
+            safety_checks: SafetyChecks {
+                changes_one_member: false,
+                ..safety_checks
             },
             wiped: WipedName::New,
             breaks: true,
@@ -130,11 +130,11 @@
 #[test]
 fn a_leader_that_was_frozen_confirms_no_read() {
     for confirmed in [true, false] {
-        let rules = ReplicaRules {
-            confirmed_reads: confirmed,
-            ..ReplicaRules::default()
+        let safety_checks = SafetyChecks {
+            confirms_reads: confirmed,
+            ..SafetyChecks::default()
         };
-        let mut group = Group::new(3, 3, rules, WipedName::New, 1);
+        let mut group = Group::new(3, 3, safety_checks, WipedName::New, 1);
         // The founder leads and stands still while the others go on.
         for _ in 0..100 {
             group.now += Duration::from_millis(20);
@@ -174,13 +174,13 @@
         ReplicaStart {
             id: 9,
             members: vec![leader, 2, 3],
-            size: 0,
-            hard: HardState::default(),
-            snapshot: (LogPlace::default(), ControlState::default()),
+            target_size: 0,
+            hard_state: HardState::default(),
+            snapshot: (LogPosition::default(), ControlState::default()),
             entries: Vec::new(),
             commit: 0,
             timing: ReplicaTiming::default(),
-            rules: ReplicaRules::default(),
+            safety_checks: SafetyChecks::default(),
             seed: 1,
         },
         Duration::ZERO,
@@ -189,7 +189,7 @@
         from: leader,
         message: ReplicaMessage::Append {
             term: 1,
-            previous: LogPlace::default(),
+            previous: LogPosition::default(),
             entries: Vec::new(),
             commit: 0,
             round: 1,
--- a/crates/core/tests/members/harness.rs
+++ b/crates/core/tests/members/harness.rs
@@ -6,9 +6,9 @@
 use proptest::prelude::*;
 use wheelmast_core::process::control::log::{LogEntry, ReplicaId};
 use wheelmast_core::process::control::message::{
-    ProposalEnd, ReplicaAction, ReplicaInput, ReplicaMessage, ReplicaTiming,
+    ProposalResult, ReplicaAction, ReplicaInput, ReplicaMessage, ReplicaTiming,
 };
-use wheelmast_core::process::control::replica::{ReplicaMachine, ReplicaRules, ReplicaStart};
+use wheelmast_core::process::control::replica::{ReplicaMachine, ReplicaStart, SafetyChecks};
 use wheelmast_core::process::control::state::{ControlCommand, MemberRecord};
 
 use crate::disk::Disk;
@@ -32,7 +32,7 @@
     Stall(u8),
     Propose(u8),
     Read(u8),
-    HandOver(u8),
+    TransferLeadership(u8),
 }
 
 pub(crate) fn event() -> impl Strategy<Value = Event> {
@@ -49,7 +49,7 @@
         1 => any::<u8>().prop_map(Event::Stall),
         5 => any::<u8>().prop_map(Event::Propose),
         4 => any::<u8>().prop_map(Event::Read),
-        1 => any::<u8>().prop_map(Event::HandOver),
+        1 => any::<u8>().prop_map(Event::TransferLeadership),
     ]
 }
 
@@ -100,8 +100,8 @@
 
 pub(crate) struct Group {
     pub(crate) nodes: Vec<Node>,
-    size: usize,
-    rules: ReplicaRules,
+    target_size: usize,
+    safety_checks: SafetyChecks,
     wiped: WipedName,
     pub(crate) now: Duration,
     pub(crate) wire: Vec<(usize, ReplicaId, ReplicaId, ReplicaMessage)>,
@@ -121,8 +121,8 @@
 impl Group {
     pub(crate) fn new(
         count: usize,
-        size: usize,
-        rules: ReplicaRules,
+        target_size: usize,
+        safety_checks: SafetyChecks,
         wiped: WipedName,
         seed: u64,
     ) -> Group {
@@ -137,8 +137,8 @@
         });
         let mut group = Group {
             nodes: nodes.collect(),
-            size,
-            rules,
+            target_size,
+            safety_checks,
             wiped,
             now: Duration::from_secs(1),
             wire: Vec::new(),
@@ -157,7 +157,7 @@
             group.start(node);
         }
         let founder = group.record(0);
-        group.step(0, ReplicaInput::Found(founder));
+        group.step(0, ReplicaInput::Bootstrap(founder));
         group.settle(4000);
         group
     }
@@ -185,13 +185,13 @@
         let start = ReplicaStart {
             id: state.id,
             members: Vec::new(),
-            size: self.size,
-            hard: disk.hard,
+            target_size: self.target_size,
+            hard_state: disk.hard_state,
             snapshot: (disk.place, disk.state),
             entries: disk.entries,
             commit: disk.commit,
             timing: ReplicaTiming::default(),
-            rules: self.rules,
+            safety_checks: self.safety_checks,
             seed: self.seed,
         };
         state.stalled = false;
@@ -218,7 +218,7 @@
             let kept = self.nodes[node].disk.entries.iter();
             let open = kept.filter(|entry| entry.index > commit && names_members(entry));
             let named = out.iter().any(|action| match action {
-                ReplicaAction::KeepEntry(entry) => names_members(entry),
+                ReplicaAction::PersistEntry(entry) => names_members(entry),
                 _ => false,
             });
             if named && open.count() > 0 {
@@ -235,7 +235,7 @@
         let held = std::mem::take(&mut self.nodes[node].held);
         let mut held = held.into_iter();
         while let Some(action) = held.next() {
-            if action.is_kept() && self.nodes[node].stalled {
+            if action.must_persist_first() && self.nodes[node].stalled {
                 self.nodes[node].held.push(action);
                 self.nodes[node].held.extend(held);
                 return;
@@ -251,8 +251,8 @@
                 let from = self.nodes[node].id;
                 self.wire.push((node, from, to, message));
             }
-            ReplicaAction::End { tag, end } => self.end(node, tag, end),
-            ReplicaAction::Changed => {
+            ReplicaAction::Complete { tag, result } => self.result(node, tag, result),
+            ReplicaAction::StateChanged => {
                 let version = self.version(node);
                 let known = &mut self.nodes[node].in_force;
                 if version < *known {
@@ -264,8 +264,8 @@
         }
     }
 
-    fn end(&mut self, node: usize, tag: u64, end: ProposalEnd) {
-        let done = matches!(end, ProposalEnd::Done(_));
+    fn result(&mut self, node: usize, tag: u64, result: ProposalResult) {
+        let done = matches!(result, ProposalResult::Done(_));
         if let Some(version) = self.proposed.remove(&tag) {
             if done {
                 self.acknowledged = self.acknowledged.max(version);
@@ -315,7 +315,7 @@
             for node in 0..self.nodes.len() {
                 if node != learner && !self.nodes[node].cut.1 {
                     let record = self.record(learner);
-                    self.step(node, ReplicaInput::Learner(record));
+                    self.step(node, ReplicaInput::AddLearner(record));
                 }
             }
         }
@@ -348,7 +348,7 @@
         // A repair counts once it is decided.
         let members = leader.state().members();
         members == leader.member_records()
-            && members.len() >= self.size
+            && members.len() >= self.target_size
             && members.iter().all(|member| {
                 let node = self.nodes.iter().find(|node| node.id == member.id);
                 node.is_some_and(|node| {
@@ -402,7 +402,9 @@
                 self.reads.insert(self.tags, (node, self.acknowledged));
                 self.step(node, ReplicaInput::Read { tag: self.tags });
             }
-            Event::HandOver(pick) => self.step(at(pick), ReplicaInput::HandOver),
+            Event::TransferLeadership(pick) => {
+                self.step(at(pick), ReplicaInput::TransferLeadership)
+            }
         }
     }
 
--- a/crates/core/tests/support/disk.rs
+++ b/crates/core/tests/support/disk.rs
@@ -1,14 +1,14 @@
 //! What a replica's disk has kept.
 
-use wheelmast_core::process::control::log::{HardState, LogEntry, LogPlace};
+use wheelmast_core::process::control::log::{HardState, LogEntry, LogPosition};
 use wheelmast_core::process::control::message::ReplicaAction;
 use wheelmast_core::process::control::state::ControlState;
 
 /// A disk that keeps what it is told.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Disk {
-    pub(crate) hard: HardState,
-    pub(crate) place: LogPlace,
+    pub(crate) hard_state: HardState,
+    pub(crate) place: LogPosition,
     pub(crate) state: ControlState,
     pub(crate) entries: Vec<LogEntry>,
     pub(crate) commit: u64,
@@ -17,13 +17,13 @@
 impl Disk {
     pub(crate) fn keep(&mut self, action: &ReplicaAction) {
         match action {
-            ReplicaAction::KeepHard(hard) => self.hard = *hard,
-            ReplicaAction::KeepCommit(commit) => self.commit = *commit,
-            ReplicaAction::KeepEntry(entry) => {
+            ReplicaAction::PersistHardState(hard_state) => self.hard_state = *hard_state,
+            ReplicaAction::PersistCommitIndex(commit) => self.commit = *commit,
+            ReplicaAction::PersistEntry(entry) => {
                 self.entries.retain(|kept| kept.index < entry.index);
                 self.entries.push(entry.clone());
             }
-            ReplicaAction::KeepSnapshot {
+            ReplicaAction::PersistSnapshot {
                 place,
                 state,
                 is_installed,
--- a/crates/core/tests/trio/harness.rs
+++ b/crates/core/tests/trio/harness.rs
@@ -4,9 +4,9 @@
 
 use wheelmast_core::process::control::log::ReplicaId;
 use wheelmast_core::process::control::message::{
-    ProposalEnd, ReplicaAction, ReplicaInput, ReplicaMessage, ReplicaTiming,
+    ProposalResult, ReplicaAction, ReplicaInput, ReplicaMessage, ReplicaTiming,
 };
-use wheelmast_core::process::control::replica::{ReplicaMachine, ReplicaRules, ReplicaStart};
+use wheelmast_core::process::control::replica::{ReplicaMachine, ReplicaStart, SafetyChecks};
 
 use crate::disk::Disk;
 
@@ -70,8 +70,8 @@
         for action in out {
             match action {
                 ReplicaAction::Send { to, message } => self.send(from, to, message),
-                ReplicaAction::End {
-                    end: ProposalEnd::Done(_),
+                ReplicaAction::Complete {
+                    result: ProposalResult::Done(_),
                     ..
                 } => self.sent.confirmed += 1,
                 _ => {}
@@ -100,8 +100,8 @@
 
     /// Lets time pass.
     pub(crate) fn run(&mut self, time: Duration) {
-        let end = self.now + time;
-        while self.now < end {
+        let result = self.now + time;
+        while self.now < result {
             self.now += STEP;
             for (from, to, message) in std::mem::take(&mut self.wire) {
                 let place = REPLICAS.iter().position(|id| *id == to).unwrap();
@@ -125,13 +125,13 @@
     let start = ReplicaStart {
         id,
         members: REPLICAS.to_vec(),
-        size: 0,
-        hard: disk.hard,
+        target_size: 0,
+        hard_state: disk.hard_state,
         snapshot: (disk.place, disk.state.clone()),
         entries: disk.entries.clone(),
         commit: disk.commit,
         timing: ReplicaTiming::default(),
-        rules: ReplicaRules::default(),
+        safety_checks: SafetyChecks::default(),
         seed: seed * 100 + id,
     };
     ReplicaMachine::new(start, now)
--- a/crates/node/src/process/control.rs
+++ b/crates/node/src/process/control.rs
@@ -9,7 +9,7 @@
 use wheelmast_core::prelude::{EntryInput, ServiceTable};
 use wheelmast_core::process::control::log::ReplicaId;
 use wheelmast_core::process::control::message::{
-    ProposalEnd, ReplicaAction, ReplicaInput, ReplicaMessage,
+    ProposalResult, ReplicaAction, ReplicaInput, ReplicaMessage,
 };
 use wheelmast_core::process::control::replica::ReplicaMachine;
 use wheelmast_core::process::control::state::{ControlCommand, TableVersion};
@@ -208,12 +208,12 @@
     async fn act(&mut self, action: ReplicaAction) {
         match action {
             ReplicaAction::Send { to, message } => self.send(to, message),
-            ReplicaAction::End { tag, end } => {
+            ReplicaAction::Complete { tag, result } => {
                 if let Some(reply) = self.waiting.remove(&tag) {
-                    let _ = reply.send(PeerReply::Command(command_reply(end)));
+                    let _ = reply.send(PeerReply::Command(command_reply(result)));
                 }
             }
-            ReplicaAction::Changed => {
+            ReplicaAction::StateChanged => {
                 let replica = self.replica.as_ref();
                 let current = replica.and_then(|r| r.machine.state().current().cloned());
                 if let Some(table) = current {
@@ -221,14 +221,14 @@
                     self.push(&table);
                 }
             }
-            ReplicaAction::Role { term, leads } => {
+            ReplicaAction::RoleChanged { term, leads } => {
                 let role = if leads { "leads" } else { "follows" };
                 tracing::info!("control: {role} in term {term}");
             }
-            ReplicaAction::KeepHard(_)
-            | ReplicaAction::KeepEntry(_)
-            | ReplicaAction::KeepCommit(_)
-            | ReplicaAction::KeepSnapshot { .. } => {}
+            ReplicaAction::PersistHardState(_)
+            | ReplicaAction::PersistEntry(_)
+            | ReplicaAction::PersistCommitIndex(_)
+            | ReplicaAction::PersistSnapshot { .. } => {}
         }
     }
 
@@ -298,10 +298,10 @@
     store.sync()
 }
 
-fn command_reply(end: ProposalEnd) -> CommandReply {
-    match end {
-        ProposalEnd::Done(outcome) => CommandReply::Done(outcome),
-        ProposalEnd::NotLeader(_) => CommandReply::NotLeader,
-        ProposalEnd::Unknown => CommandReply::Unknown,
+fn command_reply(result: ProposalResult) -> CommandReply {
+    match result {
+        ProposalResult::Done(outcome) => CommandReply::Done(outcome),
+        ProposalResult::NotLeader(_) => CommandReply::NotLeader,
+        ProposalResult::Unknown => CommandReply::Unknown,
     }
 }
--- a/crates/node/src/process/group/inbound.rs
+++ b/crates/node/src/process/group/inbound.rs
@@ -93,7 +93,7 @@
         node.meet(address);
     }
     if learns {
-        node.step_replica(ReplicaInput::Learner(from));
+        node.step_replica(ReplicaInput::AddLearner(from));
     }
 }
 
--- a/crates/node/src/process/group/replica.rs
+++ b/crates/node/src/process/group/replica.rs
@@ -6,9 +6,9 @@
 
 use tokio::sync::oneshot;
 use wheelmast_core::process::control::message::{
-    ProposalEnd, ReplicaAction, ReplicaInput, ReplicaTiming,
+    ProposalResult, ReplicaAction, ReplicaInput, ReplicaTiming,
 };
-use wheelmast_core::process::control::replica::{ReplicaMachine, ReplicaRules, ReplicaStart};
+use wheelmast_core::process::control::replica::{ReplicaMachine, ReplicaStart, SafetyChecks};
 use wheelmast_core::process::control::state::ControlCommand;
 use wheelmast_wire::group::{ControlMark, GroupAsk, GroupMessage, GroupTell};
 use wheelmast_wire::pack::unpack;
@@ -34,13 +34,13 @@
     let start = ReplicaStart {
         id,
         members: Vec::new(),
-        size: tolerate * 2 + 1,
-        hard: kept.hard,
+        target_size: tolerate * 2 + 1,
+        hard_state: kept.hard_state,
         snapshot: (kept.place, kept.state),
         entries: kept.entries,
         commit: kept.commit,
         timing: TIMING,
-        rules: ReplicaRules::default(),
+        safety_checks: SafetyChecks::default(),
         seed: rand::random(),
     };
     ReplicaMachine::new(start, now)
@@ -60,8 +60,9 @@
             };
             replica.step(now, input, &mut actions);
         }
-        let (keeps, others): (Vec<_>, Vec<_>) =
-            actions.into_iter().partition(ReplicaAction::is_kept);
+        let (keeps, others): (Vec<_>, Vec<_>) = actions
+            .into_iter()
+            .partition(ReplicaAction::must_persist_first);
         {
             let mut state = self.state.borrow_mut();
             if !keeps.is_empty() {
@@ -123,32 +124,32 @@
                     self.meet(address);
                 }
             }
-            ReplicaAction::End { tag, end } => {
+            ReplicaAction::Complete { tag, result } => {
                 let asked = self.state.borrow_mut().asks.remove(&tag);
                 if let Some(asked) = asked {
                     // The asker may have given up.
-                    let _ = asked.send(self.tell(end));
+                    let _ = asked.send(self.tell(result));
                 }
             }
-            ReplicaAction::Changed => self.publish(),
-            ReplicaAction::Role { term, leads } => {
+            ReplicaAction::StateChanged => self.publish(),
+            ReplicaAction::RoleChanged { term, leads } => {
                 tracing::info!(target: "group", term, leads, "replica: role changed");
                 if leads {
                     let now = self.now();
                     self.state.borrow_mut().cap_owner.begin_empty(now);
                 }
             }
-            ReplicaAction::KeepHard(_)
-            | ReplicaAction::KeepEntry(_)
-            | ReplicaAction::KeepCommit(_)
-            | ReplicaAction::KeepSnapshot { .. } => {}
+            ReplicaAction::PersistHardState(_)
+            | ReplicaAction::PersistEntry(_)
+            | ReplicaAction::PersistCommitIndex(_)
+            | ReplicaAction::PersistSnapshot { .. } => {}
         }
     }
 
-    fn tell(&self, end: ProposalEnd) -> GroupTell {
-        match end {
-            ProposalEnd::Done(outcome) => GroupTell::Done(outcome),
-            ProposalEnd::NotLeader(_) | ProposalEnd::Unknown => GroupTell::Unknown,
+    fn tell(&self, result: ProposalResult) -> GroupTell {
+        match result {
+            ProposalResult::Done(outcome) => GroupTell::Done(outcome),
+            ProposalResult::NotLeader(_) | ProposalResult::Unknown => GroupTell::Unknown,
         }
     }
 
--- a/crates/node/src/process/group/run.rs
+++ b/crates/node/src/process/group/run.rs
@@ -116,12 +116,12 @@
         tokio::task::spawn_local(async move {
             tokio::time::sleep(FOUND_AFTER).await;
             let me = founder.me.clone();
-            founder.step_replica(ReplicaInput::Found(me));
+            founder.step_replica(ReplicaInput::Bootstrap(me));
         });
     }
     terminate.recv().await;
     tracing::info!(target: "group", "control: leaving");
-    node.step_replica(ReplicaInput::HandOver);
+    node.step_replica(ReplicaInput::TransferLeadership);
     tokio::time::sleep(END_TIME).await;
     tracing::info!(target: "group", "control: ended");
     Ok(())
--- a/crates/node/src/process/member.rs
+++ b/crates/node/src/process/member.rs
@@ -7,7 +7,7 @@
 use anyhow::{bail, Context};
 use wheelmast_core::process::control::log::ReplicaId;
 use wheelmast_core::process::control::message::ReplicaTiming;
-use wheelmast_core::process::control::replica::{ReplicaMachine, ReplicaRules, ReplicaStart};
+use wheelmast_core::process::control::replica::{ReplicaMachine, ReplicaStart, SafetyChecks};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::connection::peer::{PeerLink, PeerTeller};
@@ -78,13 +78,13 @@
     let start = ReplicaStart {
         id: replica_id(instance),
         members,
-        size: 0,
-        hard: kept.hard,
+        target_size: 0,
+        hard_state: kept.hard_state,
         snapshot: (kept.place, kept.state),
         entries: kept.entries,
         commit: kept.commit,
         timing: ReplicaTiming::default(),
-        rules: ReplicaRules::default(),
+        safety_checks: SafetyChecks::default(),
         seed: rand::random(),
     };
     let now: Duration = started.elapsed();
--- a/crates/node/src/process/store/replica_store.rs
+++ b/crates/node/src/process/store/replica_store.rs
@@ -7,7 +7,7 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use wheelmast_core::process::control::evacuation::EvacuationBook;
-use wheelmast_core::process::control::log::{HardState, LogEntry, LogPlace};
+use wheelmast_core::process::control::log::{HardState, LogEntry, LogPosition};
 use wheelmast_core::process::control::message::ReplicaAction;
 use wheelmast_core::process::control::rollout::RolloutBook;
 use wheelmast_core::process::control::state::ControlState;
@@ -20,9 +20,9 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct KeptState {
     /// Term and vote.
-    pub hard: HardState,
+    pub hard_state: HardState,
     /// The last entry the snapshot includes.
-    pub place: LogPlace,
+    pub place: LogPosition,
     /// The snapshot.
     pub state: ControlState,
     /// The entries after it.
@@ -44,7 +44,7 @@
         self.entries.push(entry);
     }
 
-    fn keep_snapshot(&mut self, place: LogPlace, state: ControlState, is_installed: bool) {
+    fn keep_snapshot(&mut self, place: LogPosition, state: ControlState, is_installed: bool) {
         self.place = place;
         self.state = state;
         self.commit = self.commit.max(place.index);
@@ -57,7 +57,7 @@
 
     fn take(&mut self, kind: RecordKind, body: &[u8]) -> anyhow::Result<()> {
         match kind {
-            RecordKind::Hard => self.hard = read(body)?,
+            RecordKind::Hard => self.hard_state = read(body)?,
             RecordKind::Entry => self.keep_entry(read(body)?),
             RecordKind::Commit => self.commit = read(body)?,
             RecordKind::Batch => {}
@@ -76,7 +76,7 @@
 
 /// Reads a snapshot. One that an earlier program wrote lacks what is kept at its
 /// end since, and that was empty then.
-fn read_snapshot(body: &[u8]) -> anyhow::Result<(LogPlace, ControlState)> {
+fn read_snapshot(body: &[u8]) -> anyhow::Result<(LogPosition, ControlState)> {
     let evacuations = encode(&EvacuationBook::default())?;
     let rollouts = encode(&RolloutBook::default())?;
     let since_evacuations = [&*evacuations, &rollouts].concat();
@@ -196,19 +196,19 @@
     /// Fails if a snapshot cannot be written.
     pub fn keep(&mut self, action: &ReplicaAction) -> anyhow::Result<()> {
         match action {
-            ReplicaAction::KeepHard(hard) => {
-                self.kept.hard = *hard;
-                self.append(RecordKind::Hard, hard)
+            ReplicaAction::PersistHardState(hard_state) => {
+                self.kept.hard_state = *hard_state;
+                self.append(RecordKind::Hard, hard_state)
             }
-            ReplicaAction::KeepEntry(entry) => {
+            ReplicaAction::PersistEntry(entry) => {
                 self.kept.keep_entry(entry.clone());
                 self.append(RecordKind::Entry, entry)
             }
-            ReplicaAction::KeepCommit(commit) => {
+            ReplicaAction::PersistCommitIndex(commit) => {
                 self.kept.commit = *commit;
                 self.append(RecordKind::Commit, commit)
             }
-            ReplicaAction::KeepSnapshot {
+            ReplicaAction::PersistSnapshot {
                 place,
                 state,
                 is_installed,
@@ -256,7 +256,11 @@
         let mut bytes = FILE_HEADER.to_vec();
         let snapshot = encode(&(self.kept.place, &self.kept.state))?;
         write_record(RecordKind::Snapshot, &snapshot, &mut bytes);
-        write_record(RecordKind::Hard, &encode(&self.kept.hard)?, &mut bytes);
+        write_record(
+            RecordKind::Hard,
+            &encode(&self.kept.hard_state)?,
+            &mut bytes,
+        );
         for entry in &self.kept.entries {
             write_record(RecordKind::Entry, &encode(entry)?, &mut bytes);
         }
--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -4,7 +4,7 @@
 
 use tempfile::TempDir;
 use wheelmast_core::process::control::evacuation::EvacuationBook;
-use wheelmast_core::process::control::log::{HardState, LogEntry, LogPlace};
+use wheelmast_core::process::control::log::{HardState, LogEntry, LogPosition};
 use wheelmast_core::process::control::message::ReplicaAction;
 use wheelmast_core::process::control::rollout::RolloutBook;
 use wheelmast_core::process::control::state::{ControlCommand, ControlState};
@@ -22,7 +22,7 @@
 }
 
 fn entry(index: u64) -> ReplicaAction {
-    ReplicaAction::KeepEntry(LogEntry {
+    ReplicaAction::PersistEntry(LogEntry {
         term: 1,
         index,
         command: ControlCommand::Nothing,
@@ -149,7 +149,7 @@
 fn a_snapshot_takes_the_place_of_what_it_includes() {
     let folder = folder_with_entries();
     let mut store = reopen(folder.path()).expect("it opens");
-    let hard = HardState {
+    let hard_state = HardState {
         term: 5,
         vote: Some(7),
     };
@@ -160,9 +160,11 @@
         note: String::new(),
         csv: "x".into(),
     });
-    store.keep(&ReplicaAction::KeepHard(hard)).expect("kept");
-    let snapshot = ReplicaAction::KeepSnapshot {
-        place: LogPlace { term: 1, index: 2 },
+    store
+        .keep(&ReplicaAction::PersistHardState(hard_state))
+        .expect("kept");
+    let snapshot = ReplicaAction::PersistSnapshot {
+        place: LogPosition { term: 1, index: 2 },
         state: Box::new(state),
         is_installed: false,
     };
@@ -173,7 +175,7 @@
     drop(store);
     let store = reopen(folder.path()).expect("it opens");
     assert_eq!(*store.kept(), kept);
-    assert_eq!(kept.hard, hard);
+    assert_eq!(kept.hard_state, hard_state);
     assert_eq!(kept.state.version(), 1);
     let indexes: Vec<u64> = kept.entries.iter().map(|entry| entry.index).collect();
     assert_eq!(indexes, [3, 4]);
@@ -234,7 +236,7 @@
         base: None,
         text: b"text".to_vec(),
     });
-    let place = LogPlace { term: 2, index: 5 };
+    let place = LogPosition { term: 2, index: 5 };
     let now = encode(&(place, &state)).expect("encoded");
     for case in cases {
         let before = now.strip_suffix(&*case.missing).expect("it is last");
