--- a/crates/core/src/process/control/apply.rs
+++ b/crates/core/src/process/control/apply.rs
@@ -1,4 +1,5 @@
-//! Proposals, and applying what is committed.
+//! Appending proposals to the leader's log, applying committed entries to the
+//! state, and compacting the log.
 
 use std::time::Duration;
 
@@ -7,13 +8,14 @@
 use crate::process::control::replica::ReplicaMachine;
 use crate::process::control::state::ControlCommand;
 
-/// Entries after which the log is compacted into a snapshot.
+/// Number of applied entries after which the log is compacted into a snapshot.
 const COMPACT_AFTER_ENTRIES: usize = 256;
-/// Bytes of entries after which it is compacted in any case: entries hold
-/// whole tables, and a snapshot holds one.
+/// Size of the log in bytes above which the log is compacted regardless of the
+/// number of entries: each entry may hold a whole table, a snapshot holds one.
 const COMPACT_AFTER_BYTES: usize = 4 * 1024 * 1024;
 
 impl ReplicaMachine {
+    /// Reports all pending proposals and reads as [`ProposalResult::Unknown`].
     pub(super) fn abort_pending(&mut self, out: &mut Vec<ReplicaAction>) {
         let pending_proposals = std::mem::take(&mut self.pending_proposals).into_values();
         let pending_reads = std::mem::take(&mut self.pending_reads).into_iter();
@@ -27,6 +29,8 @@
         }));
     }
 
+    /// Appends a proposed command to the log and replicates it, if this replica
+    /// leads; otherwise reports [`ProposalResult::NotLeader`].
     pub(super) fn propose(
         &mut self,
         tag: u64,
@@ -48,6 +52,8 @@
         self.advance_commit(out);
     }
 
+    /// Appends a command to the leader's log as an entry of the current term and
+    /// returns the entry's index.
     pub(super) fn append_command(
         &mut self,
         command: ControlCommand,
@@ -64,17 +70,19 @@
         index
     }
 
-    /// Adds an entry to the log; one that names the replicas is in force from
-    /// now on.
+    /// Appends an entry to the log. A membership entry takes effect at once,
+    /// before it is committed, as in Raft.
     pub(super) fn push_entry(&mut self, entry: LogEntry) {
-        let names_members = matches!(entry.command, ControlCommand::Members { .. });
+        let changes_members = matches!(entry.command, ControlCommand::Members { .. });
         self.log.push(entry);
-        if names_members {
+        if changes_members {
             self.find_members();
         }
     }
 
-    /// Applies what is committed, ends its proposals, and compacts the log.
+    /// Applies the committed entries, reports the results of their proposals, and
+    /// compacts the log. The result of a published change is deferred until a
+    /// quorum knows the commit.
     pub(super) fn apply_committed(&mut self, out: &mut Vec<ReplicaAction>) {
         let before = self.state.published_marks();
         let mut members_changed = false;
@@ -89,15 +97,15 @@
                 entry.command.is_published() && self.safety_checks.awaits_known_commit;
             members_changed |= matches!(entry.command, ControlCommand::Members { .. });
             self.applied = index;
-            let Some((tag, proposed)) = self.pending_proposals.remove(&index) else {
+            let Some((tag, proposal_term)) = self.pending_proposals.remove(&index) else {
                 continue;
             };
-            let is_own = proposed == term;
-            if is_own && is_published {
+            let is_own_proposal = proposal_term == term;
+            if is_own_proposal && is_published {
                 self.put_off_end(tag, outcome, index);
                 continue;
             }
-            let result = if is_own {
+            let result = if is_own_proposal {
                 ProposalResult::Done(outcome)
             } else {
                 ProposalResult::Unknown
@@ -112,6 +120,8 @@
         self.compact_log(out);
     }
 
+    /// Replaces the applied entries by a snapshot once they exceed
+    /// [`COMPACT_AFTER_ENTRIES`] or the log exceeds [`COMPACT_AFTER_BYTES`].
     fn compact_log(&mut self, out: &mut Vec<ReplicaAction>) {
         let covered = self.applied - self.log.base().index;
         let is_large = covered > 0 && self.log.bytes() > COMPACT_AFTER_BYTES;
--- a/crates/core/src/process/control/message.rs
+++ b/crates/core/src/process/control/message.rs
@@ -1,4 +1,5 @@
-//! What replicas say to each other, and what goes in and out of a replica.
+//! Messages between replicas, and the inputs, actions and timing of the replica
+//! state machine.
 
 use std::time::Duration;
 
@@ -7,172 +8,188 @@
 use crate::process::control::log::{HardState, LogEntry, LogPosition, ReplicaId};
 use crate::process::control::state::{CommandOutcome, ControlCommand, ControlState, MemberRecord};
 
-/// A message between replicas.
+/// A message between replicas. The variants follow the remote calls of Raft:
+/// pre-vote, RequestVote, AppendEntries, InstallSnapshot and TimeoutNow.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReplicaMessage {
-    /// Would you vote for me in `term`? Asked before a candidate raises its
-    /// term, so that one that was cut off disturbs nobody.
+    /// Asks whether the receiver would vote for the sender in `term`. Sent before
+    /// a candidate raises its term, so that a replica that was cut off does not
+    /// disturb the current leader with a higher term.
     AskPreVote {
-        /// The term it would stand in.
+        /// Term that the election would have.
         term: u64,
-        /// Its last entry.
+        /// Position of the sender's last entry.
         last: LogPosition,
     },
-    /// The answer to [`ReplicaMessage::AskPreVote`].
+    /// Answers [`ReplicaMessage::AskPreVote`].
     PreVote {
-        /// The term asked for, or the own one with a refusal.
+        /// The requested term if granted; the sender's term if refused.
         term: u64,
-        /// Whether it would.
+        /// Whether the sender would vote for the candidate.
         granted: bool,
     },
-    /// Vote for me in `term`.
+    /// Requests the receiver's vote in `term` (RequestVote in Raft).
     AskVote {
         /// The candidate's term.
         term: u64,
-        /// Its last entry.
+        /// Position of the candidate's last entry.
         last: LogPosition,
     },
-    /// The answer to [`ReplicaMessage::AskVote`].
+    /// Answers [`ReplicaMessage::AskVote`].
     Vote {
         /// The voter's term.
         term: u64,
-        /// Whether the vote is given.
+        /// Whether the voter grants the vote.
         granted: bool,
     },
-    /// Entries to append; without entries, a heartbeat.
+    /// Sends entries to append (AppendEntries in Raft). Without entries, the
+    /// message is a heartbeat.
     Append {
         /// The leader's term.
         term: u64,
-        /// The place before the first entry.
+        /// Position of the entry before the first of `entries`.
         previous: LogPosition,
-        /// The entries.
+        /// Entries to append, in the order of their indexes.
         entries: Vec<LogEntry>,
         /// The leader's commit index.
         commit: u64,
-        /// Number of the round of heartbeats; the answer repeats it.
+        /// Number of the leader's confirmation round, repeated in the answer. A
+        /// quorum of answers confirms the reads and commits of that round.
         round: u64,
     },
-    /// The answer to [`ReplicaMessage::Append`] and
-    /// [`ReplicaMessage::Snapshot`].
+    /// Answers [`ReplicaMessage::Append`] and [`ReplicaMessage::Snapshot`].
     Appended {
         /// The follower's term.
         term: u64,
-        /// Whether the entries fitted.
+        /// Whether the follower's log contained `previous`, so that the entries
+        /// could be appended.
         fitted: bool,
-        /// Last index known to match, or where to try next.
+        /// If `fitted`, the last index known to match the leader's log; otherwise
+        /// the index to try as `previous` next.
         index: u64,
-        /// The round it answers.
+        /// Round number of the answered message; 0 in an answer to a snapshot.
         round: u64,
     },
-    /// Stand for election at once: the leader is leaving.
+    /// Asks the receiver to start an election at once, without a pre-vote,
+    /// because the leader is shutting down (TimeoutNow in Raft).
     Lead {
         /// The leader's term.
         term: u64,
     },
-    /// The whole state, for a follower whose next entry is compacted away.
+    /// Sends the whole state to a follower whose next entry is compacted away
+    /// (InstallSnapshot in Raft).
     Snapshot {
         /// The leader's term.
         term: u64,
-        /// The last entry the state includes.
+        /// Position of the last entry included in the state.
         place: LogPosition,
-        /// The state.
+        /// The state after that entry.
         state: Box<ControlState>,
     },
 }
 
-/// What comes into a replica.
+/// An input of the replica state machine.
 #[derive(Debug, Clone)]
 pub enum ReplicaInput {
-    /// A timer may be due.
+    /// No event; runs the timers that are due.
     Wake,
-    /// A message of another replica.
+    /// A message from another replica arrived.
     Message {
-        /// The sender.
+        /// Identity of the sender.
         from: ReplicaId,
         /// The message.
         message: ReplicaMessage,
     },
-    /// Somebody here proposes a command.
+    /// This instance proposes a command.
     Propose {
-        /// The driver's name for it.
+        /// Number that the driver chose for the proposal.
         tag: u64,
-        /// The command.
+        /// The proposed command.
         command: ControlCommand,
     },
-    /// Somebody here asks whether the state is the newest.
+    /// This instance asks for confirmation that its state is up to date (a
+    /// linearizable read).
     Read {
-        /// The driver's name for it.
+        /// Number that the driver chose for the read.
         tag: u64,
     },
-    /// A replica without a vote asks to be kept up to date.
+    /// A replica without a vote asks the leader to replicate the log to it.
     AddLearner(MemberRecord),
-    /// This replica, which holds nothing, founds the group.
+    /// This replica, which has an empty log, starts a new group alone.
     Bootstrap(MemberRecord),
-    /// This replica is leaving for a while: another should lead.
+    /// This replica is about to shut down. If it leads, it asks a follower to
+    /// take over.
     TransferLeadership,
 }
 
-/// What becomes of a proposal.
+/// Result of a proposal or a read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProposalResult {
-    /// It is committed, with this outcome.
+    /// The command is committed and had this outcome, or the read is confirmed.
     Done(CommandOutcome),
-    /// This replica does not lead; it knows who may.
+    /// This replica is not the leader and did nothing. Holds the leader, if this
+    /// replica knows the leader.
     NotLeader(Option<ReplicaId>),
-    /// The leader changed; whether it will be committed is not known. Resend
-    /// it with the same change identity.
+    /// The leader changed, and this replica does not know whether the command
+    /// will be committed. The caller should resend the command with the same
+    /// change identity.
     Unknown,
 }
 
-/// What a replica asks its driver to do.
+/// An action that a replica requests from its driver.
 ///
-/// The driver takes the actions of one or more steps together. It must write
-/// and sync all `Keep…` actions before it does any other of them.
+/// The driver may process the actions of several steps together. It must write
+/// and sync all `Persist...` actions before it performs any of the others.
 #[derive(Debug, Clone)]
 pub enum ReplicaAction {
-    /// Keep the hard state.
+    /// Write the term and the vote to disk.
     PersistHardState(HardState),
-    /// Keep an entry; it replaces any entry kept at or after its index.
+    /// Write a log entry to disk. The entry replaces all stored entries with the
+    /// same or a higher index.
     PersistEntry(LogEntry),
-    /// Keep the commit index: what was in force here must be so again after a
-    /// restart.
+    /// Write the commit index to disk, so that the changes that took effect on
+    /// this replica are in effect again after a restart.
     PersistCommitIndex(u64),
-    /// Keep a snapshot and drop the entries it includes.
+    /// Write a snapshot to disk and remove the stored entries that the snapshot
+    /// includes.
     PersistSnapshot {
-        /// The last entry the state includes.
+        /// Position of the last entry included in the state.
         place: LogPosition,
-        /// The state.
+        /// The state after that entry.
         state: Box<ControlState>,
-        /// Whether entries after `place` are dropped as well.
+        /// Whether the snapshot came from the leader. If so, the stored entries
+        /// after `place` are removed as well.
         is_installed: bool,
     },
-    /// Send a message.
+    /// Send a message to another replica.
     Send {
-        /// The receiver.
+        /// Identity of the receiver.
         to: ReplicaId,
         /// The message.
         message: ReplicaMessage,
     },
-    /// A proposal has ended.
+    /// Report the result of a proposal or a read.
     Complete {
-        /// The driver's name for it.
+        /// Number that the driver chose for the proposal or the read.
         tag: u64,
-        /// What became of it.
+        /// The result.
         result: ProposalResult,
     },
-    /// The state changed: a version came in force, or the replicas are others.
+    /// The applied state changed: a new version is in effect or the membership
+    /// changed.
     StateChanged,
-    /// The role changed.
+    /// This replica became the leader or stepped down.
     RoleChanged {
-        /// The term.
+        /// Current term.
         term: u64,
-        /// Whether this replica leads now.
+        /// Whether this replica is the leader now.
         leads: bool,
     },
 }
 
 impl ReplicaAction {
-    /// Tells whether it is to be written and synced before any other action.
+    /// Returns whether the driver must write and sync this action before it
+    /// performs actions of another kind.
     pub fn must_persist_first(&self) -> bool {
         matches!(
             self,
@@ -184,13 +201,13 @@
     }
 }
 
-/// Timing of a replica.
+/// Heartbeat interval and election timeout of a replica.
 #[derive(Debug, Clone, Copy)]
 pub struct ReplicaTiming {
-    /// Time between two heartbeats.
+    /// Time between two heartbeats of a leader.
     pub heartbeat: Duration,
-    /// Least time without a leader before a follower stands for election; the
-    /// actual time is drawn between this and its double.
+    /// Minimum time without contact to a leader before a follower starts a
+    /// pre-vote. The actual time is random between this value and its double.
     pub election: Duration,
 }
 
--- a/crates/core/src/process/control/mod.rs
+++ b/crates/core/src/process/control/mod.rs
@@ -1,8 +1,10 @@
-//! The control group: a few instances with disks that agree on the table.
+//! The control group: a few instances that agree on the route table by means
+//! of a replicated log on their disks.
 //!
-//! [`replica`] is the replicated log (after Ongaro and Ousterhout, "In Search
-//! of an Understandable Consensus Algorithm", 2014, with the pre-vote and the
-//! quorum check of Ongaro's thesis); [`state`] is what the log is applied to.
+//! [`replica`] implements Raft (Ongaro and Ousterhout, "In Search of an
+//! Understandable Consensus Algorithm", 2014) with the pre-vote and the quorum
+//! check (a leader without a quorum steps down) of Ongaro's thesis. [`state`]
+//! is the state machine that committed entries are applied to.
 
 mod apply;
 mod elect;
--- a/crates/core/src/process/control/read.rs
+++ b/crates/core/src/process/control/read.rs
@@ -1,8 +1,8 @@
-//! Reads that are sure: a quorum confirms that nobody else leads.
-//!
-//! A read is confirmed by a round of heartbeats that began after it came. Reads
-//! that come while such a round is out share the next one, so that their number
-//! does not multiply with that of the replicas.
+//! Linearizable reads: a leader confirms a read only after a quorum has answered
+//! a round of heartbeats that started after the read arrived, which proves that
+//! no other replica has become the leader. Reads that arrive during a round
+//! share the next round, so that the leader does not send a message to each
+//! replica for each read.
 
 use std::time::Duration;
 
@@ -10,17 +10,19 @@
 use crate::process::control::replica::ReplicaMachine;
 use crate::process::control::state::CommandOutcome;
 
-/// A read that waits for its round of heartbeats to be answered.
+/// A read that waits for a quorum to answer its round of heartbeats.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PendingRead {
-    /// The driver's name for it.
+    /// Number that the driver chose for the read.
     pub(super) tag: u64,
-    /// Its round; `None` while an earlier one is out.
+    /// Number of the round that confirms the read; `None` while an earlier round
+    /// is still open.
     round: Option<u64>,
 }
 
 impl ReplicaMachine {
-    /// Takes a read; only a leader can confirm it.
+    /// Starts a read, if this replica leads; otherwise reports
+    /// [`ProposalResult::NotLeader`].
     pub(super) fn start_read(&mut self, tag: u64, now: Duration, out: &mut Vec<ReplicaAction>) {
         if !self.is_leader() {
             out.push(ReplicaAction::Complete {
@@ -29,16 +31,16 @@
             });
             return;
         }
-        let is_out = self.pending_reads.iter().any(|read| read.round.is_some());
+        let is_round_open = self.pending_reads.iter().any(|read| read.round.is_some());
         self.pending_reads.push(PendingRead { tag, round: None });
-        if !is_out {
+        if !is_round_open {
             self.start_read_round(now, out);
         }
         self.confirm_reads(now, out);
     }
 
-    /// Begins a round for all reads that wait for one. Replicas without a vote
-    /// confirm nothing and are not asked.
+    /// Starts a round of heartbeats for all reads without a round. Replicas
+    /// without a vote get no heartbeat, because their answers do not count.
     fn start_read_round(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         self.round += 1;
         for read in &mut self.pending_reads {
@@ -47,30 +49,31 @@
         self.replicate_to_voters(now, out);
     }
 
-    /// Ends the reads whose round a quorum has answered, and begins a round for
-    /// those that waited for that.
+    /// Reports the reads whose round a quorum has answered as done, and starts
+    /// the next round for the reads that arrived meanwhile.
     ///
-    /// A new leader knows what is committed only once an entry of its own term
-    /// is.
+    /// Confirms nothing before an entry of the current term is committed,
+    /// because a new leader does not know the commit index until then.
     pub(super) fn confirm_reads(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         let is_current = self.log.term_at(self.commit) == Some(self.hard_state.term);
         if self.pending_reads.is_empty() || !is_current {
             return;
         }
-        let reached = self.quorum_value(self.round, |peer| peer.round);
-        let reached = reached.unwrap_or(0);
-        let is_done = |read: &PendingRead| read.round.is_some_and(|round| round <= reached);
-        let (done, open): (Vec<PendingRead>, Vec<PendingRead>) = self
+        let answered_round = self.quorum_value(self.round, |peer| peer.round);
+        let answered_round = answered_round.unwrap_or(0);
+        let is_confirmed =
+            |read: &PendingRead| read.round.is_some_and(|round| round <= answered_round);
+        let (confirmed, unconfirmed): (Vec<PendingRead>, Vec<PendingRead>) = self
             .pending_reads
             .iter()
-            .partition(|read| is_done(read) || !self.safety_checks.confirms_reads);
-        self.pending_reads = open;
-        out.extend(done.into_iter().map(|read| ReplicaAction::Complete {
+            .partition(|read| is_confirmed(read) || !self.safety_checks.confirms_reads);
+        self.pending_reads = unconfirmed;
+        out.extend(confirmed.into_iter().map(|read| ReplicaAction::Complete {
             tag: read.tag,
             result: ProposalResult::Done(CommandOutcome::Done),
         }));
-        let is_out = self.pending_reads.iter().any(|read| read.round.is_some());
-        if !self.pending_reads.is_empty() && !is_out {
+        let is_round_open = self.pending_reads.iter().any(|read| read.round.is_some());
+        if !self.pending_reads.is_empty() && !is_round_open {
             self.start_read_round(now, out);
         }
     }
--- a/crates/core/src/process/control/replica.rs
+++ b/crates/core/src/process/control/replica.rs
@@ -1,4 +1,8 @@
-//! A replica of the control group, as a pure state machine.
+//! One replica of the control group: a Raft state machine without I/O.
+//!
+//! Each call of [`ReplicaMachine::step`] takes an input (a message, a proposal,
+//! a timer) and returns the actions that the caller, the driver, must perform:
+//! writes to disk, messages, results of proposals.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,35 +18,45 @@
 use crate::process::control::read::PendingRead;
 use crate::process::control::state::{ControlState, MemberRecord};
 
-/// Longest wait of a replica that has just started, as a part of the election
-/// time. Nobody was heard yet, and a pre-vote disturbs no leader that is; chance
-/// keeps those that start together from standing at the same moment.
+/// Longest delay before the first pre-vote after a start, as a fraction of the
+/// election timeout. It may be short although the replica has had no contact
+/// with a leader yet, because a pre-vote does not disturb an existing leader.
+/// The actual delay is random, so that replicas that start together do not
+/// become candidates at the same moment.
 const MAX_START_DELAY: f64 = 0.25;
 
-/// Part of the election time that goes by before another election, while no
-/// leader was heard of since the start: a split vote is soon mended, and there
-/// is no leader to disturb.
+/// Factor on the election timeout while this replica has had no contact with a
+/// leader since its start. The shorter timeout resolves a split vote sooner,
+/// and there is no leader that an early election could disturb.
 const INITIAL_TIMEOUT_SCALE: f64 = 0.4;
 
-/// The rules that keep accepted changes. All are on in a running replica; a
-/// test switches one off to show that the loss would be noticed.
+/// The safety checks that protect accepted changes from loss.
+///
+/// All are on in production. Tests switch one off to show that they detect the
+/// loss which follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SafetyChecks {
-    /// Only an entry of the current term is committed by counting.
+    /// The leader counts replicas only for entries of its own term. Entries of
+    /// earlier terms are committed along with them.
     pub commits_current_term_only: bool,
-    /// A vote is kept and given once a term.
+    /// A replica votes for at most one candidate in a term.
     pub votes_once_per_term: bool,
-    /// A vote is given only to a log that is not behind.
+    /// A replica votes only for a candidate whose log is at least as up to date
+    /// as its own.
     pub requires_up_to_date_log: bool,
-    /// A majority commits, not fewer.
+    /// Elections and commits need a majority of the voters. When off, one
+    /// replica is enough.
     pub requires_majority: bool,
-    /// A learner has no vote and does not count.
+    /// Learners (replicas without a vote) do not count towards a quorum.
     pub excludes_learners: bool,
-    /// The replicas change one at a time.
+    /// The leader adds or removes one member at a time, and only after the
+    /// previous membership change is committed.
     pub changes_one_member: bool,
-    /// A read is confirmed by a quorum.
+    /// The leader answers a read only after a quorum has confirmed its
+    /// leadership.
     pub confirms_reads: bool,
-    /// What comes in force is acknowledged once a quorum knows that it does.
+    /// A change that takes effect is reported as accepted only after a quorum
+    /// knows that the change is committed.
     pub awaits_known_commit: bool,
 }
 
@@ -61,71 +75,93 @@
     }
 }
 
-/// What a replica starts with: what its disk kept, and who the others are.
+/// What a replica starts with: its configuration and the state recovered from
+/// its disk.
 #[derive(Debug, Clone)]
 pub struct ReplicaStart {
-    /// Its identity.
+    /// Identity of this replica.
     pub id: ReplicaId,
-    /// All replicas, this one among them, for a group that does not keep them
-    /// in its log.
+    /// All replicas, including this one, of a group with a fixed membership.
+    /// A group that records its members in the log uses that record instead.
     pub members: Vec<ReplicaId>,
-    /// Replicas that a group which keeps them in its log should have; 0 for
-    /// one that never changes.
+    /// Number of replicas that a group with changing membership should have;
+    /// 0 for a group with a fixed membership.
     pub target_size: usize,
-    /// Its hard state.
+    /// Term and vote recovered from the disk.
     pub hard_state: HardState,
-    /// Its snapshot, and the last entry that includes.
+    /// State recovered from the snapshot, and the position of the last entry
+    /// included in that state.
     pub snapshot: (LogPosition, ControlState),
-    /// Its entries after the snapshot.
+    /// Log entries after the snapshot.
     pub entries: Vec<LogEntry>,
-    /// Its commit index, as far as it was kept.
+    /// Last commit index on the disk. The actual commit index may have been
+    /// higher, because not every advance is written.
     pub commit: u64,
-    /// Its timing.
+    /// Heartbeat interval and election timeout.
     pub timing: ReplicaTiming,
-    /// Its rules; all on but in tests.
+    /// Safety checks; all on except in tests.
     pub safety_checks: SafetyChecks,
-    /// Seed of its random numbers.
+    /// Seed of the random election timeouts.
     pub seed: u64,
 }
 
-/// What a replica does in the group.
+/// Role of a replica in the current term.
 #[derive(Debug)]
 pub(super) enum ReplicaRole {
+    /// Follows a leader, or waits for one to appear.
     Follower,
-    /// It asks who would vote for it, and counts.
+    /// Collects pre-votes; holds the replicas that granted one.
     PreCandidate(Vec<ReplicaId>),
-    /// It stands for election and counts votes.
+    /// Collects votes; holds the replicas that granted one.
     Candidate(Vec<ReplicaId>),
+    /// Leads the group; holds the replication progress of each other member and
+    /// learner.
     Leader(BTreeMap<ReplicaId, PeerProgress>),
 }
 
-/// How far a leader knows a follower's log.
+/// A leader's knowledge of the log and the acknowledgements of one peer.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PeerProgress {
+    /// Index up to which the peer's log is known to match the leader's.
     pub(super) match_index: u64,
+    /// Index of the next entry to send to the peer.
     pub(super) next_index: u64,
+    /// Time of the last answer from the peer; at first the time at which the
+    /// leader began to track the peer.
     pub(super) last_seen_at: Duration,
-    /// Last round of heartbeats it answered.
+    /// Highest round number that the peer has answered; see
+    /// [`ReplicaMachine::round`].
     pub(super) round: u64,
-    /// When the whole state may be sent to it again.
+    /// Earliest time at which the leader sends the peer another snapshot.
     pub(super) next_snapshot_at: Duration,
 }
 
-/// One replica.
+/// The Raft state machine of one replica.
 #[derive(Debug)]
 pub struct ReplicaMachine {
     pub(super) id: ReplicaId,
+    /// The voting replicas, including this one if it votes.
     pub(super) members: Vec<ReplicaId>,
-    /// Replicas that the start named.
+    /// Members given at the start; used while neither log nor snapshot records
+    /// any.
     pub(super) configured_members: Vec<ReplicaId>,
-    /// The replicas, where the log keeps them, and the index that says so.
+    /// The members as the newest membership entry or the snapshot records them;
+    /// empty in a group with a fixed membership.
     pub(super) records: Vec<MemberRecord>,
+    /// Index of the entry that `records` was taken from.
     pub(super) members_index: u64,
+    /// See [`ReplicaStart::target_size`].
     pub(super) target_size: usize,
-    /// Replicas without a vote that are kept up to date.
+    /// Replicas without a vote that this leader replicates the log to.
     pub(super) learners: BTreeMap<ReplicaId, MemberRecord>,
+    /// Number of the current confirmation round. The leader raises the number
+    /// when a quorum must confirm a read or learn of a commit. Every append and
+    /// heartbeat carries the number and its answer repeats it, so that the
+    /// leader knows which followers answered a message of that round or later.
     pub(super) round: u64,
+    /// Reads that wait for a quorum to confirm this replica's leadership.
     pub(super) pending_reads: Vec<PendingRead>,
+    /// Committed proposals that are reported once a quorum knows the commit.
     pub(super) pending_results: Vec<PendingEnd>,
     pub(super) timing: ReplicaTiming,
     pub(super) safety_checks: SafetyChecks,
@@ -133,22 +169,31 @@
     pub(super) hard_state: HardState,
     pub(super) log: EntryLog,
     pub(super) state: ControlState,
+    /// Index of the last entry known to be committed.
     pub(super) commit: u64,
+    /// Index of the last entry applied to `state`.
     pub(super) applied: u64,
     pub(super) role: ReplicaRole,
     pub(super) leader: Option<ReplicaId>,
-    /// When a leader was last heard of in this lifetime.
+    /// Time of the last message from a leader; `None` if there was none since
+    /// this replica started.
     pub(super) leader_seen_at: Option<Duration>,
+    /// Time at which a replica that does not lead starts the next pre-vote.
     pub(super) election_at: Duration,
+    /// Time at which a leader sends the next heartbeat.
     pub(super) heartbeat_at: Duration,
-    /// When a leader looks after the group again. What it sends otherwise puts
-    /// heartbeats off, and must not put this off.
+    /// Time at which a leader next checks its quorum and the membership. This
+    /// timer is separate because proposals postpone the heartbeat but must not
+    /// postpone these checks.
     pub(super) maintain_at: Duration,
+    /// Proposals that are not committed yet: the tag of the proposal and the
+    /// term in which it was appended, by log index.
     pub(super) pending_proposals: BTreeMap<u64, (u64, u64)>,
 }
 
 impl ReplicaMachine {
-    /// Returns a replica at time `now`.
+    /// Creates a follower from the recovered state and applies the entries that
+    /// are known to be committed.
     pub fn new(start: ReplicaStart, now: Duration) -> ReplicaMachine {
         let (place, state) = start.snapshot;
         let mut replica = ReplicaMachine {
@@ -186,7 +231,7 @@
         replica
     }
 
-    /// Applies what was committed before the start.
+    /// Applies the recovered entries up to the recovered commit index.
     fn apply_recovered(&mut self) {
         while let Some(entry) = self.log.get(self.applied + 1) {
             if entry.index > self.commit {
@@ -197,7 +242,8 @@
         }
     }
 
-    /// Takes one input at time `now` and appends what is to be done to `out`.
+    /// Handles one input at time `now`, runs the timers that are due, and
+    /// appends the resulting actions to `out`.
     pub fn step(&mut self, now: Duration, input: ReplicaInput, out: &mut Vec<ReplicaAction>) {
         match input {
             ReplicaInput::Wake => {}
@@ -211,7 +257,7 @@
         self.run_timers(now, out);
     }
 
-    /// Returns when the next timer is due.
+    /// Returns the time at which the next timer is due.
     pub fn next_wake(&self) -> Duration {
         match self.role {
             ReplicaRole::Leader(_) => self.heartbeat_at.min(self.maintain_at),
@@ -219,7 +265,8 @@
         }
     }
 
-    /// Returns the state as far as this replica knows it to be committed.
+    /// Returns the state after all entries that this replica knows to be
+    /// committed. The leader may have committed more.
     pub fn state(&self) -> &ControlState {
         &self.state
     }
@@ -229,36 +276,37 @@
         self.id
     }
 
-    /// Returns the term.
+    /// Returns the current term.
     pub fn term(&self) -> u64 {
         self.hard_state.term
     }
 
-    /// Tells whether this replica leads.
+    /// Returns whether this replica is the leader.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, ReplicaRole::Leader(_))
     }
 
-    /// Returns the leader, as far as this replica knows.
+    /// Returns the leader of the current term, if this replica knows the leader.
     pub fn leader(&self) -> Option<ReplicaId> {
         self.leader
     }
 
-    /// Returns the index up to which entries are committed.
+    /// Returns the index of the last entry known to be committed.
     pub fn commit_index(&self) -> u64 {
         self.commit
     }
 
-    /// Returns the bytes of the entries held in the log.
+    /// Returns the size in bytes of the entries in the log after the snapshot.
     pub fn log_bytes(&self) -> usize {
         self.log.bytes()
     }
 
-    /// Returns the number of entries held in the log.
+    /// Returns the number of entries in the log after the snapshot.
     pub fn log_length(&self) -> usize {
         self.log.len()
     }
 
+    /// Dispatches a message from another replica to its handler.
     fn handle_message(
         &mut self,
         from: ReplicaId,
@@ -266,9 +314,10 @@
         now: Duration,
         out: &mut Vec<ReplicaAction>,
     ) {
-        // Somebody who is not a member has no say, whatever it claims; but
-        // where the log keeps the members, it may know more of them than this
-        // replica does, and the log itself decides.
+        // With a fixed membership, messages from non-members are ignored. With
+        // the membership in the log they are not: the sender may be a member
+        // that this replica's log does not list yet, and the terms and logs
+        // that the handlers compare decide.
         if self.target_size == 0 && !self.members.contains(&from) {
             return;
         }
@@ -319,6 +368,8 @@
         }
     }
 
+    /// Runs the timers that are due: quorum check and heartbeat of a leader,
+    /// the pre-vote of the other roles.
     fn run_timers(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         if self.is_leader() {
             if now >= self.maintain_at {
@@ -331,24 +382,26 @@
             if self.is_voter() {
                 self.start_pre_vote(now, out);
             } else {
-                // It says whom it follows, and must not say that of one it has lost.
+                // A replica without a vote starts no election. It only forgets
+                // the leader, so that it does not report a lost one as current.
                 self.leader = None;
                 self.reset_election_timer(now);
             }
         }
     }
 
+    /// Restarts the election timer with a random timeout.
     pub(super) fn reset_election_timer(&mut self, now: Duration) {
-        let part = if self.leader_seen_at.is_none() {
+        let scale = if self.leader_seen_at.is_none() {
             INITIAL_TIMEOUT_SCALE
         } else {
             1.0
         };
-        let wait = part * (1.0 + self.rng.random::<f64>());
+        let wait = scale * (1.0 + self.rng.random::<f64>());
         self.election_at = now + self.timing.election.mul_f64(wait);
     }
 
-    /// Returns the number of replicas that decides.
+    /// Returns the number of replicas that make up a quorum.
     pub(super) fn quorum_size(&self) -> usize {
         if self.safety_checks.requires_majority {
             self.members.len() / 2 + 1
@@ -357,7 +410,9 @@
         }
     }
 
-    /// Becomes a follower, in a higher term if `term` is one.
+    /// Becomes a follower. Adopts `term` if it is higher than the current term.
+    /// A leader that steps down reports its pending proposals and reads as
+    /// `ProposalResult::Unknown`.
     pub(super) fn step_down(&mut self, term: u64, out: &mut Vec<ReplicaAction>) {
         if term > self.hard_state.term {
             self.hard_state = HardState { term, vote: None };
--- a/crates/core/src/process/control/replicate.rs
+++ b/crates/core/src/process/control/replicate.rs
@@ -1,4 +1,5 @@
-//! Replication: sending entries, taking them, and committing.
+//! Log replication: the leader sends entries and snapshots, followers append
+//! or install them, and the leader commits what a quorum holds.
 
 use std::time::Duration;
 
@@ -7,16 +8,17 @@
 use crate::process::control::replica::{PeerProgress, ReplicaMachine, ReplicaRole};
 use crate::process::control::state::ControlState;
 
-/// Most entries in one message.
+/// Maximum number of entries in one message.
 const MAX_BATCH_ENTRIES: usize = 64;
-/// Most bytes of entries in one message, unless one alone has more.
+/// Maximum size in bytes of the entries in one message. A single larger entry
+/// is sent alone.
 const MAX_BATCH_BYTES: usize = 512 * 1024;
-/// Heartbeats between two sends of the whole state to a follower: it may be
-/// down for long, and the state may be large.
+/// Number of heartbeat intervals between two snapshots sent to the same
+/// follower. The follower may be down for long and a snapshot may be large.
 const SNAPSHOT_RETRY_HEARTBEATS: u32 = 10;
 
 impl ReplicaMachine {
-    /// Sends every follower what it lacks, or a heartbeat.
+    /// Sends every peer its missing entries or a snapshot, or else a heartbeat.
     pub(super) fn replicate_to_all(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         self.heartbeat_at = now + self.timing.heartbeat;
         let ReplicaRole::Leader(peers) = &self.role else {
@@ -30,7 +32,8 @@
         }
     }
 
-    /// Sends the replicas that have a vote what they lack, or a heartbeat.
+    /// Does the same as [`replicate_to_all`](Self::replicate_to_all) for the
+    /// voting replicas only, and leaves the heartbeat timer as it is.
     pub(super) fn replicate_to_voters(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         let ReplicaRole::Leader(peers) = &self.role else {
             return;
@@ -45,7 +48,8 @@
         }
     }
 
-    /// Sends a follower that waits for the whole state a heartbeat alone.
+    /// Sends a heartbeat without entries to a follower that waits for a
+    /// snapshot.
     fn send_heartbeat(&self, peer: ReplicaId, out: &mut Vec<ReplicaAction>) {
         out.push(ReplicaAction::Send {
             to: peer,
@@ -59,7 +63,9 @@
         });
     }
 
-    /// Sends a follower what it lacks. Returns whether anything was sent.
+    /// Sends a follower its next entries (none if it has all), or a snapshot if
+    /// those entries are compacted away. Returns whether anything was sent;
+    /// nothing is sent while the next snapshot is not due.
     fn replicate_to(
         &mut self,
         peer: ReplicaId,
@@ -96,7 +102,8 @@
             .log
             .entries_from(progress.next_index, MAX_BATCH_ENTRIES, MAX_BATCH_BYTES)
             .to_vec();
-        // Optimistic: what is lost is found out by the next heartbeat.
+        // Assumes that the entries arrive. If they are lost, the follower
+        // rejects the next heartbeat and names the index to resume from.
         progress.next_index += entries.len() as u64;
         out.push(ReplicaAction::Send {
             to: peer,
@@ -114,8 +121,10 @@
         true
     }
 
-    /// Takes a leader's entries, if they fit onto the log. Returns the last
-    /// index known to match, or where to try next.
+    /// Appends the leader's entries if this log contains `previous`, and
+    /// advances the commit index. Returns the last index known to match the
+    /// leader's log, or as an error the index that the leader should try as
+    /// `previous` next.
     pub(super) fn append_entries(
         &mut self,
         previous: LogPosition,
@@ -124,7 +133,7 @@
         out: &mut Vec<ReplicaAction>,
     ) -> Result<u64, u64> {
         if previous.index < self.log.base().index {
-            // What the snapshot includes is committed and matches.
+            // Entries included in the snapshot are committed and therefore match.
             return Ok(self.log.base().index);
         }
         if self.log.term_at(previous.index) != Some(previous.term) {
@@ -142,6 +151,8 @@
         Ok(last)
     }
 
+    /// Appends one entry of the leader, unless the log has it already. First
+    /// removes conflicting entries of another term.
     fn append_entry(&mut self, entry: LogEntry, out: &mut Vec<ReplicaAction>) {
         match self.log.term_at(entry.index) {
             Some(term) if term == entry.term => return,
@@ -155,7 +166,8 @@
         self.push_entry(entry);
     }
 
-    /// Takes a leader's whole state, if it is ahead of the own one.
+    /// Installs a snapshot from the leader if it goes beyond this replica's
+    /// commit index, and acknowledges the snapshot in any case.
     pub(super) fn install_snapshot(
         &mut self,
         from: ReplicaId,
@@ -179,6 +191,8 @@
         self.send_append_reply(from, Ok(place.index), 0, out);
     }
 
+    /// Answers an append or a snapshot with the index that the leader should
+    /// record: matched (`Ok`) or to try next (`Err`).
     pub(super) fn send_append_reply(
         &self,
         to: ReplicaId,
@@ -199,6 +213,9 @@
         });
     }
 
+    /// Records a follower's answer in its progress, commits and confirms reads
+    /// where possible, and sends the follower the entries that are still
+    /// missing.
     pub(super) fn handle_append_reply(
         &mut self,
         from: ReplicaId,
@@ -230,23 +247,24 @@
             }
             Err(index) => progress.next_index = (index + 1).max(progress.match_index + 1),
         }
-        let lacks = progress.next_index <= last;
+        let is_behind = progress.next_index <= last;
         if let Ok(index) = index {
             self.note_known(from, index, round);
         }
         self.advance_commit(out);
         self.confirm_reads(now, out);
-        if lacks {
+        if is_behind {
             self.replicate_to(from, now, out);
         }
     }
 
-    /// Returns how far a quorum has come, if this replica leads: its own value
-    /// is `own`, `reach` reads a follower's.
+    /// Returns the highest value that a quorum has reached, or `None` if this
+    /// replica does not lead. `local_value` is the value of this replica;
+    /// `peer_value` reads the value of a follower.
     pub(super) fn quorum_value(
         &self,
-        own: u64,
-        reach: impl Fn(&PeerProgress) -> u64,
+        local_value: u64,
+        peer_value: impl Fn(&PeerProgress) -> u64,
     ) -> Option<u64> {
         let ReplicaRole::Leader(peers) = &self.role else {
             return None;
@@ -254,29 +272,32 @@
         let counted = peers.iter().filter(|(peer, _)| {
             !self.safety_checks.excludes_learners || self.members.contains(peer)
         });
-        let mut values: Vec<u64> = counted.map(|(_, peer)| reach(peer)).collect();
+        let mut values: Vec<u64> = counted.map(|(_, peer)| peer_value(peer)).collect();
         if self.is_voter() {
-            values.push(own);
+            values.push(local_value);
         }
         values.sort_unstable();
-        let place = values.len().checked_sub(self.quorum_size())?;
-        Some(values[place])
+        let position = values.len().checked_sub(self.quorum_size())?;
+        Some(values[position])
     }
 
-    /// Commits what a quorum holds, and ends what a quorum knows to be committed.
+    /// Commits the entries that a quorum holds, and reports the proposals whose
+    /// commit a quorum knows. A leader that was removed from the group steps
+    /// down once the removal is committed.
     pub(super) fn advance_commit(&mut self, out: &mut Vec<ReplicaAction>) {
         let last = self.log.last().index;
         let Some(index) = self.quorum_value(last, |peer| peer.match_index) else {
             return;
         };
-        let is_own = self.log.term_at(index) == Some(self.hard_state.term);
-        if index > self.commit && (is_own || !self.safety_checks.commits_current_term_only) {
+        let is_current_term = self.log.term_at(index) == Some(self.hard_state.term);
+        if index > self.commit && (is_current_term || !self.safety_checks.commits_current_term_only)
+        {
             self.commit = index;
             self.apply_committed(out);
         }
         self.end_known(out);
         if !self.is_voter() && self.members_index <= self.commit {
-            // It was taken out of the group, and that is decided.
+            // The entry that removes this leader from the group is committed.
             self.step_down(self.hard_state.term, out);
         }
     }
--- a/crates/core/tests/control.rs
+++ b/crates/core/tests/control.rs
@@ -1,5 +1,6 @@
-//! The replicated log under loss, duplication, reorder, cuts and crashes: no
-//! accepted change is lost, and a rule that is off is noticed.
+//! Property tests of the replicated log under message loss, duplication and
+//! reordering, network partitions and crashes: no accepted change is lost, and
+//! the tests detect each safety check that is disabled.
 
 #[path = "support/disk.rs"]
 mod disk;
@@ -21,31 +22,36 @@
     ChangeOutcome, CommandOutcome, ControlCommand, ControlState,
 };
 
-/// One thing that happens.
+/// One event of a simulated history. The `u8` values pick a node, a message, a
+/// change or a key, modulo the number that exist.
 #[derive(Debug, Clone)]
 enum Event {
+    /// Lets this many milliseconds pass.
     Advance(u16),
     Deliver(u8),
     DeliverAll,
     Drop(u8),
     Duplicate(u8),
-    Cut(u8),
+    Isolate(u8),
+    /// Reconnects all isolated nodes.
     Heal,
-    /// The replica ends; of what it writes next, only some is synced.
+    /// The node crashes at once if the second value modulo 4 is 0. Otherwise the
+    /// remainder n makes the node crash instead of its n-th next write.
     Crash(u8, u8),
     Restart(u8),
     Propose(u8, u8),
     Claim(u8, u8),
 }
 
-fn event() -> impl Strategy<Value = Event> {
+/// Generates random events.
+fn event_strategy() -> impl Strategy<Value = Event> {
     prop_oneof![
         8 => (1u16..300).prop_map(Event::Advance),
         10 => any::<u8>().prop_map(Event::Deliver),
         12 => Just(Event::DeliverAll),
         2 => any::<u8>().prop_map(Event::Drop),
         1 => any::<u8>().prop_map(Event::Duplicate),
-        1 => any::<u8>().prop_map(Event::Cut),
+        1 => any::<u8>().prop_map(Event::Isolate),
         2 => Just(Event::Heal),
         2 => (any::<u8>(), any::<u8>()).prop_map(|(a, b)| Event::Crash(a, b)),
         3 => any::<u8>().prop_map(Event::Restart),
@@ -54,83 +60,106 @@
     ]
 }
 
-struct Node {
+/// A simulated replica and its disk.
+struct TestNode {
+    /// `None` while the node is down.
     machine: Option<ReplicaMachine>,
     disk: Disk,
-    cut: bool,
-    /// Actions still to be synced when it is to crash.
-    crash_after: Option<u8>,
-    /// Highest version that came in force here.
-    in_force: u64,
-    /// A disk that says it synced and did not.
-    lies: bool,
+    /// Whether all messages from and to this node are lost.
+    is_isolated: bool,
+    /// Number of further writes that reach the disk before the node crashes.
+    writes_before_crash: Option<u8>,
+    /// Version that was in effect here at the last change of the state.
+    active_version: u64,
+    /// Whether the disk reports entries as synced without writing them.
+    has_faulty_disk: bool,
 }
 
-/// Broken promises.
+/// Number of violations of each property that the replicated log guarantees.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-struct Broken {
-    two_leaders: u32,
-    lost_change: u32,
-    unequal_states: u32,
-    two_outcomes: u32,
-    two_claims: u32,
-    fell_back: u32,
-    no_leader: u32,
-    /// Accepted while fewer than a quorum had it in force.
-    known_to_few: u32,
+struct Violations {
+    /// A second leader in a term.
+    leaders_in_same_term: u32,
+    /// An accepted change is missing from the final history.
+    lost_changes: u32,
+    /// The final states of two replicas differ.
+    diverged_states: u32,
+    /// A resent change got another outcome than before.
+    conflicting_outcomes: u32,
+    /// A key was granted to two claimants.
+    duplicate_claims: u32,
+    /// A restarted replica is at an older version than before the crash.
+    version_regressions: u32,
+    /// The healed group does not have exactly one leader.
+    missing_leader: u32,
+    /// A change was reported as accepted while it was in effect on fewer nodes
+    /// than a quorum.
+    early_acknowledgements: u32,
 }
 
-impl Broken {
+impl Violations {
     fn total(&self) -> u32 {
-        self.two_leaders
-            + self.lost_change
-            + self.unequal_states
-            + self.two_outcomes
-            + self.two_claims
-            + self.fell_back
-            + self.no_leader
-            + self.known_to_few
+        self.leaders_in_same_term
+            + self.lost_changes
+            + self.diverged_states
+            + self.conflicting_outcomes
+            + self.duplicate_claims
+            + self.version_regressions
+            + self.missing_leader
+            + self.early_acknowledgements
     }
 }
 
-struct Group {
-    nodes: Vec<Node>,
+/// A simulated group with its network and the results seen so far.
+struct TestGroup {
+    nodes: Vec<TestNode>,
     now: Duration,
-    wire: Vec<(usize, usize, ReplicaMessage)>,
+    /// Messages on their way: index of the sender, of the receiver, message.
+    in_flight: Vec<(usize, usize, ReplicaMessage)>,
     safety_checks: SafetyChecks,
     seed: u64,
-    tags: HashMap<u64, String>,
-    claimants: HashMap<String, u64>,
-    outcomes: BTreeMap<String, ChangeOutcome>,
-    leaders: HashMap<u64, usize>,
-    broken: Broken,
+    /// Name of the change or claimed key of each proposal, by its tag.
+    names_by_tag: HashMap<u64, String>,
+    /// Claimant that was first granted a key.
+    claims_by_key: HashMap<String, u64>,
+    /// First outcome that was reported for a change.
+    outcomes_by_change: BTreeMap<String, ChangeOutcome>,
+    /// Node that first led in a term.
+    leaders_by_term: HashMap<u64, usize>,
+    violations: Violations,
 }
 
-fn id_of(node: usize) -> ReplicaId {
+/// Returns the replica identity of the node with index `node`.
+fn replica_id(node: usize) -> ReplicaId {
     node as ReplicaId + 10
 }
 
-impl Group {
-    fn new(count: usize, safety_checks: SafetyChecks, lies: bool, seed: u64) -> Group {
-        let nodes = (0..count).map(|_| Node {
+impl TestGroup {
+    fn new(
+        count: usize,
+        safety_checks: SafetyChecks,
+        has_faulty_disk: bool,
+        seed: u64,
+    ) -> TestGroup {
+        let nodes = (0..count).map(|_| TestNode {
             machine: None,
             disk: Disk::default(),
-            cut: false,
-            crash_after: None,
-            in_force: 0,
-            lies,
+            is_isolated: false,
+            writes_before_crash: None,
+            active_version: 0,
+            has_faulty_disk,
         });
-        let mut group = Group {
+        let mut group = TestGroup {
             nodes: nodes.collect(),
             now: Duration::ZERO,
-            wire: Vec::new(),
+            in_flight: Vec::new(),
             safety_checks,
             seed,
-            tags: HashMap::new(),
-            claimants: HashMap::new(),
-            outcomes: BTreeMap::new(),
-            leaders: HashMap::new(),
-            broken: Broken::default(),
+            names_by_tag: HashMap::new(),
+            claims_by_key: HashMap::new(),
+            outcomes_by_change: BTreeMap::new(),
+            leaders_by_term: HashMap::new(),
+            violations: Violations::default(),
         };
         for node in 0..count {
             group.restart(node);
@@ -138,15 +167,16 @@
         group
     }
 
+    /// Starts a node that is down from the state on its disk.
     fn restart(&mut self, node: usize) {
         if self.nodes[node].machine.is_some() {
             return;
         }
         self.seed += 1;
-        let members = (0..self.nodes.len()).map(id_of).collect();
+        let members = (0..self.nodes.len()).map(replica_id).collect();
         let disk = self.nodes[node].disk.clone();
         let start = ReplicaStart {
-            id: id_of(node),
+            id: replica_id(node),
             members,
             target_size: 0,
             hard_state: disk.hard_state,
@@ -157,50 +187,52 @@
             safety_checks: self.safety_checks,
             seed: self.seed,
         };
-        self.nodes[node].crash_after = None;
+        self.nodes[node].writes_before_crash = None;
         let machine = ReplicaMachine::new(start, self.now);
-        if machine.state().version() < self.nodes[node].in_force {
-            self.broken.fell_back += 1;
+        if machine.state().version() < self.nodes[node].active_version {
+            self.violations.version_regressions += 1;
         }
         self.nodes[node].machine = Some(machine);
     }
 
+    /// Passes an input to a node and performs the actions that follow.
     fn step(&mut self, node: usize, input: ReplicaInput) {
         let Some(machine) = &mut self.nodes[node].machine else {
             return;
         };
         let mut out = Vec::new();
         machine.step(self.now, input, &mut out);
-        // The driver's duty: everything to be kept is synced before anything
-        // else is done.
+        // As the driver must, syncs all persistence actions before it performs
+        // any other action.
         for action in &out {
-            if action.must_persist_first() && !self.sync(node, action) {
+            if action.must_persist_first() && !self.persist(node, action) {
                 return;
             }
         }
         for action in out {
-            self.act(node, action);
+            self.perform_action(node, action);
         }
     }
 
-    /// Keeps one action, unless the node crashes before. Returns whether it
-    /// is still there.
-    fn sync(&mut self, node: usize, action: &ReplicaAction) -> bool {
+    /// Writes one persistence action to the node's disk, unless the node crashes
+    /// first. Returns whether the node is still running.
+    fn persist(&mut self, node: usize, action: &ReplicaAction) -> bool {
         let node = &mut self.nodes[node];
-        match node.crash_after {
+        match node.writes_before_crash {
             Some(0) => {
                 node.machine = None;
                 false
             }
             Some(left) => {
-                node.crash_after = Some(left - 1);
+                node.writes_before_crash = Some(left - 1);
                 node.disk.keep(action);
                 true
             }
             None => {
-                // Sound disks sync; a lying one forgets entries now and then.
-                let forgets = node.lies && matches!(action, ReplicaAction::PersistEntry(_));
-                if !forgets {
+                // A faulty disk drops the log entries, unless a crash is scheduled.
+                let drops_write =
+                    node.has_faulty_disk && matches!(action, ReplicaAction::PersistEntry(_));
+                if !drops_write {
                     node.disk.keep(action);
                 }
                 true
@@ -208,22 +240,24 @@
         }
     }
 
-    fn act(&mut self, node: usize, action: ReplicaAction) {
+    /// Sends a message, or checks a reported result against the earlier ones.
+    fn perform_action(&mut self, node: usize, action: ReplicaAction) {
         match action {
             ReplicaAction::Send { to, message } => {
-                self.wire.push((node, to as usize - 10, message));
+                self.in_flight.push((node, to as usize - 10, message));
             }
             ReplicaAction::Complete { tag, result } => {
-                let name = self.tags[&tag].clone();
+                let name = self.names_by_tag[&tag].clone();
                 match result {
                     ProposalResult::Done(CommandOutcome::Change(outcome)) => {
-                        let first = *self.outcomes.entry(name).or_insert(outcome);
-                        self.broken.two_outcomes += u32::from(first != outcome);
-                        self.broken.known_to_few += u32::from(self.is_known_to_few(outcome));
+                        let first = *self.outcomes_by_change.entry(name).or_insert(outcome);
+                        self.violations.conflicting_outcomes += u32::from(first != outcome);
+                        self.violations.early_acknowledgements +=
+                            u32::from(self.is_below_quorum(outcome));
                     }
                     ProposalResult::Done(CommandOutcome::Claim(ClaimOutcome::Granted)) => {
-                        let first = *self.claimants.entry(name).or_insert(tag);
-                        self.broken.two_claims += u32::from(first != tag);
+                        let first = *self.claims_by_key.entry(name).or_insert(tag);
+                        self.violations.duplicate_claims += u32::from(first != tag);
                     }
                     _ => {}
                 }
@@ -234,44 +268,47 @@
                     .machine
                     .as_ref()
                     .map(|machine| machine.state().version());
-                node.in_force = version.unwrap_or(node.in_force);
+                node.active_version = version.unwrap_or(node.active_version);
             }
             ReplicaAction::RoleChanged { term, leads: true } => {
-                let first = *self.leaders.entry(term).or_insert(node);
-                self.broken.two_leaders += u32::from(first != node);
+                let first = *self.leaders_by_term.entry(term).or_insert(node);
+                self.violations.leaders_in_same_term += u32::from(first != node);
             }
             _ => {}
         }
     }
 
-    /// Tells whether an accepted change is in force at fewer than a quorum.
-    fn is_known_to_few(&self, outcome: ChangeOutcome) -> bool {
+    /// Returns whether an accepted change is in effect on fewer nodes than a quorum.
+    fn is_below_quorum(&self, outcome: ChangeOutcome) -> bool {
         let ChangeOutcome::Accepted(version) = outcome else {
             return false;
         };
         let nodes = self.nodes.iter();
-        let known = nodes.filter(|node| node.in_force >= version);
-        known.count() < self.nodes.len() / 2 + 1
+        let informed = nodes.filter(|node| node.active_version >= version);
+        informed.count() < self.nodes.len() / 2 + 1
     }
 
+    /// Delivers one message, unless the sender or the receiver is isolated.
     fn deliver(&mut self, pick: usize) {
-        if self.wire.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let (from, to, message) = self.wire.remove(pick % self.wire.len());
-        if self.nodes[from].cut || self.nodes[to].cut {
+        let (from, to, message) = self.in_flight.remove(pick % self.in_flight.len());
+        if self.nodes[from].is_isolated || self.nodes[to].is_isolated {
             return;
         }
-        let from = id_of(from);
+        let from = replica_id(from);
         self.step(to, ReplicaInput::Message { from, message });
     }
 
+    /// Delivers the messages that are on their way now, in order.
     fn deliver_all(&mut self) {
-        for _ in 0..self.wire.len() {
+        for _ in 0..self.in_flight.len() {
             self.deliver(0);
         }
     }
 
+    /// Advances the clock and runs the timers of all nodes.
     fn advance(&mut self, time: Duration) {
         self.now += time;
         for node in 0..self.nodes.len() {
@@ -279,44 +316,49 @@
         }
     }
 
-    fn play(&mut self, event: &Event) {
+    /// Applies one event of the simulated history.
+    fn apply_event(&mut self, event: &Event) {
         let count = self.nodes.len();
-        let of = |pick: &u8| usize::from(*pick) % count;
+        let node_at = |pick: &u8| usize::from(*pick) % count;
         match event {
             Event::Advance(millis) => self.advance(Duration::from_millis(u64::from(*millis))),
             Event::Deliver(pick) => self.deliver(usize::from(*pick)),
             Event::DeliverAll => self.deliver_all(),
             Event::Drop(pick) => {
-                if !self.wire.is_empty() {
-                    self.wire.remove(usize::from(*pick) % self.wire.len());
+                if !self.in_flight.is_empty() {
+                    self.in_flight
+                        .remove(usize::from(*pick) % self.in_flight.len());
                 }
             }
             Event::Duplicate(pick) => {
-                if !self.wire.is_empty() {
-                    let message = self.wire[usize::from(*pick) % self.wire.len()].clone();
-                    self.wire.push(message);
+                if !self.in_flight.is_empty() {
+                    let message = self.in_flight[usize::from(*pick) % self.in_flight.len()].clone();
+                    self.in_flight.push(message);
                 }
             }
-            Event::Cut(pick) => self.nodes[of(pick)].cut = true,
-            Event::Heal => self.nodes.iter_mut().for_each(|node| node.cut = false),
+            Event::Isolate(pick) => self.nodes[node_at(pick)].is_isolated = true,
+            Event::Heal => self
+                .nodes
+                .iter_mut()
+                .for_each(|node| node.is_isolated = false),
             Event::Crash(pick, writes) => {
-                let node = &mut self.nodes[of(pick)];
+                let node = &mut self.nodes[node_at(pick)];
                 match writes % 4 {
                     0 => node.machine = None,
-                    writes => node.crash_after = Some(writes - 1),
+                    writes => node.writes_before_crash = Some(writes - 1),
                 }
             }
-            Event::Restart(pick) => self.restart(of(pick)),
-            Event::Propose(pick, change) => self.propose(of(pick), change % 12),
-            Event::Claim(pick, key) => self.propose_claim(of(pick), key % 4),
+            Event::Restart(pick) => self.restart(node_at(pick)),
+            Event::Propose(pick, change) => self.propose(node_at(pick), change % 12),
+            Event::Claim(pick, key) => self.propose_claim(node_at(pick), key % 4),
         }
     }
 
-    /// Proposes a claim of one of a few keys, each time as another claimant.
+    /// Proposes a claim of a key by a new claimant.
     fn propose_claim(&mut self, node: usize, key: u8) {
-        let tag = self.tags.len() as u64;
+        let tag = self.names_by_tag.len() as u64;
         let key = format!("key-{key}");
-        self.tags.insert(tag, key.clone());
+        self.names_by_tag.insert(tag, key.clone());
         let command = ControlCommand::Claim(ClaimRequest {
             key,
             digest: 1,
@@ -326,15 +368,15 @@
         self.step(node, ReplicaInput::Propose { tag, command });
     }
 
-    /// Proposes a change; a number seen before is a resent change.
+    /// Proposes a change. A number that was proposed before resends that change.
     fn propose(&mut self, node: usize, change: u8) {
         let Some(machine) = &self.nodes[node].machine else {
             return;
         };
         let base = machine.state().version();
-        let tag = self.tags.len() as u64;
+        let tag = self.names_by_tag.len() as u64;
         let change = format!("change-{change}");
-        self.tags.insert(tag, change.clone());
+        self.names_by_tag.insert(tag, change.clone());
         let command = ControlCommand::Change {
             csv: change.clone(),
             change,
@@ -344,11 +386,12 @@
         self.step(node, ReplicaInput::Propose { tag, command });
     }
 
-    /// Heals everything, gives it time, and checks what must hold.
-    fn close(mut self) -> Broken {
+    /// Reconnects and restarts all nodes, lets 8 s pass, and checks that the
+    /// group has one leader, equal states and all accepted changes.
+    fn heal_and_check(mut self) -> Violations {
         for node in 0..self.nodes.len() {
-            self.nodes[node].cut = false;
-            self.nodes[node].crash_after = None;
+            self.nodes[node].is_isolated = false;
+            self.nodes[node].writes_before_crash = None;
             self.restart(node);
         }
         for _ in 0..200 {
@@ -359,116 +402,132 @@
         }
         let machines = || self.nodes.iter().filter_map(|node| node.machine.as_ref());
         if machines().filter(|machine| machine.is_leader()).count() != 1 {
-            self.broken.no_leader += 1;
+            self.violations.missing_leader += 1;
         }
         let states: Vec<&ControlState> = machines().map(ReplicaMachine::state).collect();
-        self.broken.unequal_states += u32::from(states.iter().any(|state| *state != states[0]));
-        let made: HashSet<(u64, &str)> = states[0]
+        self.violations.diverged_states +=
+            u32::from(states.iter().any(|state| *state != states[0]));
+        let committed_versions: HashSet<(u64, &str)> = states[0]
             .history()
             .map(|version| (version.version, version.change.as_str()))
             .collect();
-        for (change, outcome) in &self.outcomes {
+        for (change, outcome) in &self.outcomes_by_change {
             if let ChangeOutcome::Accepted(version) = outcome {
-                let is_there = made.contains(&(*version, change.as_str()));
-                self.broken.lost_change += u32::from(!is_there);
+                let is_committed = committed_versions.contains(&(*version, change.as_str()));
+                self.violations.lost_changes += u32::from(!is_committed);
             }
         }
-        self.broken
+        self.violations
     }
 }
 
+/// Applies the events to a new group and returns the violations.
 fn run_case(
     events: &[Event],
     count: usize,
     seed: u64,
     safety_checks: SafetyChecks,
-    lies: bool,
-) -> Broken {
-    let mut group = Group::new(count, safety_checks, lies, seed);
+    has_faulty_disk: bool,
+) -> Violations {
+    let mut group = TestGroup::new(count, safety_checks, has_faulty_disk, seed);
     for event in events {
-        group.play(event);
+        group.apply_event(event);
     }
-    group.close()
+    group.heal_and_check()
 }
 
-/// Cases for each size of group.
-const CASES: u32 = 1500;
+/// Number of random histories for each group size.
+const CASES_PER_GROUP_SIZE: u32 = 1500;
 
 proptest! {
     #![proptest_config(Config {
-        cases: CASES,
+        cases: CASES_PER_GROUP_SIZE,
         failure_persistence: None,
         rng_seed: RngSeed::Fixed(410),
         ..Config::default()
     })]
 
     #[test]
-    fn three_replicas_lose_nothing(events in prop::collection::vec(event(), 1..200), seed in any::<u32>()) {
-        let broken = run_case(&events, 3, seed.into(), SafetyChecks::default(), false);
-        prop_assert_eq!(broken, Broken::default());
+    fn three_replicas_lose_no_accepted_change(events in prop::collection::vec(event_strategy(), 1..200), seed in any::<u32>()) {
+        let violations = run_case(&events, 3, seed.into(), SafetyChecks::default(), false);
+        prop_assert_eq!(violations, Violations::default());
     }
 
     #[test]
-    fn five_replicas_lose_nothing(events in prop::collection::vec(event(), 1..200), seed in any::<u32>()) {
-        let broken = run_case(&events, 5, seed.into(), SafetyChecks::default(), false);
-        prop_assert_eq!(broken, Broken::default());
+    fn five_replicas_lose_no_accepted_change(events in prop::collection::vec(event_strategy(), 1..200), seed in any::<u32>()) {
+        let violations = run_case(&events, 5, seed.into(), SafetyChecks::default(), false);
+        prop_assert_eq!(violations, Violations::default());
     }
 }
 
-struct RuleCase {
+/// A safety check, or the sync of a disk, that a test switches off.
+struct DisabledCheck {
     name: &'static str,
-    off: fn(&mut SafetyChecks),
-    lies: bool,
+    disable: fn(&mut SafetyChecks),
+    has_faulty_disk: bool,
 }
 
 #[test]
-fn a_rule_that_is_off_is_noticed() {
+fn a_disabled_safety_check_is_detected() {
     let cases = [
-        RuleCase {
-            name: "a vote once a term",
-            off: |safety_checks| safety_checks.votes_once_per_term = false,
-            lies: false,
+        DisabledCheck {
+            name: "one vote in a term",
+            disable: |safety_checks| safety_checks.votes_once_per_term = false,
+            has_faulty_disk: false,
         },
-        RuleCase {
-            name: "a vote for no log that is behind",
-            off: |safety_checks| safety_checks.requires_up_to_date_log = false,
-            lies: false,
+        DisabledCheck {
+            name: "no vote for a log that is behind",
+            disable: |safety_checks| safety_checks.requires_up_to_date_log = false,
+            has_faulty_disk: false,
         },
-        RuleCase {
-            name: "a majority",
-            off: |safety_checks| safety_checks.requires_majority = false,
-            lies: false,
+        DisabledCheck {
+            name: "a majority for elections and commits",
+            disable: |safety_checks| safety_checks.requires_majority = false,
+            has_faulty_disk: false,
         },
-        RuleCase {
-            name: "what comes in force is known to a quorum",
-            off: |safety_checks| safety_checks.awaits_known_commit = false,
-            lies: false,
+        DisabledCheck {
+            name: "no report before a quorum knows the commit",
+            disable: |safety_checks| safety_checks.awaits_known_commit = false,
+            has_faulty_disk: false,
         },
-        RuleCase {
-            name: "a sync before an answer",
-            off: |_| (),
-            lies: true,
+        DisabledCheck {
+            name: "a sync before an answer (faulty disk)",
+            disable: |_| (),
+            has_faulty_disk: true,
         },
     ];
     for case in cases {
         let mut safety_checks = SafetyChecks::default();
-        (case.off)(&mut safety_checks);
+        (case.disable)(&mut safety_checks);
         let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[4; 32]);
         let mut runner = TestRunner::new_with_rng(Config::default(), rng);
-        let strategy = prop::collection::vec(event(), 100..200);
+        let strategy = prop::collection::vec(event_strategy(), 100..200);
         let mut total = 0;
         for seed in 0..600 {
-            let tree = strategy.new_tree(&mut runner).expect("nothing is rejected");
-            total += run_case(&tree.current(), 3, seed, safety_checks, case.lies).total();
+            let tree = strategy
+                .new_tree(&mut runner)
+                .expect("the strategy rejects nothing");
+            total += run_case(
+                &tree.current(),
+                3,
+                seed,
+                safety_checks,
+                case.has_faulty_disk,
+            )
+            .total();
         }
-        assert!(total > 0, "{}", case.name);
+        assert!(
+            total > 0,
+            "no violation seen without the check: {}",
+            case.name
+        );
     }
 }
 
 #[test]
-fn a_replica_that_was_cut_off_disturbs_nobody() {
-    let mut group = Group::new(3, SafetyChecks::default(), false, 1);
-    let run = |group: &mut Group, rounds: u32| {
+fn a_rejoining_replica_does_not_depose_the_leader() {
+    let mut group = TestGroup::new(3, SafetyChecks::default(), false, 1);
+    let run = |group: &mut TestGroup, rounds: u32| {
         for _ in 0..rounds {
             group.advance(Duration::from_millis(40));
             for _ in 0..4 {
@@ -477,23 +536,24 @@
         }
     };
     run(&mut group, 50);
-    let leader = |group: &Group| {
-        let is_leader = |node: &Node| node.machine.as_ref().is_some_and(ReplicaMachine::is_leader);
+    let leader = |group: &TestGroup| {
+        let is_leader =
+            |node: &TestNode| node.machine.as_ref().is_some_and(ReplicaMachine::is_leader);
         group.nodes.iter().position(is_leader)
     };
-    let first = leader(&group).expect("a leader stands");
+    let first = leader(&group).expect("the group elected a leader");
     let term = group.nodes[first]
         .machine
         .as_ref()
         .map(ReplicaMachine::term);
-    let cut = (first + 1) % 3;
-    group.nodes[cut].cut = true;
-    // It asks for pre-votes all the time, and gets none.
+    let isolated = (first + 1) % 3;
+    group.nodes[isolated].is_isolated = true;
+    // The isolated node requests pre-votes again and again and gets none.
     for _ in 0..60 {
         run(&mut group, 1);
         group.advance(Duration::from_millis(10));
     }
-    group.nodes[cut].cut = false;
+    group.nodes[isolated].is_isolated = false;
     run(&mut group, 50);
     assert_eq!(leader(&group), Some(first));
     let after = group.nodes[first]
--- a/crates/core/tests/trio/election.rs
+++ b/crates/core/tests/trio/election.rs
@@ -1,40 +1,45 @@
-//! How soon a group leads again after all of its replicas ended at once and one
-//! did not come back.
+//! Measures how soon a group elects a leader after all of its replicas stopped
+//! at once and one of them did not restart.
 
 use std::time::Duration;
 
-use crate::harness::{Trio, STEP};
+use crate::harness::{ReplicaTrio, STEP};
 
-/// Plays.
-const SEEDS: u64 = 200;
-/// Longest time to a leader, as the median of the plays: 120 ms, and 300 ms
-/// where a replica waits a quarter of the election time or more after its
-/// start. The election time is 400 ms.
-const MEDIAN: Duration = Duration::from_millis(160);
-/// Longest time in any play: 800 ms, and 1,260 ms where a split vote costs a
-/// whole election time.
-const WORST: Duration = Duration::from_millis(900);
+/// Number of simulated restarts, each with its own random seed.
+const RUNS: u64 = 200;
+/// Upper bound on the median time to a leader. The median is 120 ms; it is 300 ms
+/// if a replica waits a quarter of the election timeout or more after its start.
+/// The election timeout is 400 ms.
+const MAX_MEDIAN: Duration = Duration::from_millis(160);
+/// Upper bound on the time to a leader in any run. The longest is 800 ms; it is
+/// 1,260 ms if a split vote costs a whole election timeout.
+const MAX_TIME: Duration = Duration::from_millis(900);
 
-fn time_to_lead(seed: u64) -> Duration {
-    let mut trio = Trio::new(seed);
+/// Returns the time from the restart of all replicas but the former leader until
+/// one of the two leads.
+fn measure_election(seed: u64) -> Duration {
+    let mut trio = ReplicaTrio::new(seed);
     trio.run(Duration::from_secs(3));
-    let away = trio.leader().expect("a leader");
+    let stopped = trio.leader().expect("the group elected a leader");
     trio.restart(seed + 1000);
-    trio.away = Some(away);
+    trio.stopped = Some(stopped);
     let begin = trio.now;
     while trio.leader().is_none() {
         trio.run(STEP);
-        assert!(trio.now < begin + Duration::from_secs(10), "no leader");
+        assert!(
+            trio.now < begin + Duration::from_secs(10),
+            "no leader within 10 s"
+        );
     }
     trio.now - begin
 }
 
 #[test]
-fn two_of_three_lead_soon_after_a_restart_of_all() {
-    let mut times: Vec<Duration> = (0..SEEDS).map(time_to_lead).collect();
+fn two_of_three_replicas_elect_a_leader_soon_after_a_full_restart() {
+    let mut times: Vec<Duration> = (0..RUNS).map(measure_election).collect();
     times.sort_unstable();
     let (median, worst) = (times[times.len() / 2], times[times.len() - 1]);
     println!("median {median:?}, worst {worst:?}");
-    assert!(median <= MEDIAN, "median {median:?}");
-    assert!(worst <= WORST, "worst {worst:?}");
+    assert!(median <= MAX_MEDIAN, "median {median:?}");
+    assert!(worst <= MAX_TIME, "worst {worst:?}");
 }
--- a/crates/core/tests/trio/harness.rs
+++ b/crates/core/tests/trio/harness.rs
@@ -1,4 +1,5 @@
-//! Three replicas on a wire that loses nothing, one of which may be away.
+//! A simulated group of three replicas with a network that loses no messages.
+//! A test may stop or isolate one replica.
 
 use std::time::Duration;
 
@@ -10,60 +11,67 @@
 
 use crate::disk::Disk;
 
-pub(crate) const REPLICAS: [ReplicaId; 3] = [1, 2, 3];
-/// Time that a message takes, at most.
+/// Identities of the replicas; tests refer to a replica by its index here.
+pub(crate) const REPLICA_IDS: [ReplicaId; 3] = [1, 2, 3];
+/// Simulated time between two deliveries; a message is delivered in the next
+/// step.
 pub(crate) const STEP: Duration = Duration::from_millis(20);
 
-/// What was sent, as far as a test asks.
+/// Counts of the traffic and the results since the start of the simulation.
 #[derive(Debug, Default)]
-pub(crate) struct SentCount {
-    /// Bytes of entries in the largest message.
-    pub(crate) largest: usize,
-    /// Whole states sent to a replica that was away.
-    pub(crate) wasted: usize,
-    /// Messages.
+pub(crate) struct TrafficStats {
+    /// Largest total size of the entries in one message, in bytes.
+    pub(crate) max_entry_bytes: usize,
+    /// Number of snapshots sent to the stopped replica.
+    pub(crate) snapshots_to_stopped: usize,
+    /// Number of messages sent.
     pub(crate) messages: usize,
-    /// Reads and proposals that were confirmed.
-    pub(crate) confirmed: usize,
+    /// Number of reads and proposals reported as done.
+    pub(crate) completed: usize,
 }
 
-pub(crate) struct Trio {
+/// The simulated group.
+pub(crate) struct ReplicaTrio {
     pub(crate) replicas: Vec<(ReplicaMachine, Disk)>,
-    pub(crate) away: Option<usize>,
-    /// A replica that runs, and whose messages both ways are lost.
-    pub(crate) cut: Option<usize>,
+    /// Index of a replica that does not run and receives no messages.
+    pub(crate) stopped: Option<usize>,
+    /// Index of a replica that runs but whose messages are lost both ways.
+    pub(crate) isolated: Option<usize>,
     pub(crate) now: Duration,
-    pub(crate) sent: SentCount,
-    wire: Vec<(ReplicaId, ReplicaId, ReplicaMessage)>,
+    pub(crate) traffic: TrafficStats,
+    /// Messages to be delivered in the next step: sender, receiver, message.
+    in_flight: Vec<(ReplicaId, ReplicaId, ReplicaMessage)>,
 }
 
-impl Trio {
-    pub(crate) fn new(seed: u64) -> Trio {
-        let replicas = REPLICAS.map(|id| {
+impl ReplicaTrio {
+    pub(crate) fn new(seed: u64) -> ReplicaTrio {
+        let replicas = REPLICA_IDS.map(|id| {
             let disk = Disk::default();
-            (start(id, &disk, seed, Duration::ZERO), disk)
+            (start_replica(id, &disk, seed, Duration::ZERO), disk)
         });
-        Trio {
+        ReplicaTrio {
             replicas: replicas.into(),
-            away: None,
-            cut: None,
+            stopped: None,
+            isolated: None,
             now: Duration::ZERO,
-            sent: SentCount::default(),
-            wire: Vec::new(),
+            traffic: TrafficStats::default(),
+            in_flight: Vec::new(),
         }
     }
 
-    /// Ends all and starts them at once with what their disks hold.
+    /// Restarts all replicas at once from their disks and drops all messages.
     pub(crate) fn restart(&mut self, seed: u64) {
-        self.wire.clear();
+        self.in_flight.clear();
         for (machine, disk) in &mut self.replicas {
-            *machine = start(machine.id(), disk, seed, self.now);
+            *machine = start_replica(machine.id(), disk, seed, self.now);
         }
     }
 
-    pub(crate) fn step(&mut self, place: usize, input: ReplicaInput) {
+    /// Passes one input to a replica, writes its persistence actions to its
+    /// disk, and sends its messages.
+    pub(crate) fn step(&mut self, index: usize, input: ReplicaInput) {
         let mut out = Vec::new();
-        let (machine, disk) = &mut self.replicas[place];
+        let (machine, disk) = &mut self.replicas[index];
         machine.step(self.now, input, &mut out);
         let from = machine.id();
         out.iter().for_each(|action| disk.keep(action));
@@ -73,58 +81,64 @@
                 ReplicaAction::Complete {
                     result: ProposalResult::Done(_),
                     ..
-                } => self.sent.confirmed += 1,
+                } => self.traffic.completed += 1,
                 _ => {}
             }
         }
     }
 
+    /// Counts a message and queues it, unless the receiver is stopped or one side
+    /// is isolated.
     fn send(&mut self, from: ReplicaId, to: ReplicaId, message: ReplicaMessage) {
-        self.sent.messages += 1;
-        let is_away = self.away.is_some_and(|away| REPLICAS[away] == to);
+        self.traffic.messages += 1;
+        let is_stopped = self
+            .stopped
+            .is_some_and(|stopped| REPLICA_IDS[stopped] == to);
         match &message {
             ReplicaMessage::Append { entries, .. } => {
                 let bytes = entries.iter().map(|entry| entry.command.bytes()).sum();
-                self.sent.largest = self.sent.largest.max(bytes);
+                self.traffic.max_entry_bytes = self.traffic.max_entry_bytes.max(bytes);
             }
-            ReplicaMessage::Snapshot { .. } if is_away => self.sent.wasted += 1,
+            ReplicaMessage::Snapshot { .. } if is_stopped => self.traffic.snapshots_to_stopped += 1,
             _ => {}
         }
-        let is_cut = self
-            .cut
-            .is_some_and(|cut| [from, to].contains(&REPLICAS[cut]));
-        if !is_away && !is_cut {
-            self.wire.push((from, to, message));
+        let is_isolated = self
+            .isolated
+            .is_some_and(|isolated| [from, to].contains(&REPLICA_IDS[isolated]));
+        if !is_stopped && !is_isolated {
+            self.in_flight.push((from, to, message));
         }
     }
 
-    /// Lets time pass.
+    /// Runs the simulation for `time`, in steps of [`STEP`].
     pub(crate) fn run(&mut self, time: Duration) {
-        let result = self.now + time;
-        while self.now < result {
+        let deadline = self.now + time;
+        while self.now < deadline {
             self.now += STEP;
-            for (from, to, message) in std::mem::take(&mut self.wire) {
-                let place = REPLICAS.iter().position(|id| *id == to).unwrap();
-                self.step(place, ReplicaInput::Message { from, message });
+            for (from, to, message) in std::mem::take(&mut self.in_flight) {
+                let index = REPLICA_IDS.iter().position(|id| *id == to).unwrap();
+                self.step(index, ReplicaInput::Message { from, message });
             }
-            for place in 0..REPLICAS.len() {
-                if Some(place) != self.away {
-                    self.step(place, ReplicaInput::Wake);
+            for index in 0..REPLICA_IDS.len() {
+                if Some(index) != self.stopped {
+                    self.step(index, ReplicaInput::Wake);
                 }
             }
         }
     }
 
+    /// Returns the index of a replica that leads.
     pub(crate) fn leader(&self) -> Option<usize> {
         let mut replicas = self.replicas.iter();
         replicas.position(|(machine, _)| machine.is_leader())
     }
 }
 
-fn start(id: ReplicaId, disk: &Disk, seed: u64, now: Duration) -> ReplicaMachine {
+/// Creates a replica from the state on its disk.
+fn start_replica(id: ReplicaId, disk: &Disk, seed: u64, now: Duration) -> ReplicaMachine {
     let start = ReplicaStart {
         id,
-        members: REPLICAS.to_vec(),
+        members: REPLICA_IDS.to_vec(),
         target_size: 0,
         hard_state: disk.hard_state,
         snapshot: (disk.place, disk.state.clone()),
--- a/crates/core/tests/trio/main.rs
+++ b/crates/core/tests/trio/main.rs
@@ -1,5 +1,6 @@
-//! Three replicas on a wire that loses nothing: how soon they lead, how much
-//! they hold and send, and that being asked keeps no leader from its duties.
+//! Tests with three replicas and a network that loses no messages: election
+//! time, sizes of messages and logs, message cost of reads, and the quorum
+//! check of a leader under constant reads.
 
 #[path = "../support/disk.rs"]
 mod disk;
