--- a/crates/core/src/process/control/members.rs
+++ b/crates/core/src/process/control/members.rs
@@ -33,7 +33,7 @@
 
     /// Returns the replicas, where the log keeps them.
     pub fn member_records(&self) -> &[MemberRecord] {
-        &self.records
+        &self.member_records
     }
 
     /// Returns the replicas without a vote that the leader keeps up to date.
@@ -52,13 +52,13 @@
                 _ => None,
             }
         });
-        let (index, records) = newest.unwrap_or((base, self.state.members().to_vec()));
-        self.members = if records.is_empty() {
+        let (index, member_records) = newest.unwrap_or((base, self.state.members().to_vec()));
+        self.members = if member_records.is_empty() {
             self.configured_members.clone()
         } else {
-            records.iter().map(|record| record.id).collect()
+            member_records.iter().map(|record| record.id).collect()
         };
-        self.records = records;
+        self.member_records = member_records;
         self.members_index = index;
     }
 
@@ -124,28 +124,31 @@
         let ready = self.ready_learner(now);
         if let Some(learner) = ready {
             let former = self
-                .records
+                .member_records
                 .iter()
                 .position(|record| record.instance == learner.instance);
             if let Some(former) = former {
                 // The instance itself came back with an empty disk: its former
                 // identity will never vote again, so that one step is safe.
-                let mut members = self.records.clone();
+                let mut members = self.member_records.clone();
                 members[former] = learner.clone();
                 return Some(members);
             }
-            let is_short = self.records.len() < self.target_size;
+            let is_short = self.member_records.len() < self.target_size;
             if is_short || self.lost_member(now).is_some() {
-                let mut members = self.records.clone();
+                let mut members = self.member_records.clone();
                 members.push(learner.clone());
                 return Some(members);
             }
         }
-        if self.records.len() <= self.target_size {
+        if self.member_records.len() <= self.target_size {
             return None;
         }
         let surplus = self.lost_member(now)?;
-        let keeps = self.records.iter().filter(|record| record.id != surplus);
+        let keeps = self
+            .member_records
+            .iter()
+            .filter(|record| record.id != surplus);
         Some(keeps.cloned().collect())
     }
 
--- a/crates/core/src/process/control/read.rs
+++ b/crates/core/src/process/control/read.rs
@@ -55,8 +55,8 @@
     /// Confirms nothing before an entry of the current term is committed,
     /// because a new leader does not know the commit index until then.
     pub(super) fn confirm_reads(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
-        let is_current = self.log.term_at(self.commit) == Some(self.hard_state.term);
-        if self.pending_reads.is_empty() || !is_current {
+        let is_term_committed = self.log.term_at(self.commit) == Some(self.hard_state.term);
+        if self.pending_reads.is_empty() || !is_term_committed {
             return;
         }
         let answered_round = self.quorum_value(self.round, |peer| peer.round);
--- a/crates/core/src/process/control/replica.rs
+++ b/crates/core/src/process/control/replica.rs
@@ -147,8 +147,8 @@
     pub(super) configured_members: Vec<ReplicaId>,
     /// The members as the newest membership entry or the snapshot records them;
     /// empty in a group with a fixed membership.
-    pub(super) records: Vec<MemberRecord>,
-    /// Index of the entry that `records` was taken from.
+    pub(super) member_records: Vec<MemberRecord>,
+    /// Index of the entry that `member_records` was taken from.
     pub(super) members_index: u64,
     /// See [`ReplicaStart::target_size`].
     pub(super) target_size: usize,
@@ -200,7 +200,7 @@
             id: start.id,
             members: start.members.clone(),
             configured_members: start.members,
-            records: Vec::new(),
+            member_records: Vec::new(),
             members_index: 0,
             target_size: start.target_size,
             learners: BTreeMap::new(),
--- a/crates/core/tests/control.rs
+++ b/crates/core/tests/control.rs
@@ -284,8 +284,8 @@
             return false;
         };
         let nodes = self.nodes.iter();
-        let informed = nodes.filter(|node| node.active_version >= version);
-        informed.count() < self.nodes.len() / 2 + 1
+        let known = nodes.filter(|node| node.active_version >= version);
+        known.count() < self.nodes.len() / 2 + 1
     }
 
     /// Delivers one message, unless the sender or the receiver is isolated.
--- a/crates/core/tests/trio/busy.rs
+++ b/crates/core/tests/trio/busy.rs
@@ -25,7 +25,6 @@
         "an isolated leader still leads after 3 s without a quorum"
     );
     let others = trio.replicas.iter().enumerate();
-    let new_leaders =
-        others.filter(|(index, (machine, _))| *index != leader && machine.is_leader());
-    assert_eq!(new_leaders.count(), 1);
+    let leads = others.filter(|(index, (machine, _))| *index != leader && machine.is_leader());
+    assert_eq!(leads.count(), 1);
 }
