--- a/crates/core/tests/control.rs
+++ b/crates/core/tests/control.rs
@@ -486,7 +486,7 @@
             has_faulty_disk: false,
         },
         DisabledCheck {
-            name: "no report before a quorum knows the commit",
+            name: "a commit is known to a quorum before its report",
             disable: |safety_checks| safety_checks.awaits_known_commit = false,
             has_faulty_disk: false,
         },
--- a/crates/core/tests/trio/many_reads.rs
+++ b/crates/core/tests/trio/many_reads.rs
@@ -17,7 +17,7 @@
 fn many_reads_cost_few_messages_and_all_are_confirmed() {
     let mut trio = ReplicaTrio::new(1);
     trio.run(Duration::from_secs(3));
-    let leader = trio.leader().expect("the group elected a leader");
+    let leader = trio.leader().expect("one replica leads");
     let (messages, completed) = (trio.traffic.messages, trio.traffic.completed);
     for tag in 0..READS {
         trio.step(leader, ReplicaInput::Read { tag });
@@ -32,7 +32,7 @@
 fn a_read_during_a_confirmation_round_waits_for_the_next_one() {
     let mut trio = ReplicaTrio::new(2);
     trio.run(Duration::from_secs(3));
-    let leader = trio.leader().expect("the group elected a leader");
+    let leader = trio.leader().expect("one replica leads");
     trio.step(leader, ReplicaInput::Read { tag: 1 });
     // From here on no answer arrives. The answers to the first read's round must
     // not confirm the second read.
