--- a/crates/core/src/process/control/apply.rs
+++ b/crates/core/src/process/control/apply.rs
@@ -1,32 +1,36 @@
-//! Proposals, and applying what is committed.
+//! Appending proposals to the leader's log, applying committed entries to the
+//! state, and compacting the log.
 
 use std::time::Duration;
 
-use crate::process::control::log::{LogEntry, LogPlace};
-use crate::process::control::message::{ProposalEnd, ReplicaAction};
+use crate::process::control::log::{LogEntry, LogPosition};
+use crate::process::control::message::{ProposalResult, ReplicaAction};
 use crate::process::control::replica::ReplicaMachine;
 use crate::process::control::state::ControlCommand;
 
-/// Entries after which the log is compacted into a snapshot.
-const COMPACT_AFTER: usize = 256;
-/// Bytes of entries after which it is compacted in any case: entries hold
-/// whole tables, and a snapshot holds one.
-const COMPACT_BYTES: usize = 4 * 1024 * 1024;
+/// Number of applied entries after which the log is compacted into a snapshot.
+const COMPACT_AFTER_ENTRIES: usize = 256;
+/// Size of the log in bytes above which the log is compacted regardless of the
+/// number of entries: each entry may hold a whole table, a snapshot holds one.
+const COMPACT_AFTER_BYTES: usize = 4 * 1024 * 1024;
 
 impl ReplicaMachine {
-    pub(super) fn drop_proposals(&mut self, out: &mut Vec<ReplicaAction>) {
-        let proposals = std::mem::take(&mut self.proposals).into_values();
-        let reads = std::mem::take(&mut self.reads).into_iter();
-        let ends = std::mem::take(&mut self.ends).into_iter();
-        let tags = proposals.map(|(tag, _)| tag);
-        let tags = tags.chain(reads.map(|read| read.tag));
-        let tags = tags.chain(ends.map(|end| end.tag));
-        out.extend(tags.map(|tag| ReplicaAction::End {
+    /// Reports all pending proposals and reads as [`ProposalResult::Unknown`].
+    pub(super) fn abort_pending(&mut self, out: &mut Vec<ReplicaAction>) {
+        let pending_proposals = std::mem::take(&mut self.pending_proposals).into_values();
+        let pending_reads = std::mem::take(&mut self.pending_reads).into_iter();
+        let pending_results = std::mem::take(&mut self.pending_results).into_iter();
+        let tags = pending_proposals.map(|(tag, _)| tag);
+        let tags = tags.chain(pending_reads.map(|read| read.tag));
+        let tags = tags.chain(pending_results.map(|result| result.tag));
+        out.extend(tags.map(|tag| ReplicaAction::Complete {
             tag,
-            end: ProposalEnd::Unknown,
+            result: ProposalResult::Unknown,
         }));
     }
 
+    /// Appends a proposed command to the log and replicates it, if this replica
+    /// leads; otherwise reports [`ProposalResult::NotLeader`].
     pub(super) fn propose(
         &mut self,
         tag: u64,
@@ -35,45 +39,50 @@
         out: &mut Vec<ReplicaAction>,
     ) {
         if !self.is_leader() {
-            out.push(ReplicaAction::End {
+            out.push(ReplicaAction::Complete {
                 tag,
-                end: ProposalEnd::NotLeader(self.leader),
+                result: ProposalResult::NotLeader(self.leader),
             });
             return;
         }
-        let index = self.add_entry(command, out);
-        self.proposals.insert(index, (tag, self.hard.term));
-        self.send_all(now, out);
+        let index = self.append_command(command, out);
+        self.pending_proposals
+            .insert(index, (tag, self.hard_state.term));
+        self.replicate_to_all(now, out);
         self.advance_commit(out);
     }
 
-    pub(super) fn add_entry(
+    /// Appends a command to the leader's log as an entry of the current term and
+    /// returns the entry's index.
+    pub(super) fn append_command(
         &mut self,
         command: ControlCommand,
         out: &mut Vec<ReplicaAction>,
     ) -> u64 {
         let entry = LogEntry {
-            term: self.hard.term,
+            term: self.hard_state.term,
             index: self.log.last().index + 1,
             command,
         };
         let index = entry.index;
-        out.push(ReplicaAction::KeepEntry(entry.clone()));
+        out.push(ReplicaAction::PersistEntry(entry.clone()));
         self.push_entry(entry);
         index
     }
 
-    /// Adds an entry to the log; one that names the replicas is in force from
-    /// now on.
+    /// Appends an entry to the log. A membership entry takes effect at once,
+    /// before it is committed, as in Raft.
     pub(super) fn push_entry(&mut self, entry: LogEntry) {
-        let names_members = matches!(entry.command, ControlCommand::Members { .. });
+        let changes_members = matches!(entry.command, ControlCommand::Members { .. });
         self.log.push(entry);
-        if names_members {
+        if changes_members {
             self.find_members();
         }
     }
 
-    /// Applies what is committed, ends its proposals, and compacts the log.
+    /// Applies the committed entries, reports the results of their proposals, and
+    /// compacts the log. The result of a published change is deferred until a
+    /// quorum knows the commit.
     pub(super) fn apply_committed(&mut self, out: &mut Vec<ReplicaAction>) {
         let before = self.state.published_marks();
         let mut members_changed = false;
@@ -84,47 +93,50 @@
             };
             let outcome = self.state.apply(&entry.command);
             let term = entry.term;
-            let is_published = entry.command.is_published() && self.rules.known_commits;
+            let is_published =
+                entry.command.is_published() && self.safety_checks.awaits_known_commit;
             members_changed |= matches!(entry.command, ControlCommand::Members { .. });
             self.applied = index;
-            let Some((tag, proposed)) = self.proposals.remove(&index) else {
+            let Some((tag, proposal_term)) = self.pending_proposals.remove(&index) else {
                 continue;
             };
-            let is_own = proposed == term;
-            if is_own && is_published {
+            let is_own_proposal = proposal_term == term;
+            if is_own_proposal && is_published {
                 self.put_off_end(tag, outcome, index);
                 continue;
             }
-            let end = if is_own {
-                ProposalEnd::Done(outcome)
+            let result = if is_own_proposal {
+                ProposalResult::Done(outcome)
             } else {
-                ProposalEnd::Unknown
+                ProposalResult::Unknown
             };
-            out.push(ReplicaAction::End { tag, end });
+            out.push(ReplicaAction::Complete { tag, result });
         }
         let after = self.state.published_marks();
         if after != before || members_changed {
-            out.push(ReplicaAction::KeepCommit(self.applied));
-            out.push(ReplicaAction::Changed);
+            out.push(ReplicaAction::PersistCommitIndex(self.applied));
+            out.push(ReplicaAction::StateChanged);
         }
-        self.compact(out);
+        self.compact_log(out);
     }
 
-    fn compact(&mut self, out: &mut Vec<ReplicaAction>) {
+    /// Replaces the applied entries by a snapshot once they exceed
+    /// [`COMPACT_AFTER_ENTRIES`] or the log exceeds [`COMPACT_AFTER_BYTES`].
+    fn compact_log(&mut self, out: &mut Vec<ReplicaAction>) {
         let covered = self.applied - self.log.base().index;
-        let is_large = covered > 0 && self.log.bytes() > COMPACT_BYTES;
-        if (covered as usize) < COMPACT_AFTER && !is_large {
+        let is_large = covered > 0 && self.log.bytes() > COMPACT_AFTER_BYTES;
+        if (covered as usize) < COMPACT_AFTER_ENTRIES && !is_large {
             return;
         }
         let Some(term) = self.log.term_at(self.applied) else {
             return;
         };
-        let place = LogPlace {
+        let place = LogPosition {
             term,
             index: self.applied,
         };
         self.log.compact(place);
-        out.push(ReplicaAction::KeepSnapshot {
+        out.push(ReplicaAction::PersistSnapshot {
             place,
             state: Box::new(self.state.clone()),
             is_installed: false,
--- a/crates/core/src/process/control/replicate.rs
+++ b/crates/core/src/process/control/replicate.rs
@@ -1,37 +1,40 @@
-//! Replication: sending entries, taking them, and committing.
+//! Log replication: the leader sends entries and snapshots, followers append
+//! or install them, and the leader commits what a quorum holds.
 
 use std::time::Duration;
 
-use crate::process::control::log::{EntryLog, LogEntry, LogPlace, ReplicaId};
+use crate::process::control::log::{EntryLog, LogEntry, LogPosition, ReplicaId};
 use crate::process::control::message::{ReplicaAction, ReplicaMessage};
 use crate::process::control::replica::{PeerProgress, ReplicaMachine, ReplicaRole};
 use crate::process::control::state::ControlState;
 
-/// Most entries in one message.
-const BATCH: usize = 64;
-/// Most bytes of entries in one message, unless one alone has more.
-const BATCH_BYTES: usize = 512 * 1024;
-/// Heartbeats between two sends of the whole state to a follower: it may be
-/// down for long, and the state may be large.
-const SNAPSHOT_BEATS: u32 = 10;
+/// Maximum number of entries in one message.
+const MAX_BATCH_ENTRIES: usize = 64;
+/// Maximum size in bytes of the entries in one message. A single larger entry
+/// is sent alone.
+const MAX_BATCH_BYTES: usize = 512 * 1024;
+/// Number of heartbeat intervals between two snapshots sent to the same
+/// follower. The follower may be down for long and a snapshot may be large.
+const SNAPSHOT_RETRY_HEARTBEATS: u32 = 10;
 
 impl ReplicaMachine {
-    /// Sends every follower what it lacks, or a heartbeat.
-    pub(super) fn send_all(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
+    /// Sends every peer its missing entries or a snapshot, or else a heartbeat.
+    pub(super) fn replicate_to_all(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         self.heartbeat_at = now + self.timing.heartbeat;
         let ReplicaRole::Leader(peers) = &self.role else {
             return;
         };
         let peers: Vec<ReplicaId> = peers.keys().copied().collect();
         for peer in peers {
-            if !self.send_entries(peer, now, out) {
-                self.send_beat(peer, out);
+            if !self.replicate_to(peer, now, out) {
+                self.send_heartbeat(peer, out);
             }
         }
     }
 
-    /// Sends the replicas that have a vote what they lack, or a heartbeat.
-    pub(super) fn send_voters(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
+    /// Does the same as [`replicate_to_all`](Self::replicate_to_all) for the
+    /// voting replicas only, and leaves the heartbeat timer as it is.
+    pub(super) fn replicate_to_voters(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         let ReplicaRole::Leader(peers) = &self.role else {
             return;
         };
@@ -39,18 +42,19 @@
         let voters = peers.keys().filter(|peer| members.contains(peer));
         let voters: Vec<ReplicaId> = voters.copied().collect();
         for peer in voters {
-            if !self.send_entries(peer, now, out) {
-                self.send_beat(peer, out);
+            if !self.replicate_to(peer, now, out) {
+                self.send_heartbeat(peer, out);
             }
         }
     }
 
-    /// Sends a follower that waits for the whole state a heartbeat alone.
-    fn send_beat(&self, peer: ReplicaId, out: &mut Vec<ReplicaAction>) {
+    /// Sends a heartbeat without entries to a follower that waits for a
+    /// snapshot.
+    fn send_heartbeat(&self, peer: ReplicaId, out: &mut Vec<ReplicaAction>) {
         out.push(ReplicaAction::Send {
             to: peer,
             message: ReplicaMessage::Append {
-                term: self.hard.term,
+                term: self.hard_state.term,
                 previous: self.log.base(),
                 entries: Vec::new(),
                 commit: self.log.base().index,
@@ -59,8 +63,10 @@
         });
     }
 
-    /// Sends a follower what it lacks. Returns whether anything was sent.
-    fn send_entries(
+    /// Sends a follower its next entries (none if it has all), or a snapshot if
+    /// those entries are compacted away. Returns whether anything was sent;
+    /// nothing is sent while the next snapshot is not due.
+    fn replicate_to(
         &mut self,
         peer: ReplicaId,
         now: Duration,
@@ -72,34 +78,38 @@
         let Some(progress) = peers.get_mut(&peer) else {
             return false;
         };
-        let previous = progress.next - 1;
+        let previous = progress.next_index - 1;
         let Some(term) = self.log.term_at(previous) else {
-            if progress.snapshot_due > now {
+            if progress.next_snapshot_at > now {
                 return false;
             }
-            progress.snapshot_due = now + self.timing.heartbeat * SNAPSHOT_BEATS;
-            let place = LogPlace {
+            progress.next_snapshot_at = now + self.timing.heartbeat * SNAPSHOT_RETRY_HEARTBEATS;
+            let place = LogPosition {
                 term: self.log.term_at(self.applied).unwrap_or_default(),
                 index: self.applied,
             };
             out.push(ReplicaAction::Send {
                 to: peer,
                 message: ReplicaMessage::Snapshot {
-                    term: self.hard.term,
+                    term: self.hard_state.term,
                     place,
                     state: Box::new(self.state.clone()),
                 },
             });
             return true;
         };
-        let entries = self.log.from(progress.next, BATCH, BATCH_BYTES).to_vec();
-        // Optimistic: what is lost is found out by the next heartbeat.
-        progress.next += entries.len() as u64;
+        let entries = self
+            .log
+            .entries_from(progress.next_index, MAX_BATCH_ENTRIES, MAX_BATCH_BYTES)
+            .to_vec();
+        // Assumes that the entries arrive. If they are lost, the follower
+        // rejects the next heartbeat and names the index to resume from.
+        progress.next_index += entries.len() as u64;
         out.push(ReplicaAction::Send {
             to: peer,
             message: ReplicaMessage::Append {
-                term: self.hard.term,
-                previous: LogPlace {
+                term: self.hard_state.term,
+                previous: LogPosition {
                     term,
                     index: previous,
                 },
@@ -111,17 +121,19 @@
         true
     }
 
-    /// Takes a leader's entries, if they fit onto the log. Returns the last
-    /// index known to match, or where to try next.
-    pub(super) fn append(
+    /// Appends the leader's entries if this log contains `previous`, and
+    /// advances the commit index. Returns the last index known to match the
+    /// leader's log, or as an error the index that the leader should try as
+    /// `previous` next.
+    pub(super) fn append_entries(
         &mut self,
-        previous: LogPlace,
+        previous: LogPosition,
         entries: Vec<LogEntry>,
         commit: u64,
         out: &mut Vec<ReplicaAction>,
     ) -> Result<u64, u64> {
         if previous.index < self.log.base().index {
-            // What the snapshot includes is committed and matches.
+            // Entries included in the snapshot are committed and therefore match.
             return Ok(self.log.base().index);
         }
         if self.log.term_at(previous.index) != Some(previous.term) {
@@ -130,7 +142,7 @@
         }
         let last = previous.index + entries.len() as u64;
         for entry in entries {
-            self.take_entry(entry, out);
+            self.append_entry(entry, out);
         }
         if commit.min(last) > self.commit {
             self.commit = commit.min(last);
@@ -139,7 +151,9 @@
         Ok(last)
     }
 
-    fn take_entry(&mut self, entry: LogEntry, out: &mut Vec<ReplicaAction>) {
+    /// Appends one entry of the leader, unless the log has it already. First
+    /// removes conflicting entries of another term.
+    fn append_entry(&mut self, entry: LogEntry, out: &mut Vec<ReplicaAction>) {
         match self.log.term_at(entry.index) {
             Some(term) if term == entry.term => return,
             Some(_) => {
@@ -148,15 +162,16 @@
             }
             None => {}
         }
-        out.push(ReplicaAction::KeepEntry(entry.clone()));
+        out.push(ReplicaAction::PersistEntry(entry.clone()));
         self.push_entry(entry);
     }
 
-    /// Takes a leader's whole state, if it is ahead of the own one.
-    pub(super) fn install(
+    /// Installs a snapshot from the leader if it goes beyond this replica's
+    /// commit index, and acknowledges the snapshot in any case.
+    pub(super) fn install_snapshot(
         &mut self,
         from: ReplicaId,
-        place: LogPlace,
+        place: LogPosition,
         state: ControlState,
         out: &mut Vec<ReplicaAction>,
     ) {
@@ -166,17 +181,19 @@
             self.commit = place.index;
             self.applied = place.index;
             self.find_members();
-            out.push(ReplicaAction::KeepSnapshot {
+            out.push(ReplicaAction::PersistSnapshot {
                 place,
                 state: Box::new(self.state.clone()),
                 is_installed: true,
             });
-            out.push(ReplicaAction::Changed);
+            out.push(ReplicaAction::StateChanged);
         }
-        self.answer_append(from, Ok(place.index), 0, out);
+        self.send_append_reply(from, Ok(place.index), 0, out);
     }
 
-    pub(super) fn answer_append(
+    /// Answers an append or a snapshot with the index that the leader should
+    /// record: matched (`Ok`) or to try next (`Err`).
+    pub(super) fn send_append_reply(
         &self,
         to: ReplicaId,
         index: Result<u64, u64>,
@@ -188,7 +205,7 @@
         out.push(ReplicaAction::Send {
             to,
             message: ReplicaMessage::Appended {
-                term: self.hard.term,
+                term: self.hard_state.term,
                 fitted,
                 index,
                 round,
@@ -196,7 +213,10 @@
         });
     }
 
-    pub(super) fn appended(
+    /// Records a follower's answer in its progress, commits and confirms reads
+    /// where possible, and sends the follower the entries that are still
+    /// missing.
+    pub(super) fn handle_append_reply(
         &mut self,
         from: ReplicaId,
         term: u64,
@@ -205,10 +225,10 @@
         now: Duration,
         out: &mut Vec<ReplicaAction>,
     ) {
-        if term > self.hard.term {
+        if term > self.hard_state.term {
             return self.step_down(term, out);
         }
-        if term < self.hard.term {
+        if term < self.hard_state.term {
             return;
         }
         let last = self.log.last().index;
@@ -218,63 +238,67 @@
         let Some(progress) = peers.get_mut(&from) else {
             return;
         };
-        progress.heard = now;
+        progress.last_seen_at = now;
         progress.round = progress.round.max(round);
         match index {
             Ok(index) => {
-                progress.matched = progress.matched.max(index.min(last));
-                progress.next = progress.next.max(progress.matched + 1);
+                progress.match_index = progress.match_index.max(index.min(last));
+                progress.next_index = progress.next_index.max(progress.match_index + 1);
             }
-            Err(index) => progress.next = (index + 1).max(progress.matched + 1),
+            Err(index) => progress.next_index = (index + 1).max(progress.match_index + 1),
         }
-        let lacks = progress.next <= last;
+        let is_behind = progress.next_index <= last;
         if let Ok(index) = index {
             self.note_known(from, index, round);
         }
         self.advance_commit(out);
         self.confirm_reads(now, out);
-        if lacks {
-            self.send_entries(from, now, out);
+        if is_behind {
+            self.replicate_to(from, now, out);
         }
     }
 
-    /// Returns how far a quorum has come, if this replica leads: its own value
-    /// is `own`, `reach` reads a follower's.
-    pub(super) fn quorum_reach(
+    /// Returns the highest value that a quorum has reached, or `None` if this
+    /// replica does not lead. `local_value` is the value of this replica;
+    /// `peer_value` reads the value of a follower.
+    pub(super) fn quorum_value(
         &self,
-        own: u64,
-        reach: impl Fn(&PeerProgress) -> u64,
+        local_value: u64,
+        peer_value: impl Fn(&PeerProgress) -> u64,
     ) -> Option<u64> {
         let ReplicaRole::Leader(peers) = &self.role else {
             return None;
         };
-        let counted = peers
-            .iter()
-            .filter(|(peer, _)| !self.rules.learners_apart || self.members.contains(peer));
-        let mut values: Vec<u64> = counted.map(|(_, peer)| reach(peer)).collect();
+        let counted = peers.iter().filter(|(peer, _)| {
+            !self.safety_checks.excludes_learners || self.members.contains(peer)
+        });
+        let mut values: Vec<u64> = counted.map(|(_, peer)| peer_value(peer)).collect();
         if self.is_voter() {
-            values.push(own);
+            values.push(local_value);
         }
         values.sort_unstable();
-        let place = values.len().checked_sub(self.quorum())?;
-        Some(values[place])
+        let position = values.len().checked_sub(self.quorum_size())?;
+        Some(values[position])
     }
 
-    /// Commits what a quorum holds, and ends what a quorum knows to be committed.
+    /// Commits the entries that a quorum holds, and reports the proposals whose
+    /// commit a quorum knows. A leader that was removed from the group steps
+    /// down once the removal is committed.
     pub(super) fn advance_commit(&mut self, out: &mut Vec<ReplicaAction>) {
         let last = self.log.last().index;
-        let Some(index) = self.quorum_reach(last, |peer| peer.matched) else {
+        let Some(index) = self.quorum_value(last, |peer| peer.match_index) else {
             return;
         };
-        let is_own = self.log.term_at(index) == Some(self.hard.term);
-        if index > self.commit && (is_own || !self.rules.current_term_only) {
+        let is_current_term = self.log.term_at(index) == Some(self.hard_state.term);
+        if index > self.commit && (is_current_term || !self.safety_checks.commits_current_term_only)
+        {
             self.commit = index;
             self.apply_committed(out);
         }
         self.end_known(out);
-        if !self.is_voter() && self.records_index <= self.commit {
-            // It was taken out of the group, and that is decided.
-            self.step_down(self.hard.term, out);
+        if !self.is_voter() && self.members_index <= self.commit {
+            // The entry that removes this leader from the group is committed.
+            self.step_down(self.hard_state.term, out);
         }
     }
 }
