--- a/crates/core/src/process/control/apply.rs
+++ b/crates/core/src/process/control/apply.rs
@@ -69,13 +69,13 @@
         let names_members = matches!(entry.command, ControlCommand::Members { .. });
         self.log.push(entry);
         if names_members {
-            self.find_members();
+            self.reload_members();
         }
     }
 
     /// Applies what is committed, ends its proposals, and compacts the log.
     pub(super) fn apply_committed(&mut self, out: &mut Vec<ReplicaAction>) {
-        let before = self.state.published_marks();
+        let before = self.state.published_revisions();
         let mut members_changed = false;
         while self.applied < self.commit {
             let index = self.applied + 1;
@@ -84,15 +84,16 @@
             };
             let outcome = self.state.apply(&entry.command);
             let term = entry.term;
-            let is_published = entry.command.is_published() && self.rules.known_commits;
+            let changes_published_state =
+                entry.command.changes_published_state() && self.rules.known_commits;
             members_changed |= matches!(entry.command, ControlCommand::Members { .. });
             self.applied = index;
             let Some((tag, proposed)) = self.proposals.remove(&index) else {
                 continue;
             };
             let is_own = proposed == term;
-            if is_own && is_published {
-                self.put_off_end(tag, outcome, index);
+            if is_own && changes_published_state {
+                self.defer_result(tag, outcome, index);
                 continue;
             }
             let end = if is_own {
@@ -102,7 +103,7 @@
             };
             out.push(ReplicaAction::End { tag, end });
         }
-        let after = self.state.published_marks();
+        let after = self.state.published_revisions();
         if after != before || members_changed {
             out.push(ReplicaAction::KeepCommit(self.applied));
             out.push(ReplicaAction::Changed);
--- a/crates/core/src/process/control/elect.rs
+++ b/crates/core/src/process/control/elect.rs
@@ -197,7 +197,7 @@
             self.step_down(self.hard.term, out);
             return self.reset_election(now);
         }
-        self.mend_group(now, out);
+        self.reconcile_members(now, out);
     }
 
     /// Returns what a leader knows of a replica at first.
--- a/crates/core/src/process/control/evacuation.rs
+++ b/crates/core/src/process/control/evacuation.rs
@@ -13,7 +13,7 @@
 
 /// Most failure domains that are remembered. A deployment has a few; the bound
 /// keeps an operator's slip in a script from filling the disk.
-pub const MOST_DOMAINS: usize = 1024;
+pub const MAX_DOMAINS: usize = 1024;
 
 /// An order on whether a failure domain is in use.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -45,20 +45,20 @@
 
 /// All failure domains that there was ever an order on.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EvacuationBook {
+pub struct EvacuationRegistry {
     /// Grows with each order.
     revision: u64,
     domains: BTreeMap<Box<str>, DomainRecord>,
 }
 
-impl EvacuationBook {
+impl EvacuationRegistry {
     /// Takes an order.
     pub fn apply(&mut self, change: &EvacuationChange) -> EvacuationOutcome {
         let known = self.revision_of(&change.domain);
         if known != change.base {
             return EvacuationOutcome::Conflict(known);
         }
-        if known == 0 && self.domains.len() >= MOST_DOMAINS {
+        if known == 0 && self.domains.len() >= MAX_DOMAINS {
             return EvacuationOutcome::Full;
         }
         self.revision += 1;
--- a/crates/core/src/process/control/fence.rs
+++ b/crates/core/src/process/control/fence.rs
@@ -9,33 +9,33 @@
 use serde::{Deserialize, Serialize};
 
 /// Most claims kept.
-pub const KEPT_CLAIMS: usize = 50_000;
+pub const MAX_CLAIMS: usize = 50_000;
 /// Time after which a claim may be forgotten, in milliseconds: a day.
-pub const CLAIM_TIME_MS: u64 = 24 * 3600 * 1000;
+pub const CLAIM_RETENTION_MS: u64 = 24 * 3600 * 1000;
 /// Time after which a claim without an outcome counts as lost with its
 /// instance, in milliseconds. Longer than any deadline.
-pub const CLAIM_LOST_MS: u64 = 620_000;
+pub const CLAIM_LOST_AFTER_MS: u64 = 620_000;
 /// Largest outcome kept, in bytes; of a larger one only the fact is kept.
-pub const KEPT_OUTCOME_BYTES: usize = 4 * 1024;
+pub const MAX_RESULT_BYTES: usize = 4 * 1024;
 /// Largest sum of all outcomes kept, in bytes. The whole state must fit into one
 /// message to a replica that lags.
-pub const KEPT_SUM_BYTES: usize = 8 * 1024 * 1024;
+pub const MAX_TOTAL_RESULT_BYTES: usize = 8 * 1024 * 1024;
 
 /// What became of a claimed request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ClaimEnd {
+pub enum ExecutionResult {
     /// It ran; this is what the caller got, unless it was too large to keep.
     Ran(Option<String>),
     /// Whether it ran is not known.
     Unknown,
 }
 
-impl ClaimEnd {
+impl ExecutionResult {
     /// Returns about how many bytes the end takes.
     pub fn bytes(&self) -> usize {
         match self {
-            ClaimEnd::Ran(answer) => answer.as_ref().map_or(0, String::len),
-            ClaimEnd::Unknown => 0,
+            ExecutionResult::Ran(answer) => answer.as_ref().map_or(0, String::len),
+            ExecutionResult::Unknown => 0,
         }
     }
 }
@@ -48,7 +48,7 @@
     /// Somebody else claimed it and has not ended.
     InProgress,
     /// It ended before.
-    Ended(ClaimEnd),
+    Ended(ExecutionResult),
     /// The key was claimed for a request of other content.
     OtherContent,
     /// No claim can be kept; the request must not run.
@@ -74,12 +74,13 @@
     digest: u128,
     claimant: u64,
     at_ms: u64,
-    end: Option<ClaimEnd>,
+    #[serde(rename = "end")]
+    result: Option<ExecutionResult>,
 }
 
 /// All claims, as every replica holds them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClaimBook {
+pub struct ClaimRegistry {
     now_ms: u64,
     claims: BTreeMap<String, ClaimRecord>,
     /// Keys in the order of their claims, with the claimant, to forget the
@@ -89,22 +90,22 @@
     bytes: usize,
 }
 
-impl ClaimBook {
+impl ClaimRegistry {
     /// Takes a claim.
     pub fn claim(&mut self, request: &ClaimRequest) -> ClaimOutcome {
         self.now_ms = self.now_ms.max(request.at_ms);
-        self.forget_old();
+        self.evict_expired();
         if let Some(record) = self.claims.get(&request.key) {
-            return self.standing(record, request);
+            return self.evaluate_existing(record, request);
         }
-        if self.claims.len() >= KEPT_CLAIMS {
+        if self.claims.len() >= MAX_CLAIMS {
             return ClaimOutcome::Full;
         }
         let record = ClaimRecord {
             digest: request.digest,
             claimant: request.claimant,
             at_ms: self.now_ms,
-            end: None,
+            result: None,
         };
         self.claims.insert(request.key.clone(), record);
         let place = (request.key.clone(), request.claimant);
@@ -114,18 +115,18 @@
 
     /// Ends a claim; `None` says that the request is known not to have run,
     /// which gives the key free. Only the claimant's word counts.
-    pub fn end(&mut self, key: &str, claimant: u64, end: Option<ClaimEnd>) {
+    pub fn end_claim(&mut self, key: &str, claimant: u64, result: Option<ExecutionResult>) {
         let Some(record) = self.claims.get_mut(key) else {
             return;
         };
-        if record.claimant != claimant || record.end.is_some() {
+        if record.claimant != claimant || record.result.is_some() {
             return;
         }
-        match end {
-            Some(end) => {
-                let end = bounded(end, KEPT_SUM_BYTES - self.bytes);
-                self.bytes += kept_bytes(&end);
-                record.end = Some(end);
+        match result {
+            Some(result) => {
+                let result = limit_size(result, MAX_TOTAL_RESULT_BYTES - self.bytes);
+                self.bytes += stored_bytes(&result);
+                record.result = Some(result);
             }
             None => {
                 self.claims.remove(key);
@@ -143,49 +144,50 @@
         self.claims.is_empty()
     }
 
-    fn standing(&self, record: &ClaimRecord, request: &ClaimRequest) -> ClaimOutcome {
+    fn evaluate_existing(&self, record: &ClaimRecord, request: &ClaimRequest) -> ClaimOutcome {
         if record.digest != request.digest {
             return ClaimOutcome::OtherContent;
         }
-        match &record.end {
-            Some(end) => ClaimOutcome::Ended(end.clone()),
+        match &record.result {
+            Some(result) => ClaimOutcome::Ended(result.clone()),
             // The same claim, sent twice on its way to the leader.
             None if record.claimant == request.claimant => ClaimOutcome::Granted,
-            None if self.now_ms > record.at_ms + CLAIM_LOST_MS => {
-                ClaimOutcome::Ended(ClaimEnd::Unknown)
+            None if self.now_ms > record.at_ms + CLAIM_LOST_AFTER_MS => {
+                ClaimOutcome::Ended(ExecutionResult::Unknown)
             }
             None => ClaimOutcome::InProgress,
         }
     }
 
-    fn forget_old(&mut self) {
+    fn evict_expired(&mut self) {
         while let Some((key, claimant)) = self.order.front() {
             let record = self.claims.get(key);
             let is_current = record.is_some_and(|record| record.claimant == *claimant);
-            let is_old = record.is_some_and(|record| self.now_ms > record.at_ms + CLAIM_TIME_MS);
+            let is_old =
+                record.is_some_and(|record| self.now_ms > record.at_ms + CLAIM_RETENTION_MS);
             if is_current && !is_old {
                 return;
             }
             if is_current {
                 let forgotten = self.claims.remove(key);
-                let end = forgotten.and_then(|record| record.end);
-                self.bytes -= end.as_ref().map_or(0, kept_bytes);
+                let result = forgotten.and_then(|record| record.result);
+                self.bytes -= result.as_ref().map_or(0, stored_bytes);
             }
             self.order.pop_front();
         }
     }
 }
 
-fn bounded(end: ClaimEnd, room: usize) -> ClaimEnd {
-    if kept_bytes(&end) > room.min(KEPT_OUTCOME_BYTES) {
-        return ClaimEnd::Ran(None);
+fn limit_size(result: ExecutionResult, free_bytes: usize) -> ExecutionResult {
+    if stored_bytes(&result) > free_bytes.min(MAX_RESULT_BYTES) {
+        return ExecutionResult::Ran(None);
     }
-    end
+    result
 }
 
-fn kept_bytes(end: &ClaimEnd) -> usize {
-    match end {
-        ClaimEnd::Ran(Some(text)) => text.len(),
-        ClaimEnd::Ran(None) | ClaimEnd::Unknown => 0,
+fn stored_bytes(result: &ExecutionResult) -> usize {
+    match result {
+        ExecutionResult::Ran(Some(text)) => text.len(),
+        ExecutionResult::Ran(None) | ExecutionResult::Unknown => 0,
     }
 }
--- a/crates/core/src/process/control/publish.rs
+++ b/crates/core/src/process/control/publish.rs
@@ -16,7 +16,7 @@
 
 /// The end of a proposal that waits until a quorum knows of its commit.
 #[derive(Debug)]
-pub(super) struct PendingEnd {
+pub(super) struct PendingResult {
     /// The driver's name for it.
     pub(super) tag: u64,
     outcome: CommandOutcome,
@@ -25,21 +25,21 @@
     /// The round of messages that tell of its commit.
     round: u64,
     /// Followers that know.
-    knowing: Vec<ReplicaId>,
+    acknowledged_by: Vec<ReplicaId>,
 }
 
 impl ReplicaMachine {
     /// Puts off the end of a committed proposal, and tells followers of the
     /// commit at once: with the next heartbeat it would take up to that long.
-    pub(super) fn put_off_end(&mut self, tag: u64, outcome: CommandOutcome, index: u64) {
+    pub(super) fn defer_result(&mut self, tag: u64, outcome: CommandOutcome, index: u64) {
         self.round += 1;
         self.heartbeat_at = Duration::ZERO;
-        self.ends.push(PendingEnd {
+        self.ends.push(PendingResult {
             tag,
             outcome,
             index,
             round: self.round,
-            knowing: Vec::new(),
+            acknowledged_by: Vec::new(),
         });
     }
 
@@ -48,26 +48,34 @@
     ///
     /// What was sent in that round told of the commit, so that a follower with
     /// the entry has kept the commit before it answered.
-    pub(super) fn note_known(&mut self, from: ReplicaId, index: u64, round: u64) {
+    pub(super) fn record_commit_acknowledgement(
+        &mut self,
+        from: ReplicaId,
+        index: u64,
+        round: u64,
+    ) {
         for end in &mut self.ends {
-            let knows = round >= end.round && index >= end.index;
-            if knows && !end.knowing.contains(&from) {
-                end.knowing.push(from);
+            let is_acknowledged = round >= end.round && index >= end.index;
+            if is_acknowledged && !end.acknowledged_by.contains(&from) {
+                end.acknowledged_by.push(from);
             }
         }
     }
 
     /// Ends the proposals whose commit a quorum knows.
-    pub(super) fn end_known(&mut self, out: &mut Vec<ReplicaAction>) {
-        let own = usize::from(self.is_voter());
+    pub(super) fn complete_acknowledged(&mut self, out: &mut Vec<ReplicaAction>) {
+        let local_acknowledgement = usize::from(self.is_voter());
         let quorum = self.quorum();
         let members = &self.members;
-        let is_known = |end: &mut PendingEnd| {
-            let knowing = end.knowing.iter().filter(|peer| members.contains(peer));
-            knowing.count() + own >= quorum
+        let is_acknowledged_by_quorum = |end: &mut PendingResult| {
+            let acknowledged_by = end
+                .acknowledged_by
+                .iter()
+                .filter(|peer| members.contains(peer));
+            acknowledged_by.count() + local_acknowledgement >= quorum
         };
-        let known = self.ends.extract_if(.., is_known);
-        out.extend(known.map(|end| ReplicaAction::End {
+        let completed = self.ends.extract_if(.., is_acknowledged_by_quorum);
+        out.extend(completed.map(|end| ReplicaAction::End {
             tag: end.tag,
             end: ProposalEnd::Done(end.outcome),
         }));
--- a/crates/core/src/process/control/replica.rs
+++ b/crates/core/src/process/control/replica.rs
@@ -10,7 +10,7 @@
 use crate::process::control::message::{
     ReplicaAction, ReplicaInput, ReplicaMessage, ReplicaTiming,
 };
-use crate::process::control::publish::PendingEnd;
+use crate::process::control::publish::PendingResult;
 use crate::process::control::read::PendingRead;
 use crate::process::control::state::{ControlState, MemberRecord};
 
@@ -126,7 +126,7 @@
     pub(super) learners: BTreeMap<ReplicaId, MemberRecord>,
     pub(super) round: u64,
     pub(super) reads: Vec<PendingRead>,
-    pub(super) ends: Vec<PendingEnd>,
+    pub(super) ends: Vec<PendingResult>,
     pub(super) timing: ReplicaTiming,
     pub(super) rules: ReplicaRules,
     pub(super) rng: SmallRng,
@@ -182,7 +182,7 @@
         replica.election_at = now + replica.timing.election.mul_f64(wait);
         replica.commit = start.commit.clamp(place.index, replica.log.last().index);
         replica.replay();
-        replica.find_members();
+        replica.reload_members();
         replica
     }
 
@@ -204,9 +204,9 @@
             ReplicaInput::Message { from, message } => self.take(from, message, now, out),
             ReplicaInput::Propose { tag, command } => self.propose(tag, command, now, out),
             ReplicaInput::Read { tag } => self.read(tag, now, out),
-            ReplicaInput::Learner(record) => self.take_learner(record, now),
-            ReplicaInput::Found(record) => self.found(record, out),
-            ReplicaInput::HandOver => self.hand_over(now, out),
+            ReplicaInput::Learner(record) => self.add_learner(record, now),
+            ReplicaInput::Found(record) => self.bootstrap(record, out),
+            ReplicaInput::HandOver => self.transfer_leadership(now, out),
         }
         self.run_timers(now, out);
     }
--- a/crates/core/src/process/control/replicate.rs
+++ b/crates/core/src/process/control/replicate.rs
@@ -144,7 +144,7 @@
             Some(term) if term == entry.term => return,
             Some(_) => {
                 self.log.truncate(entry.index);
-                self.find_members();
+                self.reload_members();
             }
             None => {}
         }
@@ -165,7 +165,7 @@
             self.state = state;
             self.commit = place.index;
             self.applied = place.index;
-            self.find_members();
+            self.reload_members();
             out.push(ReplicaAction::KeepSnapshot {
                 place,
                 state: Box::new(self.state.clone()),
@@ -229,7 +229,7 @@
         }
         let lacks = progress.next <= last;
         if let Ok(index) = index {
-            self.note_known(from, index, round);
+            self.record_commit_acknowledgement(from, index, round);
         }
         self.advance_commit(out);
         self.confirm_reads(now, out);
@@ -271,7 +271,7 @@
             self.commit = index;
             self.apply_committed(out);
         }
-        self.end_known(out);
+        self.complete_acknowledged(out);
         if !self.is_voter() && self.records_index <= self.commit {
             // It was taken out of the group, and that is decided.
             self.step_down(self.hard.term, out);
--- a/crates/core/src/process/control/rollout.rs
+++ b/crates/core/src/process/control/rollout.rs
@@ -2,17 +2,17 @@
 //!
 //! One roll-out a service at a time. An order that is sent again finds its
 //! roll-out and changes nothing. The control group's leader turns a roll-out to
-//! its next state by what entries tell it ([`crate::process::rollout::judge`]).
+//! its next state by what entries tell it ([`crate::process::rollout::evaluator`]).
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
 /// Most services whose last roll-out is remembered.
-pub const MOST_ROLLOUTS: usize = 4096;
+pub const MAX_ROLLOUTS: usize = 4096;
 /// Time in which an order may be sent again after its roll-out has ended, in
 /// milliseconds. Later it is a new one.
-const REPEAT_MS: u64 = 20_000;
+const RESEND_WINDOW_MS: u64 = 20_000;
 
 /// How far a roll-out is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -34,7 +34,7 @@
     }
 
     /// Tells whether a roll-out in this state may turn to `next`.
-    fn may_turn(self, next: RolloutState) -> bool {
+    fn can_transition_to(self, next: RolloutState) -> bool {
         matches!(
             (self, next),
             (RolloutState::Trying, RolloutState::Moving)
@@ -99,19 +99,20 @@
     /// When it was ordered, in Unix milliseconds.
     pub ordered_ms: u64,
     /// When it turned to its state, in Unix milliseconds.
-    pub turned_ms: u64,
+    #[serde(rename = "turned_ms")]
+    pub state_since_ms: u64,
     /// Time that it may take, in milliseconds.
     pub duration_ms: u64,
 }
 
 /// The last roll-outs of all services.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RolloutBook {
+pub struct RolloutRegistry {
     revision: u64,
     services: BTreeMap<Box<str>, RolloutRecord>,
 }
 
-impl RolloutBook {
+impl RolloutRegistry {
     /// Takes a change.
     pub fn apply(&mut self, change: &RolloutChange) -> RolloutOutcome {
         match change {
@@ -126,7 +127,7 @@
                 order,
                 state,
                 at_ms,
-            } => self.turn(service, *order, *state, *at_ms),
+            } => self.transition(service, *order, *state, *at_ms),
         }
     }
 
@@ -137,16 +138,16 @@
         duration_ms: u64,
         at_ms: u64,
     ) -> RolloutOutcome {
-        if let Some(known) = self.services.get(service) {
-            let is_same = *known.target == *target;
-            if known.state.is_open() && !is_same {
-                return RolloutOutcome::Busy(known.target.clone());
+        if let Some(existing) = self.services.get(service) {
+            let is_same = *existing.target == *target;
+            if existing.state.is_open() && !is_same {
+                return RolloutOutcome::Busy(existing.target.clone());
             }
-            let is_recent = at_ms < known.turned_ms.saturating_add(REPEAT_MS);
-            if is_same && (known.state != RolloutState::RolledBack || is_recent) {
-                return RolloutOutcome::Stands(known.order);
+            let is_recent = at_ms < existing.state_since_ms.saturating_add(RESEND_WINDOW_MS);
+            if is_same && (existing.state != RolloutState::RolledBack || is_recent) {
+                return RolloutOutcome::Stands(existing.order);
             }
-        } else if self.services.len() >= MOST_ROLLOUTS {
+        } else if self.services.len() >= MAX_ROLLOUTS {
             return RolloutOutcome::Full;
         }
         self.revision += 1;
@@ -155,30 +156,30 @@
             state: RolloutState::Trying,
             order: self.revision,
             ordered_ms: at_ms,
-            turned_ms: at_ms,
+            state_since_ms: at_ms,
             duration_ms,
         };
         self.services.insert(service.into(), record);
         RolloutOutcome::Stands(self.revision)
     }
 
-    fn turn(
+    fn transition(
         &mut self,
         service: &str,
         order: u64,
         state: RolloutState,
         at_ms: u64,
     ) -> RolloutOutcome {
-        let known = self.services.get_mut(service);
-        let Some(known) = known.filter(|known| known.order == order) else {
+        let existing = self.services.get_mut(service);
+        let Some(existing) = existing.filter(|existing| existing.order == order) else {
             return RolloutOutcome::Passed;
         };
-        if !known.state.may_turn(state) {
+        if !existing.state.can_transition_to(state) {
             return RolloutOutcome::Passed;
         }
         self.revision += 1;
-        known.state = state;
-        known.turned_ms = at_ms;
+        existing.state = state;
+        existing.state_since_ms = at_ms;
         RolloutOutcome::Stands(order)
     }
 
--- a/crates/core/src/process/control/state.rs
+++ b/crates/core/src/process/control/state.rs
@@ -6,18 +6,20 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::process::control::evacuation::{EvacuationBook, EvacuationChange, EvacuationOutcome};
-use crate::process::control::fence::{ClaimBook, ClaimEnd, ClaimOutcome, ClaimRequest};
+use crate::process::control::evacuation::{
+    EvacuationChange, EvacuationOutcome, EvacuationRegistry,
+};
+use crate::process::control::fence::{ClaimOutcome, ClaimRegistry, ClaimRequest, ExecutionResult};
 use crate::process::control::log::ReplicaId;
-use crate::process::control::rollout::{RolloutBook, RolloutChange, RolloutOutcome};
+use crate::process::control::rollout::{RolloutChange, RolloutOutcome, RolloutRegistry};
 
 /// Outcomes of changes that are kept, so that a resent change gets its first
 /// outcome. At 410 changes a day this is more than three weeks.
-pub const KEPT_OUTCOMES: usize = 10_000;
+pub const MAX_OUTCOMES: usize = 10_000;
 /// Versions whose text is kept for the history.
-pub const KEPT_VERSIONS: usize = 20;
+pub const MAX_VERSIONS: usize = 20;
 /// Bytes that a command takes besides its texts, about.
-const COMMAND_BYTES: usize = 64;
+const COMMAND_OVERHEAD_BYTES: usize = 64;
 
 /// What a log entry does.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -61,7 +63,7 @@
         /// Who claimed it.
         claimant: u64,
         /// What became of the request.
-        end: Option<ClaimEnd>,
+        end: Option<ExecutionResult>,
     },
     /// A failure domain is taken out of use, or back into use.
     Evacuate(EvacuationChange),
@@ -71,7 +73,7 @@
 
 impl ControlCommand {
     /// Tells whether the command is for something that instances put in force.
-    pub fn is_published(&self) -> bool {
+    pub fn changes_published_state(&self) -> bool {
         matches!(
             self,
             ControlCommand::Change { .. }
@@ -93,7 +95,7 @@
             }) => service.len() + target.len(),
             _ => 0,
         };
-        COMMAND_BYTES + text
+        COMMAND_OVERHEAD_BYTES + text
     }
 }
 
@@ -165,13 +167,13 @@
     versions: VecDeque<TableVersion>,
     outcomes: BTreeMap<String, ChangeOutcome>,
     order: VecDeque<String>,
-    claims: ClaimBook,
+    claims: ClaimRegistry,
     route_version: u64,
     route_text: Vec<u8>,
     members: Vec<MemberRecord>,
     is_founded: bool,
-    evacuations: EvacuationBook,
-    rollouts: RolloutBook,
+    evacuations: EvacuationRegistry,
+    rollouts: RolloutRegistry,
 }
 
 impl ControlState {
@@ -197,7 +199,7 @@
             }
             ControlCommand::Claim(request) => CommandOutcome::Claim(self.claims.claim(request)),
             ControlCommand::EndClaim { key, claimant, end } => {
-                self.claims.end(key, *claimant, end.clone());
+                self.claims.end_claim(key, *claimant, end.clone());
                 CommandOutcome::Done
             }
             ControlCommand::Evacuate(change) => {
@@ -240,18 +242,18 @@
     }
 
     /// Returns the failure domains out of use.
-    pub fn evacuations(&self) -> &EvacuationBook {
+    pub fn evacuations(&self) -> &EvacuationRegistry {
         &self.evacuations
     }
 
     /// Returns the last roll-outs of the services.
-    pub fn rollouts(&self) -> &RolloutBook {
+    pub fn rollouts(&self) -> &RolloutRegistry {
         &self.rollouts
     }
 
     /// Returns how far all that the group publishes has come: the table, the
     /// route table, the failure domains out of use, and the roll-outs.
-    pub(super) fn published_marks(&self) -> [u64; 4] {
+    pub(super) fn published_revisions(&self) -> [u64; 4] {
         [
             self.version,
             self.route_version,
@@ -261,7 +263,7 @@
     }
 
     /// Returns the claims.
-    pub fn claims(&self) -> &ClaimBook {
+    pub fn claims(&self) -> &ClaimRegistry {
         &self.claims
     }
 
@@ -271,7 +273,7 @@
         }
         let outcome = if base == self.version {
             self.version += 1;
-            self.keep_version(TableVersion {
+            self.push_version(TableVersion {
                 version: self.version,
                 change: change.to_string(),
                 note: note.to_string(),
@@ -281,7 +283,7 @@
         } else {
             ChangeOutcome::Conflict(self.version)
         };
-        self.keep_outcome(change, outcome);
+        self.record_outcome(change, outcome);
         outcome
     }
 
@@ -305,17 +307,17 @@
         self.outcomes.len()
     }
 
-    fn keep_version(&mut self, version: TableVersion) {
+    fn push_version(&mut self, version: TableVersion) {
         self.versions.push_back(version);
-        if self.versions.len() > KEPT_VERSIONS {
+        if self.versions.len() > MAX_VERSIONS {
             self.versions.pop_front();
         }
     }
 
-    fn keep_outcome(&mut self, change: &str, outcome: ChangeOutcome) {
+    fn record_outcome(&mut self, change: &str, outcome: ChangeOutcome) {
         self.outcomes.insert(change.to_string(), outcome);
         self.order.push_back(change.to_string());
-        if self.order.len() > KEPT_OUTCOMES {
+        if self.order.len() > MAX_OUTCOMES {
             if let Some(oldest) = self.order.pop_front() {
                 self.outcomes.remove(&oldest);
             }
--- a/crates/core/src/process/forward/version.rs
+++ b/crates/core/src/process/forward/version.rs
@@ -9,8 +9,8 @@
 use crate::process::forward::answer::ForwardAction;
 use crate::process::forward::directory::ServerStanding;
 use crate::process::forward::machine::ForwardMachine;
-use crate::process::rollout::share::CanaryShare;
-use crate::process::rollout::{RolloutView, VersionTally};
+use crate::process::rollout::share::CanarySampler;
+use crate::process::rollout::{RolloutView, VersionOutcomes};
 
 /// Time without a word of the control group after which an entry tries no new
 /// version: it would not hear that the version is bad.
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub(super) struct UpstreamRollout {
     view: RolloutView,
-    share: CanaryShare,
+    share: CanarySampler,
     /// Counts since they were last told, by route and whether it is the new
     /// version.
     counts: BTreeMap<(usize, bool), AnswerCount>,
@@ -77,7 +77,7 @@
             let former = self.upstreams[upstream].rollout.take();
             let share = match former {
                 Some(former) if former.view.order == view.order => former.share,
-                _ => CanaryShare::new(self.options.canary_bound, self.entries, &mut self.rng),
+                _ => CanarySampler::new(self.options.canary_bound, self.entries, &mut self.rng),
             };
             let is_completed = view.state == RolloutState::Completed;
             self.upstreams[upstream].rollout = Some(UpstreamRollout {
@@ -125,7 +125,8 @@
         };
         match rollout.view.state {
             RolloutState::Trying => {
-                let tries = is_heard && !is_repeat && rollout.share.draw(&mut self.rng);
+                let tries =
+                    is_heard && !is_repeat && rollout.share.should_try_new_version(&mut self.rng);
                 if tries {
                     VersionWish::NewFirst
                 } else {
@@ -165,7 +166,7 @@
     }
 
     /// Takes the counts since the last time, to be told.
-    pub fn take_tallies(&mut self) -> Vec<VersionTally> {
+    pub fn take_tallies(&mut self) -> Vec<VersionOutcomes> {
         let mut tallies = Vec::new();
         for (_, upstream) in self.upstreams.iter_mut() {
             let Some(rollout) = &mut upstream.rollout else {
@@ -174,7 +175,7 @@
             for ((timing, is_target), count) in std::mem::take(&mut rollout.counts) {
                 let mut names = self.timing_names.iter();
                 let route = names.find(|(_, place)| **place == timing);
-                tallies.push(VersionTally {
+                tallies.push(VersionOutcomes {
                     order: rollout.view.order,
                     service: rollout.view.service.clone(),
                     route: route.map(|(route, _)| route.clone()).unwrap_or_default(),
--- a/crates/core/src/process/rollout/mod.rs
+++ b/crates/core/src/process/rollout/mod.rs
@@ -1,10 +1,10 @@
 //! Moving a service's requests to a new version, by evidence.
 //!
-//! Entries send a few requests to the new version ([`share::CanaryShare`]) and
-//! tell the control group how both versions answered ([`VersionTally`]); its
-//! leader decides by that ([`judge::RolloutJudge`]).
+//! Entries send a few requests to the new version ([`share::CanarySampler`]) and
+//! tell the control group how both versions answered ([`VersionOutcomes`]); its
+//! leader decides by that ([`evaluator::RolloutEvaluator`]).
 
-pub mod judge;
+pub mod evaluator;
 pub mod share;
 
 use serde::{Deserialize, Serialize};
@@ -27,7 +27,7 @@
 /// How one version of a service answered the requests of one route at an entry,
 /// since it last told.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct VersionTally {
+pub struct VersionOutcomes {
     /// Revision of the roll-out's order.
     pub order: u64,
     /// The service.
--- a/crates/core/src/process/rollout/share.rs
+++ b/crates/core/src/process/rollout/share.rs
@@ -7,11 +7,11 @@
 use rand::Rng;
 
 /// Part of the bound's share that requests draw.
-const SHARE_PART: f64 = 0.75;
+const SHARE_USE: f64 = 0.75;
 /// Part of the bound's slack that all entries together try first.
-const SLACK_PART: f64 = 0.4;
+const SLACK_USE: f64 = 0.4;
 /// Part of the first requests that try the new version while the slack lasts.
-const FIRST_PART: f64 = 0.5;
+const SLACK_DRAW_PROBABILITY: f64 = 0.5;
 
 /// The bound on requests to a new version that is not proved good, over all
 /// entries, as the operator sets it.
@@ -34,30 +34,30 @@
 
 /// An entry's part of the bound, in one roll-out.
 #[derive(Debug, Clone)]
-pub struct CanaryShare {
-    share: f64,
-    first: u32,
+pub struct CanarySampler {
+    sampling_probability: f64,
+    slack_left: u32,
 }
 
-impl CanaryShare {
+impl CanarySampler {
     /// Returns the part of one of `entries`. What is no whole request falls to
     /// some of them, by chance.
-    pub fn new<R: Rng>(bound: CanaryBound, entries: u32, rng: &mut R) -> CanaryShare {
-        let first = bound.slack * SLACK_PART / f64::from(entries.max(1));
-        let whole = first.floor();
-        let rest = u32::from(rng.random::<f64>() < first - whole);
-        CanaryShare {
-            share: bound.share * SHARE_PART,
-            first: whole as u32 + rest,
+    pub fn new<R: Rng>(bound: CanaryBound, entries: u32, rng: &mut R) -> CanarySampler {
+        let slack_requests = bound.slack * SLACK_USE / f64::from(entries.max(1));
+        let whole_requests = slack_requests.floor();
+        let extra_request = u32::from(rng.random::<f64>() < slack_requests - whole_requests);
+        CanarySampler {
+            sampling_probability: bound.share * SHARE_USE,
+            slack_left: whole_requests as u32 + extra_request,
         }
     }
 
     /// Tells whether the next request tries the new version.
-    pub fn draw<R: Rng>(&mut self, rng: &mut R) -> bool {
-        if self.first > 0 && rng.random::<f64>() < FIRST_PART {
-            self.first -= 1;
+    pub fn should_try_new_version<R: Rng>(&mut self, rng: &mut R) -> bool {
+        if self.slack_left > 0 && rng.random::<f64>() < SLACK_DRAW_PROBABILITY {
+            self.slack_left -= 1;
             return true;
         }
-        rng.random::<f64>() < self.share
+        rng.random::<f64>() < self.sampling_probability
     }
 }
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use wheelmast_core::process::control::evacuation::{
-    EvacuationBook, EvacuationChange, EvacuationOutcome, MOST_DOMAINS,
+    EvacuationChange, EvacuationOutcome, EvacuationRegistry, MAX_DOMAINS,
 };
 use wheelmast_core::process::control::state::{CommandOutcome, ControlCommand, ControlState};
 
@@ -17,8 +17,8 @@
 struct OrderCase {
     name: &'static str,
     orders: &'static [(&'static str, bool, u64)],
-    last: EvacuationOutcome,
-    out: &'static [&'static str],
+    last_outcome: EvacuationOutcome,
+    evacuated_domains: &'static [&'static str],
 }
 
 #[test]
@@ -28,74 +28,79 @@
         OrderCase {
             name: "once",
             orders: &[("a", true, 0)],
-            last: Stands(1),
-            out: &["a"],
+            last_outcome: Stands(1),
+            evacuated_domains: &["a"],
         },
         OrderCase {
             name: "sent again, knowing of the first",
             orders: &[("a", true, 0), ("a", true, 1)],
-            last: Stands(2),
-            out: &["a"],
+            last_outcome: Stands(2),
+            evacuated_domains: &["a"],
         },
         OrderCase {
             name: "taken back",
             orders: &[("a", true, 0), ("a", false, 1)],
-            last: Stands(2),
-            out: &[],
+            last_outcome: Stands(2),
+            evacuated_domains: &[],
         },
         OrderCase {
             name: "late after it was taken back",
             orders: &[("a", true, 0), ("a", false, 1), ("a", true, 0)],
-            last: Conflict(2),
-            out: &[],
+            last_outcome: Conflict(2),
+            evacuated_domains: &[],
         },
         OrderCase {
             name: "the end of what never began",
             orders: &[("a", false, 0)],
-            last: Stands(1),
-            out: &[],
+            last_outcome: Stands(1),
+            evacuated_domains: &[],
         },
         OrderCase {
             name: "a beginning that was held up until after its end",
             orders: &[("a", false, 0), ("a", true, 0)],
-            last: Conflict(1),
-            out: &[],
+            last_outcome: Conflict(1),
+            evacuated_domains: &[],
         },
         OrderCase {
             name: "several at once",
             orders: &[("a", true, 0), ("b", true, 0), ("a", false, 1)],
-            last: Stands(3),
-            out: &["b"],
+            last_outcome: Stands(3),
+            evacuated_domains: &["b"],
         },
         OrderCase {
             name: "begun, taken back and begun",
             orders: &[("a", true, 0), ("a", false, 1), ("a", true, 2)],
-            last: Stands(3),
-            out: &["a"],
+            last_outcome: Stands(3),
+            evacuated_domains: &["a"],
         },
     ];
     for case in cases {
         let mut state = ControlState::default();
-        let mut last = CommandOutcome::Done;
+        let mut last_outcome = CommandOutcome::Done;
         for (domain, evacuated, base) in case.orders {
             let order = change(domain, *evacuated, *base);
-            last = state.apply(&ControlCommand::Evacuate(order));
+            last_outcome = state.apply(&ControlCommand::Evacuate(order));
         }
-        assert_eq!(last, CommandOutcome::Evacuate(case.last), "{}", case.name);
-        let out: Vec<&str> = state.evacuations().evacuated().collect();
-        assert_eq!(out, case.out, "{}", case.name);
+        assert_eq!(
+            last_outcome,
+            CommandOutcome::Evacuate(case.last_outcome),
+            "{}",
+            case.name
+        );
+        let evacuated_domains: Vec<&str> = state.evacuations().evacuated().collect();
+        assert_eq!(evacuated_domains, case.evacuated_domains, "{}", case.name);
     }
 }
 
 #[test]
 fn what_is_remembered_is_bounded() {
-    let mut book = EvacuationBook::default();
-    for number in 0..MOST_DOMAINS {
-        book.apply(&change(&number.to_string(), true, 0));
+    let mut registry = EvacuationRegistry::default();
+    for number in 0..MAX_DOMAINS {
+        registry.apply(&change(&number.to_string(), true, 0));
     }
-    let more = book.apply(&change("one more", true, 0));
-    assert_eq!(more, EvacuationOutcome::Full);
-    assert_eq!(book.evacuated().count(), MOST_DOMAINS);
+    let overflow_outcome = registry.apply(&change("one more", true, 0));
+    assert_eq!(overflow_outcome, EvacuationOutcome::Full);
+    assert_eq!(registry.evacuated().count(), MAX_DOMAINS);
 }
 
 proptest! {
@@ -107,22 +112,22 @@
         orders in prop::collection::vec((any::<bool>(), any::<bool>()), 1..12),
         copies in prop::collection::vec((0usize..12, 0usize..12), 0..24),
     ) {
-        let mut book = EvacuationBook::default();
-        let mut sent: Vec<EvacuationChange> = Vec::new();
-        for (place, (evacuated, is_held_up)) in orders.iter().enumerate() {
-            let order = change("a", *evacuated, book.revision_of("a"));
-            sent.push(order.clone());
-            let acknowledged = (!is_held_up).then_some(*evacuated);
-            if acknowledged.is_some() {
-                prop_assert!(matches!(book.apply(&order), EvacuationOutcome::Stands(_)));
+        let mut registry = EvacuationRegistry::default();
+        let mut sent_orders: Vec<EvacuationChange> = Vec::new();
+        for (position, (evacuated, is_delayed)) in orders.iter().enumerate() {
+            let order = change("a", *evacuated, registry.revision_of("a"));
+            sent_orders.push(order.clone());
+            let acknowledged_state = (!is_delayed).then_some(*evacuated);
+            if acknowledged_state.is_some() {
+                prop_assert!(matches!(registry.apply(&order), EvacuationOutcome::Stands(_)));
             }
-            for (_, copy) in copies.iter().filter(|(after, _)| *after == place) {
-                if let Some(copy) = sent.get(*copy) {
-                    book.apply(copy);
+            for (_, copy) in copies.iter().filter(|(after, _)| *after == position) {
+                if let Some(copy) = sent_orders.get(*copy) {
+                    registry.apply(copy);
                 }
             }
-            if let Some(evacuated) = acknowledged {
-                prop_assert_eq!(book.evacuated().count() == 1, evacuated);
+            if let Some(evacuated) = acknowledged_state {
+                prop_assert_eq!(registry.evacuated().count() == 1, evacuated);
             }
         }
     }
--- a/crates/core/tests/forward/versions.rs
+++ b/crates/core/tests/forward/versions.rs
@@ -5,7 +5,7 @@
 use wheelmast_core::process::forward::input::{AttemptEnd, ForwardInput};
 use wheelmast_core::process::forward::machine::ForwardOptions;
 use wheelmast_core::process::rollout::share::CanaryBound;
-use wheelmast_core::process::rollout::{RolloutView, VersionTally};
+use wheelmast_core::process::rollout::{RolloutView, VersionOutcomes};
 use wheelmast_core::version::route_table::RouteTarget;
 
 use crate::harness::{answer, notice, route, table, Harness, HOME};
@@ -170,7 +170,7 @@
         }
     }
     let tallies = harness.machine.take_tallies();
-    let new: Vec<&VersionTally> = tallies.iter().filter(|tally| tally.is_target).collect();
+    let new: Vec<&VersionOutcomes> = tallies.iter().filter(|tally| tally.is_target).collect();
     assert_eq!(new.len(), 1, "{tallies:?}");
     assert_eq!((new[0].order, &*new[0].route), (7, "q"));
     assert_eq!((new[0].answers, new[0].bad), (3, 2), "{tallies:?}");
--- a/crates/core/tests/members/cases.rs
+++ b/crates/core/tests/members/cases.rs
@@ -10,20 +10,20 @@
 use wheelmast_core::process::control::replica::{ReplicaMachine, ReplicaRules, ReplicaStart};
 use wheelmast_core::process::control::state::ControlState;
 
-use crate::harness::{event, Broken, Group, WipedName};
+use crate::harness::{event, Group, Violations, WipedIdentity};
 
 struct GroupCase {
     name: &'static str,
     nodes: usize,
     size: usize,
     rules: ReplicaRules,
-    wiped: WipedName,
+    wiped_identity: WipedIdentity,
     /// Whether something must break.
-    breaks: bool,
+    expects_violation: bool,
     seeds: u32,
 }
 
-fn run(case: &GroupCase) -> Broken {
+fn run(case: &GroupCase) -> Violations {
     let config = Config {
         rng_algorithm: RngAlgorithm::ChaCha,
         rng_seed: RngSeed::Fixed(7),
@@ -32,28 +32,28 @@
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let events = prop::collection::vec(event(), 80..160);
-    let mut broken = Broken::default();
+    let mut violations = Violations::default();
     for seed in 0..case.seeds {
         let events = events.new_tree(&mut runner).expect("events").current();
         let mut group = Group::new(
             case.nodes,
             case.size,
             case.rules,
-            case.wiped,
+            case.wiped_identity,
             u64::from(seed) * 1000,
         );
         for event in &events {
-            group.play(event);
+            group.apply_event(event);
         }
-        broken = group.finish();
-        if broken.total() > 0 {
-            if !case.breaks {
-                eprintln!("{}: seed {seed}: {broken:?}", case.name);
+        violations = group.finish();
+        if violations.total() > 0 {
+            if !case.expects_violation {
+                eprintln!("{}: seed {seed}: {violations:?}", case.name);
             }
-            return broken;
+            return violations;
         }
     }
-    broken
+    violations
 }
 
 #[test]
@@ -65,8 +65,8 @@
             nodes: 3,
             size: 3,
             rules,
-            wiped: WipedName::New,
-            breaks: false,
+            wiped_identity: WipedIdentity::New,
+            expects_violation: false,
             seeds: 300,
         },
         GroupCase {
@@ -74,8 +74,8 @@
             nodes: 4,
             size: 3,
             rules,
-            wiped: WipedName::New,
-            breaks: false,
+            wiped_identity: WipedIdentity::New,
+            expects_violation: false,
             seeds: 300,
         },
         GroupCase {
@@ -83,8 +83,8 @@
             nodes: 6,
             size: 5,
             rules,
-            wiped: WipedName::New,
-            breaks: false,
+            wiped_identity: WipedIdentity::New,
+            expects_violation: false,
             seeds: 150,
         },
         GroupCase {
@@ -92,8 +92,8 @@
             nodes: 3,
             size: 3,
             rules,
-            wiped: WipedName::Old,
-            breaks: true,
+            wiped_identity: WipedIdentity::Old,
+            expects_violation: true,
             seeds: 600,
         },
         GroupCase {
@@ -104,8 +104,8 @@
                 learners_apart: false,
                 ..rules
             },
-            wiped: WipedName::New,
-            breaks: true,
+            wiped_identity: WipedIdentity::New,
+            expects_violation: true,
             seeds: 1500,
         },
         GroupCase {
@@ -116,14 +116,19 @@
                 one_change: false,
                 ..rules
             },
-            wiped: WipedName::New,
-            breaks: true,
+            wiped_identity: WipedIdentity::New,
+            expects_violation: true,
             seeds: 1500,
         },
     ];
     for case in &cases {
-        let broken = run(case);
-        assert_eq!(broken.total() > 0, case.breaks, "{}: {broken:?}", case.name);
+        let violations = run(case);
+        assert_eq!(
+            violations.total() > 0,
+            case.expects_violation,
+            "{}: {violations:?}",
+            case.name
+        );
     }
 }
 
@@ -134,7 +139,7 @@
             confirmed_reads: confirmed,
             ..ReplicaRules::default()
         };
-        let mut group = Group::new(3, 3, rules, WipedName::New, 1);
+        let mut group = Group::new(3, 3, rules, WipedIdentity::New, 1);
         // The founder leads and stands still while the others go on.
         for _ in 0..100 {
             group.now += Duration::from_millis(20);
@@ -142,28 +147,36 @@
                 group.step(node, ReplicaInput::Wake);
             }
             group
-                .wire
+                .in_flight
                 .retain(|(sender, _, to, _)| *sender != 0 && *to != group.nodes[0].id);
-            while !group.wire.is_empty() {
+            while !group.in_flight.is_empty() {
                 group.deliver(0);
-                group.wire.retain(|(_, _, to, _)| *to != group.nodes[0].id);
+                group
+                    .in_flight
+                    .retain(|(_, _, to, _)| *to != group.nodes[0].id);
             }
         }
         for node in 1..3 {
             group.propose(node);
         }
-        group.wire.retain(|(_, _, to, _)| *to != group.nodes[0].id);
-        while !group.wire.is_empty() {
+        group
+            .in_flight
+            .retain(|(_, _, to, _)| *to != group.nodes[0].id);
+        while !group.in_flight.is_empty() {
             group.deliver(0);
-            group.wire.retain(|(_, _, to, _)| *to != group.nodes[0].id);
+            group
+                .in_flight
+                .retain(|(_, _, to, _)| *to != group.nodes[0].id);
         }
-        assert!(group.acknowledged > 0, "the others have a leader");
-        group.tags += 1;
-        group.reads.insert(group.tags, (0, group.acknowledged));
-        let tag = group.tags;
+        assert!(group.acknowledged_version > 0, "the others have a leader");
+        group.last_tag += 1;
+        group
+            .reads
+            .insert(group.last_tag, (0, group.acknowledged_version));
+        let tag = group.last_tag;
         group.step(0, ReplicaInput::Read { tag });
-        group.settle(2000);
-        assert_eq!(group.broken.stale_read > 0, !confirmed);
+        group.run_for(2000);
+        assert_eq!(group.violations.stale_reads > 0, !confirmed);
     }
 }
 
--- a/crates/core/tests/members/harness.rs
+++ b/crates/core/tests/members/harness.rs
@@ -14,7 +14,7 @@
 use crate::disk::Disk;
 
 /// Messages at one moment that no group should need.
-const STORM: usize = 5000;
+const MAX_MESSAGES_PER_STEP: usize = 5000;
 
 #[derive(Debug, Clone)]
 pub(crate) enum Event {
@@ -41,7 +41,7 @@
         8 => any::<u8>().prop_map(Event::Deliver),
         14 => Just(Event::DeliverAll),
         2 => any::<u8>().prop_map(Event::Drop),
-        1 => (any::<u8>(), any::<bool>()).prop_map(|(node, both)| Event::Cut(node, both)),
+        1 => (any::<u8>(), any::<bool>()).prop_map(|(node, cuts_inbound)| Event::Cut(node, cuts_inbound)),
         3 => Just(Event::Heal),
         1 => any::<u8>().prop_map(Event::Kill),
         3 => any::<u8>().prop_map(Event::Start),
@@ -57,43 +57,43 @@
     pub(crate) id: ReplicaId,
     machine: Option<ReplicaMachine>,
     disk: Disk,
-    stalled: bool,
+    is_stalled: bool,
     /// What waits for a stalled disk.
-    held: Vec<ReplicaAction>,
+    pending_actions: Vec<ReplicaAction>,
     /// Cut: what it sends, what it gets.
     cut: (bool, bool),
     /// Highest version that was in force in this lifetime.
-    in_force: u64,
+    highest_version: u64,
 }
 
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub(crate) struct Broken {
-    two_leaders: u32,
-    lost_change: u32,
-    pub(crate) stale_read: u32,
-    unequal: u32,
-    went_back: u32,
-    not_mended: u32,
-    storms: u32,
-    two_changes: u32,
+pub(crate) struct Violations {
+    leaders_in_one_term: u32,
+    lost_changes: u32,
+    pub(crate) stale_reads: u32,
+    diverged_states: u32,
+    version_regressions: u32,
+    unrepaired_groups: u32,
+    message_storms: u32,
+    concurrent_member_changes: u32,
 }
 
-impl Broken {
+impl Violations {
     pub(crate) fn total(&self) -> u32 {
-        self.two_leaders
-            + self.lost_change
-            + self.stale_read
-            + self.unequal
-            + self.went_back
-            + self.not_mended
-            + self.storms
-            + self.two_changes
+        self.leaders_in_one_term
+            + self.lost_changes
+            + self.stale_reads
+            + self.diverged_states
+            + self.version_regressions
+            + self.unrepaired_groups
+            + self.message_storms
+            + self.concurrent_member_changes
     }
 }
 
 /// What a wiped node is: another, or (a fault) itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum WipedName {
+pub(crate) enum WipedIdentity {
     New,
     Old,
 }
@@ -102,20 +102,20 @@
     pub(crate) nodes: Vec<Node>,
     size: usize,
     rules: ReplicaRules,
-    wiped: WipedName,
+    wiped_identity: WipedIdentity,
     pub(crate) now: Duration,
-    pub(crate) wire: Vec<(usize, ReplicaId, ReplicaId, ReplicaMessage)>,
+    pub(crate) in_flight: Vec<(usize, ReplicaId, ReplicaId, ReplicaMessage)>,
     next_id: ReplicaId,
     seed: u64,
-    versions: u64,
+    last_version: u64,
     /// Versions proposed, by tag.
     proposed: BTreeMap<u64, u64>,
     /// Highest version acknowledged when a read began, by tag.
     pub(crate) reads: BTreeMap<u64, (usize, u64)>,
-    pub(crate) acknowledged: u64,
-    pub(crate) tags: u64,
+    pub(crate) acknowledged_version: u64,
+    pub(crate) last_tag: u64,
     leaders: BTreeMap<u64, ReplicaId>,
-    pub(crate) broken: Broken,
+    pub(crate) violations: Violations,
 }
 
 impl Group {
@@ -123,34 +123,34 @@
         count: usize,
         size: usize,
         rules: ReplicaRules,
-        wiped: WipedName,
+        wiped_identity: WipedIdentity,
         seed: u64,
     ) -> Group {
         let nodes = (0..count).map(|_| Node {
             id: 0,
             machine: None,
             disk: Disk::default(),
-            stalled: false,
-            held: Vec::new(),
+            is_stalled: false,
+            pending_actions: Vec::new(),
             cut: (false, false),
-            in_force: 0,
+            highest_version: 0,
         });
         let mut group = Group {
             nodes: nodes.collect(),
             size,
             rules,
-            wiped,
+            wiped_identity,
             now: Duration::from_secs(1),
-            wire: Vec::new(),
+            in_flight: Vec::new(),
             next_id: 10,
             seed,
-            versions: 0,
+            last_version: 0,
             proposed: BTreeMap::new(),
             reads: BTreeMap::new(),
-            acknowledged: 0,
-            tags: 0,
+            acknowledged_version: 0,
+            last_tag: 0,
             leaders: BTreeMap::new(),
-            broken: Broken::default(),
+            violations: Violations::default(),
         };
         for node in 0..count {
             group.nodes[node].id = group.draw_id();
@@ -158,7 +158,7 @@
         }
         let founder = group.record(0);
         group.step(0, ReplicaInput::Found(founder));
-        group.settle(4000);
+        group.run_for(4000);
         group
     }
 
@@ -194,10 +194,10 @@
             rules: self.rules,
             seed: self.seed,
         };
-        state.stalled = false;
-        state.held.clear();
+        state.is_stalled = false;
+        state.pending_actions.clear();
         state.machine = Some(ReplicaMachine::new(start, self.now));
-        state.in_force = 0;
+        state.highest_version = 0;
     }
 
     pub(crate) fn step(&mut self, node: usize, input: ReplicaInput) {
@@ -210,53 +210,54 @@
             let (term, id) = (machine.term(), machine.id());
             let known = *self.leaders.entry(term).or_insert(id);
             if known != id {
-                self.broken.two_leaders += 1;
+                self.violations.leaders_in_one_term += 1;
             }
         }
         if machine.is_leader() {
             let commit = machine.commit_index();
-            let kept = self.nodes[node].disk.entries.iter();
-            let open = kept.filter(|entry| entry.index > commit && names_members(entry));
-            let named = out.iter().any(|action| match action {
-                ReplicaAction::KeepEntry(entry) => names_members(entry),
+            let persisted = self.nodes[node].disk.entries.iter();
+            let uncommitted =
+                persisted.filter(|entry| entry.index > commit && is_membership_change(entry));
+            let proposes_members = out.iter().any(|action| match action {
+                ReplicaAction::KeepEntry(entry) => is_membership_change(entry),
                 _ => false,
             });
-            if named && open.count() > 0 {
-                self.broken.two_changes += 1;
+            if proposes_members && uncommitted.count() > 0 {
+                self.violations.concurrent_member_changes += 1;
             }
         }
-        self.nodes[node].held.extend(out);
-        self.release(node);
+        self.nodes[node].pending_actions.extend(out);
+        self.run_pending_actions(node);
     }
 
     /// Does what a node asks for, in order; a stalled disk holds up what it is
     /// to keep and all that comes after.
-    fn release(&mut self, node: usize) {
-        let held = std::mem::take(&mut self.nodes[node].held);
-        let mut held = held.into_iter();
-        while let Some(action) = held.next() {
-            if action.is_kept() && self.nodes[node].stalled {
-                self.nodes[node].held.push(action);
-                self.nodes[node].held.extend(held);
+    fn run_pending_actions(&mut self, node: usize) {
+        let pending_actions = std::mem::take(&mut self.nodes[node].pending_actions);
+        let mut pending_actions = pending_actions.into_iter();
+        while let Some(action) = pending_actions.next() {
+            if action.is_kept() && self.nodes[node].is_stalled {
+                self.nodes[node].pending_actions.push(action);
+                self.nodes[node].pending_actions.extend(pending_actions);
                 return;
             }
             self.nodes[node].disk.keep(&action);
-            self.act(node, action);
+            self.run_action(node, action);
         }
     }
 
-    fn act(&mut self, node: usize, action: ReplicaAction) {
+    fn run_action(&mut self, node: usize, action: ReplicaAction) {
         match action {
             ReplicaAction::Send { to, message } => {
                 let from = self.nodes[node].id;
-                self.wire.push((node, from, to, message));
+                self.in_flight.push((node, from, to, message));
             }
-            ReplicaAction::End { tag, end } => self.end(node, tag, end),
+            ReplicaAction::End { tag, end } => self.handle_completion(node, tag, end),
             ReplicaAction::Changed => {
                 let version = self.version(node);
-                let known = &mut self.nodes[node].in_force;
+                let known = &mut self.nodes[node].highest_version;
                 if version < *known {
-                    self.broken.went_back += 1;
+                    self.violations.version_regressions += 1;
                 }
                 *known = version.max(*known);
             }
@@ -264,16 +265,16 @@
         }
     }
 
-    fn end(&mut self, node: usize, tag: u64, end: ProposalEnd) {
+    fn handle_completion(&mut self, node: usize, tag: u64, end: ProposalEnd) {
         let done = matches!(end, ProposalEnd::Done(_));
         if let Some(version) = self.proposed.remove(&tag) {
             if done {
-                self.acknowledged = self.acknowledged.max(version);
+                self.acknowledged_version = self.acknowledged_version.max(version);
             }
         }
         if let Some((_, before)) = self.reads.remove(&tag) {
             if done && self.version(node) < before {
-                self.broken.stale_read += 1;
+                self.violations.stale_reads += 1;
             }
         }
     }
@@ -284,7 +285,7 @@
     }
 
     pub(crate) fn deliver(&mut self, place: usize) {
-        let (sender, from, to, message) = self.wire.remove(place);
+        let (sender, from, to, message) = self.in_flight.remove(place);
         let Some(node) = self.nodes.iter().position(|node| node.id == to) else {
             return;
         };
@@ -299,15 +300,15 @@
         for node in 0..self.nodes.len() {
             self.step(node, ReplicaInput::Wake);
         }
-        self.greet();
+        self.send_learner_requests();
     }
 
     /// Nodes without a vote, or without a leader, ask to be kept up to date.
-    fn greet(&mut self) {
+    fn send_learner_requests(&mut self) {
         let learners: Vec<usize> = (0..self.nodes.len())
             .filter(|node| {
                 let machine = self.nodes[*node].machine.as_ref();
-                machine.is_some_and(ReplicaMachine::asks_to_learn)
+                machine.is_some_and(ReplicaMachine::should_join_as_learner)
             })
             .filter(|node| !self.nodes[*node].cut.0)
             .collect();
@@ -321,16 +322,16 @@
         }
     }
 
-    pub(crate) fn settle(&mut self, millis: u64) {
+    pub(crate) fn run_for(&mut self, millis: u64) {
         for _ in 0..millis / 20 {
             self.advance(20);
             let mut delivered = 0;
-            while !self.wire.is_empty() {
+            while !self.in_flight.is_empty() {
                 self.deliver(0);
                 delivered += 1;
-                if delivered > STORM {
-                    self.broken.storms += 1;
-                    self.wire.clear();
+                if delivered > MAX_MESSAGES_PER_STEP {
+                    self.violations.message_storms += 1;
+                    self.in_flight.clear();
                 }
             }
         }
@@ -338,7 +339,7 @@
 
     /// Tells whether the group is whole: every member lives, has its disk, and
     /// holds all that was acknowledged.
-    fn is_whole(&self) -> bool {
+    fn is_fully_repaired(&self) -> bool {
         let machines = self.nodes.iter().filter_map(|node| node.machine.as_ref());
         let leaders = machines.filter(|machine| machine.is_leader());
         let leader = leaders.max_by_key(|machine| machine.term());
@@ -352,7 +353,7 @@
             && members.iter().all(|member| {
                 let node = self.nodes.iter().find(|node| node.id == member.id);
                 node.is_some_and(|node| {
-                    !node.stalled
+                    !node.is_stalled
                         && node
                             .machine
                             .as_ref()
@@ -361,48 +362,53 @@
             })
     }
 
-    fn down(&self) -> usize {
-        let down = self.nodes.iter().filter(|node| node.machine.is_none());
-        down.count()
+    fn stopped_count(&self) -> usize {
+        let stopped = self.nodes.iter().filter(|node| node.machine.is_none());
+        stopped.count()
     }
 
-    pub(crate) fn play(&mut self, event: &Event) {
+    pub(crate) fn apply_event(&mut self, event: &Event) {
         let count = self.nodes.len();
-        let at = |pick: u8| usize::from(pick) % count;
+        let at = |selector: u8| usize::from(selector) % count;
         match *event {
             Event::Advance(millis) => self.advance(u64::from(millis)),
-            Event::Deliver(pick) if !self.wire.is_empty() => {
-                self.deliver(usize::from(pick) % self.wire.len());
+            Event::Deliver(selector) if !self.in_flight.is_empty() => {
+                self.deliver(usize::from(selector) % self.in_flight.len());
             }
-            Event::Drop(pick) if !self.wire.is_empty() => {
-                let place = usize::from(pick) % self.wire.len();
-                self.wire.remove(place);
+            Event::Drop(selector) if !self.in_flight.is_empty() => {
+                let place = usize::from(selector) % self.in_flight.len();
+                self.in_flight.remove(place);
             }
             Event::Deliver(_) | Event::Drop(_) => {}
             Event::DeliverAll => {
-                for _ in 0..self.wire.len() {
+                for _ in 0..self.in_flight.len() {
                     self.deliver(0);
                 }
             }
-            Event::Cut(pick, both) => self.nodes[at(pick)].cut = (true, both),
+            Event::Cut(selector, cuts_inbound) => {
+                self.nodes[at(selector)].cut = (true, cuts_inbound)
+            }
             Event::Heal => self.heal(),
-            Event::Kill(pick) => {
+            Event::Kill(selector) => {
                 // What its disk has not taken yet is gone with it.
-                self.nodes[at(pick)].machine = None;
-                self.nodes[at(pick)].held.clear();
+                self.nodes[at(selector)].machine = None;
+                self.nodes[at(selector)].pending_actions.clear();
+            }
+            Event::Start(selector) => self.start(at(selector)),
+            Event::Wipe(selector) if self.is_fully_repaired() && self.stopped_count() == 0 => {
+                self.wipe(at(selector))
             }
-            Event::Start(pick) => self.start(at(pick)),
-            Event::Wipe(pick) if self.is_whole() && self.down() == 0 => self.wipe(at(pick)),
             Event::Wipe(_) => {}
-            Event::Stall(pick) => self.nodes[at(pick)].stalled = true,
-            Event::Propose(pick) => self.propose(at(pick)),
-            Event::Read(pick) => {
-                self.tags += 1;
-                let node = at(pick);
-                self.reads.insert(self.tags, (node, self.acknowledged));
-                self.step(node, ReplicaInput::Read { tag: self.tags });
+            Event::Stall(selector) => self.nodes[at(selector)].is_stalled = true,
+            Event::Propose(selector) => self.propose(at(selector)),
+            Event::Read(selector) => {
+                self.last_tag += 1;
+                let node = at(selector);
+                self.reads
+                    .insert(self.last_tag, (node, self.acknowledged_version));
+                self.step(node, ReplicaInput::Read { tag: self.last_tag });
             }
-            Event::HandOver(pick) => self.step(at(pick), ReplicaInput::HandOver),
+            Event::HandOver(selector) => self.step(at(selector), ReplicaInput::HandOver),
         }
     }
 
@@ -411,22 +417,22 @@
         if !machine.is_some_and(|machine| machine.state().is_founded()) {
             return;
         }
-        self.tags += 1;
-        self.versions += 1;
-        self.proposed.insert(self.tags, self.versions);
+        self.last_tag += 1;
+        self.last_version += 1;
+        self.proposed.insert(self.last_tag, self.last_version);
         let command = ControlCommand::Route {
-            version: self.versions,
+            version: self.last_version,
             base: None,
-            text: self.versions.to_string().into_bytes(),
+            text: self.last_version.to_string().into_bytes(),
         };
-        let tag = self.tags;
+        let tag = self.last_tag;
         self.step(node, ReplicaInput::Propose { tag, command });
     }
 
     fn wipe(&mut self, node: usize) {
-        let id = match self.wiped {
-            WipedName::New => self.draw_id(),
-            WipedName::Old => self.nodes[node].id,
+        let id = match self.wiped_identity {
+            WipedIdentity::New => self.draw_id(),
+            WipedIdentity::Old => self.nodes[node].id,
         };
         let state = &mut self.nodes[node];
         state.machine = None;
@@ -438,37 +444,37 @@
     fn heal(&mut self) {
         for node in 0..self.nodes.len() {
             self.nodes[node].cut = (false, false);
-            self.nodes[node].stalled = false;
-            self.release(node);
+            self.nodes[node].is_stalled = false;
+            self.run_pending_actions(node);
         }
     }
 
     /// Ends all trouble and looks at what is left.
-    pub(crate) fn finish(mut self) -> Broken {
+    pub(crate) fn finish(mut self) -> Violations {
         self.heal();
         for node in 0..self.nodes.len() {
             self.start(node);
         }
-        self.settle(12_000);
-        if !self.is_whole() {
-            self.broken.not_mended += 1;
+        self.run_for(12_000);
+        if !self.is_fully_repaired() {
+            self.violations.unrepaired_groups += 1;
         }
         let versions: BTreeSet<u64> = (0..self.nodes.len())
             .map(|node| self.version(node))
             .collect();
         if versions.len() > 1 {
-            self.broken.unequal += 1;
+            self.violations.diverged_states += 1;
         }
         if versions
             .first()
-            .is_some_and(|least| *least < self.acknowledged)
+            .is_some_and(|least| *least < self.acknowledged_version)
         {
-            self.broken.lost_change += 1;
+            self.violations.lost_changes += 1;
         }
-        self.broken
+        self.violations
     }
 }
 
-fn names_members(entry: &LogEntry) -> bool {
+fn is_membership_change(entry: &LogEntry) -> bool {
     matches!(entry.command, ControlCommand::Members { .. })
 }
--- a/crates/core/tests/rollouts.rs
+++ b/crates/core/tests/rollouts.rs
@@ -5,11 +5,11 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use wheelmast_core::process::control::rollout::{
-    RolloutBook, RolloutChange, RolloutOutcome, RolloutRecord, RolloutState,
+    RolloutChange, RolloutOutcome, RolloutRecord, RolloutRegistry, RolloutState,
 };
-use wheelmast_core::process::rollout::judge::{RolloutAge, RolloutJudge};
-use wheelmast_core::process::rollout::share::{CanaryBound, CanaryShare};
-use wheelmast_core::process::rollout::VersionTally;
+use wheelmast_core::process::rollout::evaluator::{RolloutAge, RolloutEvaluator};
+use wheelmast_core::process::rollout::share::{CanaryBound, CanarySampler};
+use wheelmast_core::process::rollout::VersionOutcomes;
 
 use RolloutOutcome::{Busy, Passed, Stands};
 use RolloutState::{Completed, Moving, RolledBack, Trying};
@@ -23,7 +23,7 @@
     }
 }
 
-fn turn(order: u64, state: RolloutState, at_ms: u64) -> RolloutChange {
+fn transition(order: u64, state: RolloutState, at_ms: u64) -> RolloutChange {
     RolloutChange::Turn {
         service: "desk".into(),
         order,
@@ -32,121 +32,133 @@
     }
 }
 
-struct OrderCase {
+struct ChangeCase {
     name: &'static str,
     changes: Vec<RolloutChange>,
-    last: RolloutOutcome,
+    last_outcome: RolloutOutcome,
     state: RolloutState,
 }
 
 #[test]
 fn an_order_stands_once_and_one_roll_out_a_service_goes_on() {
     let cases = [
-        OrderCase {
+        ChangeCase {
             name: "once",
             changes: vec![start("v2", 0)],
-            last: Stands(1),
+            last_outcome: Stands(1),
             state: Trying,
         },
-        OrderCase {
+        ChangeCase {
             name: "sent again",
             changes: vec![start("v2", 0), start("v2", 900)],
-            last: Stands(1),
+            last_outcome: Stands(1),
             state: Trying,
         },
-        OrderCase {
+        ChangeCase {
             name: "another version meanwhile",
             changes: vec![start("v2", 0), start("v3", 900)],
-            last: Busy("v2".into()),
+            last_outcome: Busy("v2".into()),
             state: Trying,
         },
-        OrderCase {
+        ChangeCase {
             name: "sent again after its end",
-            changes: vec![start("v2", 0), turn(1, RolledBack, 3000), start("v2", 9000)],
-            last: Stands(1),
+            changes: vec![
+                start("v2", 0),
+                transition(1, RolledBack, 3000),
+                start("v2", 9000),
+            ],
+            last_outcome: Stands(1),
             state: RolledBack,
         },
-        OrderCase {
+        ChangeCase {
             name: "a later order of the same version",
             changes: vec![
                 start("v2", 0),
-                turn(1, RolledBack, 3000),
+                transition(1, RolledBack, 3000),
                 start("v2", 90_000),
             ],
-            last: Stands(3),
+            last_outcome: Stands(3),
             state: Trying,
         },
-        OrderCase {
+        ChangeCase {
             name: "a later version",
-            changes: vec![start("v2", 0), turn(1, RolledBack, 3000), start("v3", 4000)],
-            last: Stands(3),
+            changes: vec![
+                start("v2", 0),
+                transition(1, RolledBack, 3000),
+                start("v3", 4000),
+            ],
+            last_outcome: Stands(3),
             state: Trying,
         },
-        OrderCase {
+        ChangeCase {
             name: "moved and completed",
-            changes: vec![start("v2", 0), turn(1, Moving, 1), turn(1, Completed, 2)],
-            last: Stands(1),
+            changes: vec![
+                start("v2", 0),
+                transition(1, Moving, 1),
+                transition(1, Completed, 2),
+            ],
+            last_outcome: Stands(1),
             state: Completed,
         },
-        OrderCase {
+        ChangeCase {
             name: "completed by a former leader, then rolled back by it",
             changes: vec![
                 start("v2", 0),
-                turn(1, Moving, 1),
-                turn(1, Completed, 2),
-                turn(1, RolledBack, 3),
+                transition(1, Moving, 1),
+                transition(1, Completed, 2),
+                transition(1, RolledBack, 3),
             ],
-            last: Passed,
+            last_outcome: Passed,
             state: Completed,
         },
-        OrderCase {
+        ChangeCase {
             name: "a turn of an earlier roll-out",
             changes: vec![
                 start("v2", 0),
-                turn(1, RolledBack, 3000),
+                transition(1, RolledBack, 3000),
                 start("v3", 4000),
-                turn(1, Moving, 5000),
+                transition(1, Moving, 5000),
             ],
-            last: Passed,
+            last_outcome: Passed,
             state: Trying,
         },
-        OrderCase {
+        ChangeCase {
             name: "completed without being moved",
-            changes: vec![start("v2", 0), turn(1, Completed, 1)],
-            last: Passed,
+            changes: vec![start("v2", 0), transition(1, Completed, 1)],
+            last_outcome: Passed,
             state: Trying,
         },
     ];
     for case in cases {
-        let mut book = RolloutBook::default();
+        let mut registry = RolloutRegistry::default();
         let outcomes: Vec<_> = case
             .changes
             .iter()
-            .map(|change| book.apply(change))
+            .map(|change| registry.apply(change))
             .collect();
-        assert_eq!(outcomes.last(), Some(&case.last), "{}", case.name);
-        let record = book.get("desk").expect("it is known");
+        assert_eq!(outcomes.last(), Some(&case.last_outcome), "{}", case.name);
+        let record = registry.get("desk").expect("it is known");
         assert_eq!(record.state, case.state, "{}", case.name);
     }
 }
 
 /// Part of bad answers of a version on a route, at a part of the time.
-type BadPart = fn(route: usize, part: f64) -> f64;
+type BadFraction = fn(route: usize, elapsed_fraction: f64) -> f64;
 
 struct EvidenceCase {
     name: &'static str,
     /// Requests a second.
-    rate: f64,
-    old: f64,
-    new: BadPart,
-    ends: RolloutState,
+    requests_per_second: f64,
+    old_bad_fraction: f64,
+    new_bad_fraction: BadFraction,
+    final_state: RolloutState,
     /// Least part of the plays that must end so.
-    least: f64,
+    min_run_fraction: f64,
     /// Most bad answers on average.
-    most_bad: f64,
+    max_bad_answers: f64,
 }
 
-const PLAYS: u64 = 300;
+const RUNS: u64 = 300;
 const DURATION: Duration = Duration::from_secs(12);
 const STEP: Duration = Duration::from_millis(200);
 const BOUND: CanaryBound = CanaryBound {
@@ -155,43 +167,43 @@
 };
 
 /// Plays a roll-out over two routes; returns its end and the bad answers.
-fn play(case: &EvidenceCase, seed: u64) -> (RolloutState, f64, u32) {
+fn simulate_rollout(case: &EvidenceCase, seed: u64) -> (RolloutState, f64, u32) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut judge = RolloutJudge::default();
-    let mut book = RolloutBook::default();
-    book.apply(&RolloutChange::Start {
+    let mut evaluator = RolloutEvaluator::default();
+    let mut registry = RolloutRegistry::default();
+    registry.apply(&RolloutChange::Start {
         service: "desk".into(),
         target: "v2".into(),
         duration_ms: DURATION.as_millis() as u64,
         at_ms: 0,
     });
     let entries = 65;
-    let mut shares: Vec<CanaryShare> = (0..entries)
-        .map(|_| CanaryShare::new(BOUND, entries as u32, &mut rng))
+    let mut samplers: Vec<CanarySampler> = (0..entries)
+        .map(|_| CanarySampler::new(BOUND, entries as u32, &mut rng))
         .collect();
-    let (mut turned, mut bad_answers) = (Duration::ZERO, 0);
+    let (mut state_since, mut bad_answers) = (Duration::ZERO, 0);
     let mut now = Duration::ZERO;
     while now < DURATION * 2 {
         now += STEP;
-        let record: RolloutRecord = book.get("desk").expect("it is known").clone();
-        let part = now.as_secs_f64() / DURATION.as_secs_f64();
-        let count = (case.rate * STEP.as_secs_f64() + rng.random::<f64>()) as usize;
-        let mut tallies = Vec::new();
+        let record: RolloutRecord = registry.get("desk").expect("it is known").clone();
+        let elapsed_fraction = now.as_secs_f64() / DURATION.as_secs_f64();
+        let count = (case.requests_per_second * STEP.as_secs_f64() + rng.random::<f64>()) as usize;
+        let mut batches = Vec::new();
         for _ in 0..count {
             let route = rng.random_range(0..2);
             let entry = rng.random_range(0..entries);
             let is_target = match record.state {
-                Trying => shares[entry].draw(&mut rng),
+                Trying => samplers[entry].should_try_new_version(&mut rng),
                 state => state != RolledBack,
             };
-            let chance = if is_target {
-                (case.new)(route, part)
+            let bad_probability = if is_target {
+                (case.new_bad_fraction)(route, elapsed_fraction)
             } else {
-                case.old
+                case.old_bad_fraction
             };
-            let is_bad = rng.random::<f64>() < chance;
+            let is_bad = rng.random::<f64>() < bad_probability;
             bad_answers += u32::from(is_bad && is_target);
-            tallies.push(VersionTally {
+            batches.push(VersionOutcomes {
                 order: record.order,
                 service: "desk".into(),
                 route: format!("r{route}").into(),
@@ -200,16 +212,16 @@
                 bad: u32::from(is_bad),
             });
         }
-        judge.take(&tallies);
+        evaluator.record_outcomes(&batches);
         let age = RolloutAge {
             since_order: now,
-            in_state: now - turned,
+            in_state: now - state_since,
         };
-        if let Some(next) = judge.verdict("desk", &record, age) {
-            book.apply(&turn(record.order, next, now.as_millis() as u64));
-            turned = now;
+        if let Some(next) = evaluator.decide_transition("desk", &record, age) {
+            registry.apply(&transition(record.order, next, now.as_millis() as u64));
+            state_since = now;
             if !next.is_open() {
-                return (next, part, bad_answers);
+                return (next, elapsed_fraction, bad_answers);
             }
         }
     }
@@ -221,98 +233,102 @@
     let cases = [
         EvidenceCase {
             name: "as good as the old one",
-            rate: 40.0,
-            old: 0.01,
-            new: |_, _| 0.01,
-            ends: Completed,
-            least: 0.98,
-            most_bad: 20.0,
+            requests_per_second: 40.0,
+            old_bad_fraction: 0.01,
+            new_bad_fraction: |_, _| 0.01,
+            final_state: Completed,
+            min_run_fraction: 0.98,
+            max_bad_answers: 20.0,
         },
         EvidenceCase {
             name: "good with little traffic",
-            rate: 3.0,
-            old: 0.01,
-            new: |_, _| 0.01,
-            ends: Completed,
-            least: 0.95,
-            most_bad: 3.0,
+            requests_per_second: 3.0,
+            old_bad_fraction: 0.01,
+            new_bad_fraction: |_, _| 0.01,
+            final_state: Completed,
+            min_run_fraction: 0.95,
+            max_bad_answers: 3.0,
         },
         EvidenceCase {
             name: "good beside an old one with faults",
-            rate: 40.0,
-            old: 0.15,
-            new: |_, _| 0.12,
-            ends: Completed,
-            least: 0.9,
-            most_bad: 60.0,
+            requests_per_second: 40.0,
+            old_bad_fraction: 0.15,
+            new_bad_fraction: |_, _| 0.12,
+            final_state: Completed,
+            min_run_fraction: 0.9,
+            max_bad_answers: 60.0,
         },
         EvidenceCase {
             name: "bad at once",
-            rate: 40.0,
-            old: 0.01,
-            new: |_, _| 0.4,
-            ends: RolledBack,
-            least: 0.999,
-            most_bad: 8.0,
+            requests_per_second: 40.0,
+            old_bad_fraction: 0.01,
+            new_bad_fraction: |_, _| 0.4,
+            final_state: RolledBack,
+            min_run_fraction: 0.999,
+            max_bad_answers: 8.0,
         },
         EvidenceCase {
             name: "bad on one route",
-            rate: 40.0,
-            old: 0.01,
-            new: |route, _| if route == 0 { 0.4 } else { 0.01 },
-            ends: RolledBack,
-            least: 0.99,
-            most_bad: 8.0,
+            requests_per_second: 40.0,
+            old_bad_fraction: 0.01,
+            new_bad_fraction: |route, _| if route == 0 { 0.4 } else { 0.01 },
+            final_state: RolledBack,
+            min_run_fraction: 0.99,
+            max_bad_answers: 8.0,
         },
         EvidenceCase {
             name: "bad later",
-            rate: 40.0,
-            old: 0.01,
-            new: |_, part| if part > 0.3 { 0.5 } else { 0.01 },
-            ends: RolledBack,
-            least: 0.98,
-            most_bad: 20.0,
+            requests_per_second: 40.0,
+            old_bad_fraction: 0.01,
+            new_bad_fraction: |_, elapsed_fraction| if elapsed_fraction > 0.3 { 0.5 } else { 0.01 },
+            final_state: RolledBack,
+            min_run_fraction: 0.98,
+            max_bad_answers: 20.0,
         },
         EvidenceCase {
             name: "bad while all requests move",
-            rate: 40.0,
-            old: 0.01,
-            new: |_, part| if part > 0.5 { 0.5 } else { 0.01 },
-            ends: RolledBack,
-            least: 0.95,
-            most_bad: 50.0,
+            requests_per_second: 40.0,
+            old_bad_fraction: 0.01,
+            new_bad_fraction: |_, elapsed_fraction| if elapsed_fraction > 0.5 { 0.5 } else { 0.01 },
+            final_state: RolledBack,
+            min_run_fraction: 0.95,
+            max_bad_answers: 50.0,
         },
         EvidenceCase {
             name: "bad with little traffic",
-            rate: 3.0,
-            old: 0.01,
-            new: |_, _| 0.6,
-            ends: RolledBack,
-            least: 0.9,
-            most_bad: 6.0,
+            requests_per_second: 3.0,
+            old_bad_fraction: 0.01,
+            new_bad_fraction: |_, _| 0.6,
+            final_state: RolledBack,
+            min_run_fraction: 0.9,
+            max_bad_answers: 6.0,
         },
     ];
 
     for case in cases {
-        let (mut ended, mut bad, mut latest) = (0, 0, 0.0_f64);
-        for seed in 0..PLAYS {
-            let (state, part, bad_answers) = play(&case, seed);
-            ended += u32::from(state == case.ends);
+        let (mut matching_runs, mut bad, mut latest_end) = (0, 0, 0.0_f64);
+        for seed in 0..RUNS {
+            let (state, elapsed_fraction, bad_answers) = simulate_rollout(&case, seed);
+            matching_runs += u32::from(state == case.final_state);
             bad += bad_answers;
-            latest = latest.max(part);
+            latest_end = latest_end.max(elapsed_fraction);
         }
-        let part = f64::from(ended) / PLAYS as f64;
-        let bad = f64::from(bad) / PLAYS as f64;
+        let matching_fraction = f64::from(matching_runs) / RUNS as f64;
+        let bad = f64::from(bad) / RUNS as f64;
         assert!(
-            part >= case.least,
-            "{}: {part} ended {:?}",
+            matching_fraction >= case.min_run_fraction,
+            "{}: {matching_fraction} ended {:?}",
             case.name,
-            case.ends
+            case.final_state
+        );
+        assert!(
+            bad <= case.max_bad_answers,
+            "{}: {bad} bad answers",
+            case.name
         );
-        assert!(bad <= case.most_bad, "{}: {bad} bad answers", case.name);
         assert!(
-            latest <= 1.0,
-            "{}: over after {latest} of the time",
+            latest_end <= 1.0,
+            "{}: over after {latest_end} of the time",
             case.name
         );
     }
@@ -322,16 +338,16 @@
 fn a_version_that_answers_nothing_is_rolled_back_in_time() {
     let case = EvidenceCase {
         name: "silent",
-        rate: 0.0,
-        old: 0.0,
-        new: |_, _| 0.0,
-        ends: RolledBack,
-        least: 1.0,
-        most_bad: 0.0,
+        requests_per_second: 0.0,
+        old_bad_fraction: 0.0,
+        new_bad_fraction: |_, _| 0.0,
+        final_state: RolledBack,
+        min_run_fraction: 1.0,
+        max_bad_answers: 0.0,
     };
-    let (state, part, _) = play(&case, 1);
+    let (state, elapsed_fraction, _) = simulate_rollout(&case, 1);
     assert_eq!(state, RolledBack);
-    assert!(part < 1.0, "after {part}");
+    assert!(elapsed_fraction < 1.0, "after {elapsed_fraction}");
 }
 
 #[test]
@@ -340,18 +356,18 @@
         for requests in [0, 20, 100, 1000, 10_000] {
             for seed in 0..200 {
                 let mut rng = SmallRng::seed_from_u64(seed);
-                let mut shares: Vec<CanaryShare> = (0..entries)
-                    .map(|_| CanaryShare::new(BOUND, entries, &mut rng))
+                let mut samplers: Vec<CanarySampler> = (0..entries)
+                    .map(|_| CanarySampler::new(BOUND, entries, &mut rng))
                     .collect();
-                let tried = (0..requests).filter(|_| {
+                let canary_requests = (0..requests).filter(|_| {
                     let entry = rng.random_range(0..entries as usize);
-                    shares[entry].draw(&mut rng)
+                    samplers[entry].should_try_new_version(&mut rng)
                 });
-                let tried = tried.count() as f64;
-                let most = BOUND.share * f64::from(requests) + BOUND.slack;
+                let canary_requests = canary_requests.count() as f64;
+                let max_requests = BOUND.share * f64::from(requests) + BOUND.slack;
                 assert!(
-                    tried <= most,
-                    "{entries} entries, {requests}: {tried} of {most}"
+                    canary_requests <= max_requests,
+                    "{entries} entries, {requests}: {canary_requests} of {max_requests}"
                 );
             }
         }
@@ -360,8 +376,8 @@
 
 #[test]
 fn what_is_told_of_an_earlier_roll_out_counts_for_nothing() {
-    let mut judge = RolloutJudge::default();
-    let tally = |order, bad| VersionTally {
+    let mut evaluator = RolloutEvaluator::default();
+    let tally = |order, bad| VersionOutcomes {
         order,
         service: "desk".into(),
         route: "r".into(),
@@ -369,16 +385,16 @@
         answers: 20,
         bad,
     };
-    judge.take(&[tally(3, 0)]);
-    judge.take(&[tally(1, 20)]);
-    let mut book = RolloutBook::default();
-    for change in [start("v2", 0), turn(1, RolledBack, 1), start("v3", 2)] {
-        book.apply(&change);
+    evaluator.record_outcomes(&[tally(3, 0)]);
+    evaluator.record_outcomes(&[tally(1, 20)]);
+    let mut registry = RolloutRegistry::default();
+    for change in [start("v2", 0), transition(1, RolledBack, 1), start("v3", 2)] {
+        registry.apply(&change);
     }
-    let record = book.get("desk").expect("it is known");
+    let record = registry.get("desk").expect("it is known");
     let age = RolloutAge {
         since_order: Duration::from_millis(500),
         in_state: Duration::from_millis(500),
     };
-    assert_eq!(judge.verdict("desk", record, age), None);
+    assert_eq!(evaluator.decide_transition("desk", record, age), None);
 }
--- a/crates/node/src/process/callers.rs
+++ b/crates/node/src/process/callers.rs
@@ -14,7 +14,7 @@
 use serde_json::value::RawValue;
 use tower::ServiceBuilder;
 use wheelmast_core::prelude::{RequestBody, RequestKind};
-use wheelmast_core::process::control::fence::ClaimEnd;
+use wheelmast_core::process::control::fence::ExecutionResult;
 use wheelmast_wire::caller::{DEADLINE_HEADER, IDEMPOTENCY_HEADER};
 use wheelmast_wire::prelude::ProblemBody;
 
@@ -165,7 +165,7 @@
         Ok(outcome) => outcome,
         Err(error) => {
             let is_unsent = error == CallError::Busy;
-            let end = (!is_unsent).then_some(ClaimEnd::Unknown);
+            let end = (!is_unsent).then_some(ExecutionResult::Unknown);
             fence.end(claim, end).await;
             return respond_call_error(error);
         }
--- a/crates/node/src/process/fence.rs
+++ b/crates/node/src/process/fence.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use wheelmast_core::prelude::{QueryOutcome, RequestBody, RunState, UnfencedRule};
-use wheelmast_core::process::control::fence::{ClaimEnd, ClaimOutcome, ClaimRequest};
+use wheelmast_core::process::control::fence::{ClaimOutcome, ClaimRequest, ExecutionResult};
 use wheelmast_core::process::control::state::{CommandOutcome, ControlCommand};
 use wheelmast_wire::caller::OUTCOME_UNKNOWN;
 use wheelmast_wire::peer::CommandReply;
@@ -78,7 +78,7 @@
     }
 
     /// Records what became of a submission; `None` if it did not run.
-    pub async fn end(&self, claim: GrantedClaim, end: Option<ClaimEnd>) {
+    pub async fn end(&self, claim: GrantedClaim, end: Option<ExecutionResult>) {
         if !claim.is_fenced {
             return;
         }
@@ -128,13 +128,13 @@
 fn standing(outcome: ClaimOutcome, claim: GrantedClaim) -> Result<GrantedClaim, FenceStop> {
     match outcome {
         ClaimOutcome::Granted => Ok(claim),
-        ClaimOutcome::Ended(ClaimEnd::Ran(Some(body))) => Err(FenceStop::Ended(body)),
-        ClaimOutcome::Ended(ClaimEnd::Ran(None)) => Err(ran(
+        ClaimOutcome::Ended(ExecutionResult::Ran(Some(body))) => Err(FenceStop::Ended(body)),
+        ClaimOutcome::Ended(ExecutionResult::Ran(None)) => Err(ran(
             200,
             "ran-before",
             "it ran; its answer was too large to be kept",
         )),
-        ClaimOutcome::Ended(ClaimEnd::Unknown) => Err(ran(
+        ClaimOutcome::Ended(ExecutionResult::Unknown) => Err(ran(
             502,
             "outcome-unknown",
             "it was sent before, and whether it ran is not known",
@@ -167,14 +167,14 @@
 }
 
 /// Returns what is recorded of an outcome; `None` if it did not run.
-pub fn claim_end(service: &str, outcome: &QueryOutcome) -> Option<ClaimEnd> {
+pub fn claim_end(service: &str, outcome: &QueryOutcome) -> Option<ExecutionResult> {
     match outcome {
         QueryOutcome::Answer(answer) => {
             let body = AnswerBody::new(service, answer.clone());
-            Some(ClaimEnd::Ran(serde_json::to_string(&body).ok()))
+            Some(ExecutionResult::Ran(serde_json::to_string(&body).ok()))
         }
         QueryOutcome::Refusal(refusal) if refusal.run == RunState::NotRun => None,
-        QueryOutcome::Refusal(_) => Some(ClaimEnd::Unknown),
+        QueryOutcome::Refusal(_) => Some(ExecutionResult::Unknown),
     }
 }
 
--- a/crates/node/src/process/forward/entry.rs
+++ b/crates/node/src/process/forward/entry.rs
@@ -13,7 +13,7 @@
 use wheelmast_core::process::forward::machine::{ForwardMachine, ForwardOptions};
 use wheelmast_core::process::forward::suspect::record::SuspectRecord;
 use wheelmast_core::process::input::CallTag;
-use wheelmast_core::process::rollout::VersionTally;
+use wheelmast_core::process::rollout::VersionOutcomes;
 use wheelmast_wire::dialect::ForwardDialect;
 
 use crate::process::clock::ProcessClock;
@@ -201,7 +201,7 @@
     }
 
     /// Takes what the control group is to be told of versions.
-    pub fn take_tallies(&self) -> Vec<VersionTally> {
+    pub fn take_tallies(&self) -> Vec<VersionOutcomes> {
         self.machine.borrow_mut().take_tallies()
     }
 
--- a/crates/node/src/process/group/node.rs
+++ b/crates/node/src/process/group/node.rs
@@ -202,7 +202,7 @@
     fn learns(&self) -> bool {
         let state = self.state.borrow();
         let replica = state.replica.as_ref();
-        replica.is_some_and(ReplicaMachine::asks_to_learn)
+        replica.is_some_and(ReplicaMachine::should_join_as_learner)
     }
 
     /// Returns what this instance says of itself to entries.
--- a/crates/node/src/process/store/replica_store.rs
+++ b/crates/node/src/process/store/replica_store.rs
@@ -6,10 +6,10 @@
 use anyhow::{bail, Context};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use wheelmast_core::process::control::evacuation::EvacuationBook;
+use wheelmast_core::process::control::evacuation::EvacuationRegistry;
 use wheelmast_core::process::control::log::{HardState, LogEntry, LogPlace};
 use wheelmast_core::process::control::message::ReplicaAction;
-use wheelmast_core::process::control::rollout::RolloutBook;
+use wheelmast_core::process::control::rollout::RolloutRegistry;
 use wheelmast_core::process::control::state::ControlState;
 use wheelmast_wire::peer::{decode, encode};
 
@@ -77,8 +77,8 @@
 /// Reads a snapshot. One that an earlier program wrote lacks what is kept at its
 /// end since, and that was empty then.
 fn read_snapshot(body: &[u8]) -> anyhow::Result<(LogPlace, ControlState)> {
-    let evacuations = encode(&EvacuationBook::default())?;
-    let rollouts = encode(&RolloutBook::default())?;
+    let evacuations = encode(&EvacuationRegistry::default())?;
+    let rollouts = encode(&RolloutRegistry::default())?;
     let since_evacuations = [&*evacuations, &rollouts].concat();
     read(body).or_else(|error| {
         let mut ends = [rollouts, since_evacuations].into_iter();
--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -3,10 +3,10 @@
 use std::path::Path;
 
 use tempfile::TempDir;
-use wheelmast_core::process::control::evacuation::EvacuationBook;
+use wheelmast_core::process::control::evacuation::EvacuationRegistry;
 use wheelmast_core::process::control::log::{HardState, LogEntry, LogPlace};
 use wheelmast_core::process::control::message::ReplicaAction;
-use wheelmast_core::process::control::rollout::RolloutBook;
+use wheelmast_core::process::control::rollout::RolloutRegistry;
 use wheelmast_core::process::control::state::{ControlCommand, ControlState};
 use wheelmast_node::process::store::folder::{DataFolder, FolderIdentity, FOLDER_FORMAT};
 use wheelmast_node::process::store::record::{read_records, write_record, RecordKind, FILE_HEADER};
@@ -212,8 +212,8 @@
 
 #[test]
 fn a_snapshot_that_an_earlier_program_wrote_is_read() {
-    let evacuations = encode(&EvacuationBook::default()).expect("encoded");
-    let rollouts = encode(&RolloutBook::default()).expect("encoded");
+    let evacuations = encode(&EvacuationRegistry::default()).expect("encoded");
+    let rollouts = encode(&RolloutRegistry::default()).expect("encoded");
     let cases = [
         SnapshotCase {
             name: "as now",
--- a/crates/wire/src/group.rs
+++ b/crates/wire/src/group.rs
@@ -13,7 +13,7 @@
 use wheelmast_core::process::forward::input::EntryPeer;
 use wheelmast_core::process::forward::source::ControlSite;
 use wheelmast_core::process::forward::suspect::record::SuspectRecord;
-use wheelmast_core::process::rollout::{RolloutView, VersionTally};
+use wheelmast_core::process::rollout::{RolloutView, VersionOutcomes};
 
 /// Largest frame, in bytes.
 pub const FRAME_BYTES: usize = 8 * 1024 * 1024;
@@ -182,7 +182,7 @@
         views: Vec<RolloutView>,
     },
     /// How the versions of services that are rolled out answered at an entry.
-    Tallies(Vec<VersionTally>),
+    Tallies(Vec<VersionOutcomes>),
     /// An entry asks its source for tokens of capped workspaces.
     AskCaps {
         /// The sender's name for it.
