--- a/crates/core/src/process/control/members.rs
+++ b/crates/core/src/process/control/members.rs
@@ -1,8 +1,10 @@
-//! Who the replicas are: founding, learners, and changes one at a time.
+//! Membership of the control group: bootstrap, learners, and changes of one
+//! member at a time, as in Raft.
 //!
-//! A replica is told apart by the identity it drew when its data folder was
-//! made. One that lost its disk is another one: it learns first, and votes
-//! only once it holds what a quorum acknowledged.
+//! A replica draws a random identity when its data folder is created. A replica
+//! that lost its disk therefore counts as a new one: it joins as a learner
+//! (without a vote), and becomes a voter only once it holds everything that a
+//! quorum acknowledged.
 
 use std::time::Duration;
 
@@ -11,37 +13,42 @@
 use crate::process::control::replica::{ReplicaMachine, ReplicaRole};
 use crate::process::control::state::{ControlCommand, MemberRecord};
 
-/// Time without a word after which a replica is replaced, if another is ready.
+/// Time without contact after which the leader replaces a voter, if a learner is
+/// caught up.
 const REPLACE_AFTER: Duration = Duration::from_millis(2500);
-/// Time without a word after which a learner is dropped.
+/// Time without contact after which the leader drops a learner.
 const DROP_LEARNER_AFTER: Duration = Duration::from_secs(5);
-/// Entries that a learner may lack when it gets its vote. The entry that
-/// names it is committed only once a quorum with it holds everything before.
+/// Maximum number of log entries that a learner may lack when it becomes a voter.
+/// This is safe because the membership entry that adds the learner is committed
+/// only once a quorum of the new members holds all earlier entries.
 const MAX_LEARNER_LAG_ENTRIES: u64 = 4;
 
 impl ReplicaMachine {
-    /// Tells whether this replica has a vote.
+    /// Returns whether this replica has a vote.
     pub fn is_voter(&self) -> bool {
         self.members.contains(&self.id)
     }
 
-    /// Tells whether this replica asks to be kept up to date: it has no vote, or
-    /// it hears no leader and may have been replaced while it was away.
+    /// Returns whether this replica should ask the leader to replicate the log to
+    /// it as to a learner: it has no vote, or it knows no leader and may have been
+    /// replaced while it was unreachable.
     pub fn should_join_as_learner(&self) -> bool {
         !self.is_voter() || self.leader.is_none()
     }
 
-    /// Returns the replicas, where the log keeps them.
+    /// Returns the members of the group as recorded in the log. Empty for a group
+    /// whose members are configured at start instead.
     pub fn member_records(&self) -> &[MemberRecord] {
         &self.records
     }
 
-    /// Returns the replicas without a vote that the leader keeps up to date.
+    /// Returns the replicas without a vote to which this leader replicates the log.
     pub fn learners(&self) -> impl Iterator<Item = &MemberRecord> {
         self.learners.values()
     }
 
-    /// Finds the newest entry that names the replicas.
+    /// Sets the members from the newest membership entry in the log, else from the
+    /// snapshot, else from the configuration.
     pub(super) fn reload_members(&mut self) {
         let base = self.log.base().index;
         let last = self.log.last().index;
@@ -62,7 +69,8 @@
         self.records_index = index;
     }
 
-    /// Founds the group with this replica alone; the others join it.
+    /// Bootstraps the group with this replica as its only member and leader; other
+    /// replicas join later. Does nothing if the replica has a log, members or a term.
     pub(super) fn bootstrap(&mut self, record: MemberRecord, out: &mut Vec<ReplicaAction>) {
         let is_empty = self.log.last().index == 0 && self.members.is_empty();
         if !is_empty || self.hard.term > 0 {
@@ -82,7 +90,8 @@
         self.propose_members(vec![record], out);
     }
 
-    /// Takes note of a replica that asks to be kept up to date.
+    /// Adds a learner: a replica that asks for the log but has no vote. Only a
+    /// leader of a group with recorded members does so.
     pub(super) fn add_learner(&mut self, record: MemberRecord, now: Duration) {
         if self.size == 0 || self.members.contains(&record.id) {
             return;
@@ -95,8 +104,9 @@
         self.learners.insert(record.id, record);
     }
 
-    /// Changes the replicas by one, where that brings the group nearer to what
-    /// it should be.
+    /// Proposes a change of one member if that brings the group closer to its target
+    /// size with reachable members. Waits until the previous change is committed,
+    /// and until an entry of the current term is.
     pub(super) fn reconcile_members(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         self.drop_unresponsive_learners(now);
         let is_previous_change_committed = self.records_index <= self.commit
@@ -110,6 +120,8 @@
         }
     }
 
+    /// Drops learners without contact for [`DROP_LEARNER_AFTER`], and those that
+    /// have become members.
     fn drop_unresponsive_learners(&mut self, now: Duration) {
         let ReplicaRole::Leader(peers) = &mut self.role else {
             return;
@@ -120,6 +132,7 @@
             .retain(|id, _| peers.contains_key(id) && !members.contains(id));
     }
 
+    /// Returns the members after the next change, or `None` if none is needed.
     fn plan_member_change(&self, now: Duration) -> Option<Vec<MemberRecord>> {
         let caught_up = self.find_caught_up_learner(now);
         if let Some(learner) = caught_up {
@@ -128,8 +141,9 @@
                 .iter()
                 .position(|record| record.instance == learner.instance);
             if let Some(former_position) = former_position {
-                // The instance itself came back with an empty disk: its former
-                // identity will never vote again, so that one step is safe.
+                // The same instance came back with an empty disk. Its former
+                // identity will never vote again, so replacing the member in
+                // one step is safe.
                 let mut members = self.records.clone();
                 members[former_position] = learner.clone();
                 return Some(members);
@@ -149,7 +163,8 @@
         Some(remaining.cloned().collect())
     }
 
-    /// Returns a learner that holds nearly all and answers.
+    /// Returns a learner that lacks at most [`MAX_LEARNER_LAG_ENTRIES`] and answered
+    /// within the election time-out.
     fn find_caught_up_learner(&self, now: Duration) -> Option<&MemberRecord> {
         let ReplicaRole::Leader(peers) = &self.role else {
             return None;
@@ -165,7 +180,8 @@
         })
     }
 
-    /// Returns the member that has been silent longest, if too long.
+    /// Returns the member without contact for the longest time, if that exceeds
+    /// [`REPLACE_AFTER`].
     fn find_unresponsive_member(&self, now: Duration) -> Option<ReplicaId> {
         let ReplicaRole::Leader(peers) = &self.role else {
             return None;
@@ -177,13 +193,14 @@
         unresponsive.min().map(|(_, id)| id)
     }
 
+    /// Appends a membership entry to the log.
     fn propose_members(&mut self, members: Vec<MemberRecord>, out: &mut Vec<ReplicaAction>) {
         let is_whole = members.len() >= self.size;
         self.add_entry(ControlCommand::Members { members, is_whole }, out);
         self.advance_commit(out);
     }
 
-    /// Keeps up with replicas that are new.
+    /// Starts to track the replication progress of new members.
     fn track_new_members(&mut self, now: Duration) {
         let progress = self.new_progress(now);
         let local_id = self.id;
@@ -195,7 +212,8 @@
         }
     }
 
-    /// Lets the follower that holds most lead.
+    /// Transfers leadership: asks the voter with the longest matching log (the most
+    /// recently seen one, if several are equal) to start an election at once.
     pub(super) fn transfer_leadership(&mut self, now: Duration, out: &mut Vec<ReplicaAction>) {
         self.send_all(now, out);
         let ReplicaRole::Leader(peers) = &self.role else {
--- a/crates/core/src/process/control/publish.rs
+++ b/crates/core/src/process/control/publish.rs
@@ -1,11 +1,13 @@
-//! Ending proposals that come in force: once a quorum knows of the commit.
+//! Delays the result of a proposal that changes published state (tables,
+//! evacuations, roll-outs) until a quorum has stored the commit index.
 //!
-//! A commit is known to its leader alone at first. Were it told to an operator
-//! then, and the leader lost, instances that hold the entry could not tell it
-//! from one that was never accepted, and without a quorum never would. Whoever
-//! knows of a commit has kept that, puts it in force, and tells others. Without
-//! this, 4 of 55 runs beside six busy processes that killed a leader right after
-//! its word left both others without the change; with it none of 40.
+//! At first only the leader knows that an entry is committed. If the leader
+//! acknowledged the change at that point and then crashed, the other replicas
+//! could not tell the entry from one that was never accepted, and without a
+//! quorum never would. A replica that knows of the commit persists that,
+//! publishes the change and passes it on. Without the delay, 4 of 55 runs beside
+//! six busy processes that killed a leader right after its acknowledgement left
+//! both other replicas without the change; with the delay, 0 of 40 did.
 
 use std::time::Duration;
 
@@ -14,23 +16,25 @@
 use crate::process::control::replica::ReplicaMachine;
 use crate::process::control::state::CommandOutcome;
 
-/// The end of a proposal that waits until a quorum knows of its commit.
+/// The result of a committed proposal, held back until a quorum has acknowledged
+/// the commit.
 #[derive(Debug)]
 pub(super) struct PendingResult {
-    /// The driver's name for it.
+    /// Number that the driver gave the proposal.
     pub(super) tag: u64,
     outcome: CommandOutcome,
-    /// Index of its entry.
+    /// Log index of the proposal's entry.
     index: u64,
-    /// The round of messages that tell of its commit.
+    /// First round of heartbeats that carries the commit index.
     round: u64,
-    /// Followers that know.
+    /// Followers that have acknowledged the commit.
     acknowledged_by: Vec<ReplicaId>,
 }
 
 impl ReplicaMachine {
-    /// Puts off the end of a committed proposal, and tells followers of the
-    /// commit at once: with the next heartbeat it would take up to that long.
+    /// Holds back the result of a committed proposal, and makes the heartbeat that
+    /// sends the commit index to followers due at once: waiting for the next regular
+    /// heartbeat would add up to a whole heartbeat interval.
     pub(super) fn defer_result(&mut self, tag: u64, outcome: CommandOutcome, index: u64) {
         self.round += 1;
         self.heartbeat_at = Duration::ZERO;
@@ -43,41 +47,41 @@
         });
     }
 
-    /// Takes note that a follower's log fits up to `index`, and that it
+    /// Records that a follower's log matches up to `index`, and that the follower
     /// answered a message of `round`.
     ///
-    /// What was sent in that round told of the commit, so that a follower with
-    /// the entry has kept the commit before it answered.
+    /// Messages from that round on carry the commit index, so a follower that has
+    /// the entry has persisted the commit before it answers.
     pub(super) fn record_commit_acknowledgement(
         &mut self,
         from: ReplicaId,
         index: u64,
         round: u64,
     ) {
-        for end in &mut self.ends {
-            let is_acknowledged = round >= end.round && index >= end.index;
-            if is_acknowledged && !end.acknowledged_by.contains(&from) {
-                end.acknowledged_by.push(from);
+        for pending in &mut self.ends {
+            let is_acknowledged = round >= pending.round && index >= pending.index;
+            if is_acknowledged && !pending.acknowledged_by.contains(&from) {
+                pending.acknowledged_by.push(from);
             }
         }
     }
 
-    /// Ends the proposals whose commit a quorum knows.
+    /// Reports the results of all proposals whose commit a quorum has acknowledged.
     pub(super) fn complete_acknowledged(&mut self, out: &mut Vec<ReplicaAction>) {
         let local_acknowledgement = usize::from(self.is_voter());
         let quorum = self.quorum();
         let members = &self.members;
-        let is_acknowledged_by_quorum = |end: &mut PendingResult| {
-            let acknowledged_by = end
+        let is_acknowledged_by_quorum = |pending: &mut PendingResult| {
+            let acknowledged_by = pending
                 .acknowledged_by
                 .iter()
                 .filter(|peer| members.contains(peer));
             acknowledged_by.count() + local_acknowledgement >= quorum
         };
         let completed = self.ends.extract_if(.., is_acknowledged_by_quorum);
-        out.extend(completed.map(|end| ReplicaAction::End {
-            tag: end.tag,
-            end: ProposalEnd::Done(end.outcome),
+        out.extend(completed.map(|pending| ReplicaAction::End {
+            tag: pending.tag,
+            end: ProposalEnd::Done(pending.outcome),
         }));
     }
 }
--- a/crates/core/src/process/control/rollout.rs
+++ b/crates/core/src/process/control/rollout.rs
@@ -1,39 +1,40 @@
-//! Roll-outs of services to a new version, as the log keeps them.
+//! Replicated registry of the roll-outs of services to a new version.
 //!
-//! One roll-out a service at a time. An order that is sent again finds its
-//! roll-out and changes nothing. The control group's leader turns a roll-out to
-//! its next state by what entries tell it ([`crate::process::rollout::evaluator`]).
+//! Each service has at most one roll-out in progress. A resent order matches the
+//! roll-out that it started and changes nothing. The leader of the control group
+//! moves a roll-out to its next state according to the outcome counts that entries
+//! report ([`crate::process::rollout::evaluator`]).
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Most services whose last roll-out is remembered.
+/// Maximum number of services in the registry.
 pub const MAX_ROLLOUTS: usize = 4096;
-/// Time in which an order may be sent again after its roll-out has ended, in
-/// milliseconds. Later it is a new one.
+/// Time after a roll-out was rolled back in which an order of the same version is
+/// taken for a resent one, in milliseconds. A later order starts a new roll-out.
 const RESEND_WINDOW_MS: u64 = 20_000;
 
-/// How far a roll-out is.
+/// State of a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RolloutState {
-    /// A few requests go to the new version.
+    /// Canary phase: a few requests go to the new version.
     Trying,
-    /// All requests go to the new version; the old one finishes what it has.
+    /// All requests go to the new version; the old one finishes its requests.
     Moving,
-    /// The old version is not used any more.
+    /// Final: the old version is no longer used.
     Completed,
-    /// The new version is not used any more.
+    /// Final: the new version is no longer used.
     RolledBack,
 }
 
 impl RolloutState {
-    /// Tells whether it goes on.
+    /// Returns whether the roll-out is in progress.
     pub fn is_open(self) -> bool {
         matches!(self, RolloutState::Trying | RolloutState::Moving)
     }
 
-    /// Tells whether a roll-out in this state may turn to `next`.
+    /// Returns whether a roll-out may go from this state to `next`.
     fn can_transition_to(self, next: RolloutState) -> bool {
         matches!(
             (self, next),
@@ -47,73 +48,77 @@
     }
 }
 
-/// A change of a roll-out.
+/// A change to the roll-out of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutChange {
-    /// An operator orders one.
+    /// An operator orders a roll-out.
     Start {
-        /// The service.
+        /// Name of the service.
         service: Box<str>,
-        /// The version that its requests are to go to.
+        /// The new version, to which the service's requests are to go.
         target: Box<str>,
-        /// Time that it may take, in milliseconds.
+        /// Time within which the roll-out should end, in milliseconds.
         duration_ms: u64,
-        /// When it was ordered, in Unix milliseconds.
+        /// Time of the order, in Unix milliseconds.
         at_ms: u64,
     },
-    /// The leader turns one to its next state.
+    /// The leader moves a roll-out to its next state.
     Turn {
-        /// The service.
+        /// Name of the service.
         service: Box<str>,
-        /// Revision of the order that it is about.
+        /// Revision of the order that started the roll-out.
         order: u64,
         /// The next state.
         state: RolloutState,
-        /// When, in Unix milliseconds.
+        /// Time of the transition, in Unix milliseconds.
         at_ms: u64,
     },
 }
 
-/// What came of a [`RolloutChange`].
+/// Outcome of applying a [`RolloutChange`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutOutcome {
-    /// It is so; revision of the order.
+    /// The change was applied, or it repeats an order that was applied before; holds
+    /// the revision of that roll-out's order.
     Stands(u64),
-    /// A roll-out of the service to this version is going on.
+    /// The order was rejected: a roll-out of the service to this other version is in
+    /// progress.
     Busy(Box<str>),
-    /// The state it was to turn from is not the one that stands.
+    /// The transition was rejected as outdated: the service has a newer roll-out, or
+    /// the current state does not allow the transition.
     Passed,
-    /// Too many services are remembered.
+    /// The order was rejected: the registry holds [`MAX_ROLLOUTS`] services already.
     Full,
 }
 
-/// The last roll-out of a service.
+/// The most recent roll-out of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutRecord {
-    /// The version that its requests are to go to.
+    /// The new version, to which the service's requests are to go.
     pub target: Box<str>,
-    /// How far it is.
+    /// Current state.
     pub state: RolloutState,
-    /// Revision of its order.
+    /// Revision that the registry gave the order; identifies the roll-out.
     pub order: u64,
-    /// When it was ordered, in Unix milliseconds.
+    /// Time of the order, in Unix milliseconds.
     pub ordered_ms: u64,
-    /// When it turned to its state, in Unix milliseconds.
+    /// Time at which the roll-out reached its current state, in Unix milliseconds.
     #[serde(rename = "turned_ms")]
     pub state_since_ms: u64,
-    /// Time that it may take, in milliseconds.
+    /// Time within which the roll-out should end, in milliseconds.
     pub duration_ms: u64,
 }
 
-/// The last roll-outs of all services.
+/// Registry of the most recent roll-out of each service.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutRegistry {
+    /// Number of changes applied so far.
     revision: u64,
     services: BTreeMap<Box<str>, RolloutRecord>,
 }
 
 impl RolloutRegistry {
-    /// Takes a change.
+    /// Applies a change.
     pub fn apply(&mut self, change: &RolloutChange) -> RolloutOutcome {
         match change {
             RolloutChange::Start {
@@ -131,6 +136,8 @@
         }
     }
 
+    /// Starts a roll-out, unless the service has one in progress or the order is a
+    /// resent one.
     fn start(
         &mut self,
         service: &str,
@@ -163,6 +170,8 @@
         RolloutOutcome::Stands(self.revision)
     }
 
+    /// Moves the roll-out with this order to a new state, if the order is the
+    /// service's latest and the transition is allowed.
     fn transition(
         &mut self,
         service: &str,
@@ -188,12 +197,13 @@
         self.revision
     }
 
-    /// Returns the last roll-out of a service.
+    /// Returns the most recent roll-out of a service.
     pub fn get(&self, service: &str) -> Option<&RolloutRecord> {
         self.services.get(service)
     }
 
-    /// Iterates over the last roll-outs, by service.
+    /// Iterates over the most recent roll-outs with their services, ordered by
+    /// service name.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &RolloutRecord)> {
         let services = self.services.iter();
         services.map(|(service, record)| (&**service, record))
--- a/crates/core/src/process/control/state.rs
+++ b/crates/core/src/process/control/state.rs
@@ -1,5 +1,8 @@
-//! What the log is applied to: the table, its history, and the outcomes of
-//! changes. The same entries give the same state on every replica.
+//! The replicated state machine to which committed log entries are applied.
+//!
+//! The state holds the service table with its history, the route table, the
+//! members, the idempotency claims, the evacuations and the roll-outs. Applying
+//! the same entries in the same order gives the same state on every replica.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -13,66 +16,70 @@
 use crate::process::control::log::ReplicaId;
 use crate::process::control::rollout::{RolloutChange, RolloutOutcome, RolloutRegistry};
 
-/// Outcomes of changes that are kept, so that a resent change gets its first
-/// outcome. At 410 changes a day this is more than three weeks.
+/// Maximum number of stored outcomes of service table changes. A resent change
+/// gets its first outcome again; at 410 changes a day, outcomes are available for
+/// more than three weeks.
 pub const MAX_OUTCOMES: usize = 10_000;
-/// Versions whose text is kept for the history.
+/// Number of service table versions whose text is retained for the history.
 pub const MAX_VERSIONS: usize = 20;
-/// Bytes that a command takes besides its texts, about.
+/// Approximate size of a command without its texts, in bytes.
 const COMMAND_OVERHEAD_BYTES: usize = 64;
 
-/// What a log entry does.
+/// A command, the content of a log entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlCommand {
-    /// Nothing; a new leader's first entry, which lets it commit older ones.
+    /// No operation. A new leader appends this entry first, because only an entry of
+    /// its own term lets the leader commit older entries.
     Nothing,
-    /// A change of the table.
+    /// A change of the service table, which has a row of settings per service.
     Change {
         /// Identity of the change, chosen by the operator's client.
         change: String,
-        /// Version it is based on.
+        /// Table version that the change is based on.
         base: u64,
-        /// Who made it, and why.
+        /// Who made the change, and why.
         note: String,
-        /// The whole new table as CSV, without findings.
+        /// The complete new table as CSV, already validated without findings.
         csv: String,
     },
-    /// A change of the route table.
+    /// A new version of the route table, which says how requests reach services.
     Route {
-        /// Its version.
+        /// The new version number.
         version: u64,
-        /// Version it must be based on, if the operator says so; without, the
-        /// highest version wins.
+        /// Version that must be current for the change to be accepted, if the
+        /// operator gave one; otherwise the highest version wins.
         base: Option<u64>,
-        /// The whole document, checked before and packed.
+        /// The complete route document, already validated, in compressed form.
         text: Vec<u8>,
     },
-    /// Who the replicas are; in force as soon as it is in a replica's log.
+    /// New members of the control group. A replica uses them as soon as the entry
+    /// is in its log, before the commit.
     Members {
-        /// All that vote.
+        /// All replicas with a vote.
         members: Vec<MemberRecord>,
-        /// Whether the group has the size it needs.
+        /// Whether the group has reached its target size.
         is_whole: bool,
     },
-    /// A claim on an idempotency key.
+    /// A claim of an idempotency key.
     Claim(ClaimRequest),
-    /// The end of a claim; `None` if the request is known not to have run.
+    /// The result of a claimed request.
     EndClaim {
-        /// The key.
+        /// The claimed key.
         key: String,
-        /// Who claimed it.
+        /// Identity of the request that claimed the key.
         claimant: u64,
-        /// What became of the request.
+        /// The request's result; `None` if the request is known not to have run.
         end: Option<ExecutionResult>,
     },
-    /// A failure domain is taken out of use, or back into use.
+    /// Takes a failure domain out of use, or puts it back into use.
     Evacuate(EvacuationChange),
-    /// A roll-out of a service begins or goes on.
+    /// Starts a roll-out of a service, or moves one to its next state.
     Rollout(RolloutChange),
 }
 
 impl ControlCommand {
-    /// Tells whether the command is for something that instances put in force.
+    /// Returns whether the command changes state that the group publishes to other
+    /// instances.
     pub fn changes_published_state(&self) -> bool {
         matches!(
             self,
@@ -83,7 +90,7 @@
         )
     }
 
-    /// Returns about how many bytes the command takes.
+    /// Returns the approximate size of the command in bytes.
     pub fn bytes(&self) -> usize {
         let text = match self {
             ControlCommand::Change { note, csv, .. } => note.len() + csv.len(),
@@ -99,73 +106,79 @@
     }
 }
 
-/// What a command came to.
+/// Outcome of applying a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandOutcome {
-    /// Nothing to tell.
+    /// The command was applied and has no outcome of its own.
     Done,
-    /// What came of a change.
+    /// Outcome of a change of the service table.
     Change(ChangeOutcome),
-    /// The answer to a claim.
+    /// Outcome of a claim.
     Claim(ClaimOutcome),
-    /// What came of a change of the route table.
+    /// Outcome of a change of the route table.
     Route(RouteOutcome),
-    /// What came of a change of a failure domain's use.
+    /// Outcome of taking a failure domain out of use or putting it back.
     Evacuate(EvacuationOutcome),
-    /// What came of a change of a roll-out.
+    /// Outcome of a change of a roll-out.
     Rollout(RolloutOutcome),
 }
 
-/// What came of a change of the route table.
+/// Outcome of a change of the route table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteOutcome {
-    /// It is in force.
+    /// The new version is current.
     Accepted,
-    /// This version, not a lower one, was in force already; nothing changed.
+    /// Nothing changed: the current version, given here, is the same or higher.
     Overtaken(u64),
-    /// It was based on another version than this, which is in force.
+    /// Nothing changed: the current version, given here, is not the one that the
+    /// change was based on.
     Conflict(u64),
 }
 
-/// A replica of the control group.
+/// A member of the control group, or a learner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Its identity.
+    /// Identity that the replica drew when its data folder was created.
     pub id: ReplicaId,
-    /// Name of its instance.
+    /// Name of the instance that runs the replica.
     pub instance: Box<str>,
-    /// Where other instances reach it.
+    /// Address at which other instances reach the replica.
     pub address: SocketAddr,
 }
 
-/// What came of a change.
+/// Outcome of a change of the service table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeOutcome {
-    /// It is in force as this version.
+    /// The change is current, as this version.
     Accepted(u64),
-    /// Another change stood when it was applied, as this version.
+    /// Nothing changed: the current version, given here, is not the one that the
+    /// change was based on.
     Conflict(u64),
 }
 
-/// A version of the table.
+/// A version of the service table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableVersion {
-    /// Its number.
+    /// Version number.
     pub version: u64,
-    /// The change that made it.
+    /// Identity of the change that made this version.
     pub change: String,
-    /// Who made it, and why.
+    /// Who made the change, and why.
     pub note: String,
     /// The table as CSV.
     pub csv: String,
 }
 
-/// The state that all replicas share.
+/// The replicated state, equal on all replicas that have applied the same entries.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlState {
+    /// Current version of the service table; 0 before the first change.
     version: u64,
+    /// The last [`MAX_VERSIONS`] service table versions, oldest first.
     versions: VecDeque<TableVersion>,
+    /// Outcomes of service table changes, by the change's identity.
     outcomes: BTreeMap<String, ChangeOutcome>,
+    /// Identities in `outcomes`, oldest first; used to evict in that order.
     order: VecDeque<String>,
     claims: ClaimRegistry,
     route_version: u64,
@@ -209,6 +222,7 @@
         }
     }
 
+    /// Replaces the route table if the version is higher and the base matches.
     fn route(&mut self, version: u64, base: Option<u64>, text: &[u8]) -> RouteOutcome {
         if base.is_some_and(|base| base != self.route_version) {
             return RouteOutcome::Conflict(self.route_version);
@@ -221,38 +235,38 @@
         RouteOutcome::Accepted
     }
 
-    /// Returns the version of the route table; 0 before the first.
+    /// Returns the current version of the route table; 0 before the first.
     pub fn route_version(&self) -> u64 {
         self.route_version
     }
 
-    /// Returns the route table, packed as it was proposed.
+    /// Returns the route table in the compressed form in which it was proposed.
     pub fn route_text(&self) -> &[u8] {
         &self.route_text
     }
 
-    /// Returns the replicas, if the group keeps them in its log.
+    /// Returns the members of the group, if the group records them in its log.
     pub fn members(&self) -> &[MemberRecord] {
         &self.members
     }
 
-    /// Tells whether the group ever had the size it needs.
+    /// Returns whether the group has ever reached its target size.
     pub fn is_founded(&self) -> bool {
         self.is_founded
     }
 
-    /// Returns the failure domains out of use.
+    /// Returns the registry of failure domains that operators took out of use.
     pub fn evacuations(&self) -> &EvacuationRegistry {
         &self.evacuations
     }
 
-    /// Returns the last roll-outs of the services.
+    /// Returns the registry of the services' most recent roll-outs.
     pub fn rollouts(&self) -> &RolloutRegistry {
         &self.rollouts
     }
 
-    /// Returns how far all that the group publishes has come: the table, the
-    /// route table, the failure domains out of use, and the roll-outs.
+    /// Returns the revisions of everything that the group publishes: the service
+    /// table, the route table, the evacuations and the roll-outs.
     pub(super) fn published_revisions(&self) -> [u64; 4] {
         [
             self.version,
@@ -262,11 +276,13 @@
         ]
     }
 
-    /// Returns the claims.
+    /// Returns the registry of idempotency claims.
     pub fn claims(&self) -> &ClaimRegistry {
         &self.claims
     }
 
+    /// Adds a service table version if the base is the current version. A change
+    /// that was applied before gets its first outcome again.
     fn change(&mut self, change: &str, base: u64, note: &str, csv: &str) -> ChangeOutcome {
         if let Some(outcome) = self.outcomes.get(change) {
             return *outcome;
@@ -287,22 +303,22 @@
         outcome
     }
 
-    /// Returns the version in force; 0 before the first change.
+    /// Returns the current version of the service table; 0 before the first change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Returns the table in force.
+    /// Returns the current service table.
     pub fn current(&self) -> Option<&TableVersion> {
         self.versions.back()
     }
 
-    /// Returns the kept versions, oldest first.
+    /// Iterates over the retained service table versions, oldest first.
     pub fn history(&self) -> impl Iterator<Item = &TableVersion> {
         self.versions.iter()
     }
 
-    /// Returns the number of outcomes kept.
+    /// Returns the number of stored outcomes of service table changes.
     pub fn outcome_count(&self) -> usize {
         self.outcomes.len()
     }
--- a/crates/core/src/process/rollout/evaluator.rs
+++ b/crates/core/src/process/rollout/evaluator.rs
@@ -1,9 +1,10 @@
-//! Whether a new version is as good as the old one: a sequential test by route.
+//! Canary analysis: a sequential probability ratio test per route, which decides
+//! whether a new version is as good as the old one.
 //!
-//! Each answer of the new version is good or bad. The test weighs whether bad
-//! ones come as often as with the old version under the same load, or much more
-//! often. It never stops, as a version may turn bad later: what speaks for a
-//! version is counted up to a limit.
+//! Each answer of the new version is good or bad. The test compares two hypotheses:
+//! bad answers are as frequent as with the old version under the same load, or much
+//! more frequent. The test goes on until the roll-out ends, because a version may
+//! become bad later; evidence in favour of the version is therefore capped.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,50 +12,63 @@
 use crate::process::control::rollout::{RolloutRecord, RolloutState};
 use crate::process::rollout::VersionOutcomes;
 
-/// Likelihood ratio, as a logarithm, above which a version is bad.
+/// Logarithm of the likelihood ratio (bad to good) above which a version is rolled
+/// back.
 const ROLL_BACK_LOG_RATIO: f64 = 5.3;
-/// The same below which a version is good.
+/// Logarithm of the likelihood ratio at which a version is accepted; lower values
+/// are raised to this one.
 const ACCEPT_LOG_RATIO: f64 = -4.6;
-/// The same above which there is doubt, if little is known.
+/// Highest logarithm of the likelihood ratio at which a version with too few
+/// answers for a clear result is accepted.
 const MAX_SPARSE_LOG_RATIO: f64 = 0.0;
-/// Least part of bad answers that the old version is taken to have.
+/// Minimum fraction of bad answers assumed for the old version.
 const MIN_BAD_FRACTION: f64 = 0.02;
-/// By how much bad answers of a bad version exceed the old one's.
+/// Difference between the fraction of bad answers of a bad version and that of the
+/// old version.
 const BAD_FRACTION_MARGIN: f64 = 0.25;
-/// Answers that the old version's part of bad ones is smoothed by.
+/// Number of assumed answers, with [`MIN_BAD_FRACTION`] bad ones, that are added to
+/// the old version's counts for smoothing.
 const SMOOTHING_ANSWERS: f64 = 20.0;
-/// Part of the time for which a new version is tried in any case: it may turn
-/// bad later.
+/// Fraction of the roll-out's duration that the canary phase takes at least, because
+/// a version may become bad later.
 const MIN_CANARY_FRACTION: f64 = 0.45;
-/// Part of the time after which a version of which little is known, and nothing
-/// bad, counts as good.
+/// Fraction of the roll-out's duration after which a version with few answers, and
+/// no evidence against it, is accepted.
 const SPARSE_ACCEPT_FRACTION: f64 = 0.6;
-/// Part of the time after which one that has given no answer is given up.
+/// Fraction of the roll-out's duration after which a version without any answer, or
+/// without a clear result, is rolled back.
 const DECISION_DEADLINE_FRACTION: f64 = 0.85;
-/// Part of the time in which the old version finishes what it has.
+/// Fraction of the roll-out's duration in which the old version finishes its
+/// requests.
 const DRAIN_FRACTION: f64 = 0.1;
-/// Longest time for that.
+/// Maximum time for the old version to finish its requests.
 const MAX_DRAIN_TIME: Duration = Duration::from_secs(3);
 
-/// What is known of one route's requests.
+/// Evidence from the answers on one route.
 #[derive(Debug, Clone, Copy, Default)]
 struct RouteEvidence {
+    /// Answers of the old version.
     old_answers: f64,
+    /// Bad answers of the old version.
     old_bad: f64,
+    /// Answers of the new version.
     new_answers: f64,
+    /// Logarithm of the likelihood ratio: the higher, the more likely the new version
+    /// is bad.
     log_ratio: f64,
 }
 
 impl RouteEvidence {
-    /// Returns the part of bad answers that the old version has at most, by a
-    /// standard error more than what was counted.
+    /// Returns an upper estimate of the old version's fraction of bad answers: the
+    /// smoothed fraction plus one standard error.
     fn expected_bad_fraction(&self) -> f64 {
         let answers = self.old_answers + SMOOTHING_ANSWERS;
-        let elapsed_fraction = (self.old_bad + MIN_BAD_FRACTION * SMOOTHING_ANSWERS) / answers;
-        let error = (elapsed_fraction * (1.0 - elapsed_fraction) / answers).sqrt();
-        (elapsed_fraction + error).clamp(MIN_BAD_FRACTION, 1.0 - 2.0 * BAD_FRACTION_MARGIN)
+        let bad_fraction = (self.old_bad + MIN_BAD_FRACTION * SMOOTHING_ANSWERS) / answers;
+        let error = (bad_fraction * (1.0 - bad_fraction) / answers).sqrt();
+        (bad_fraction + error).clamp(MIN_BAD_FRACTION, 1.0 - 2.0 * BAD_FRACTION_MARGIN)
     }
 
+    /// Adds an entry's outcome counts to the evidence.
     fn record(&mut self, outcomes: &VersionOutcomes) {
         let (answers, bad) = (f64::from(outcomes.answers), f64::from(outcomes.bad));
         if !outcomes.is_target {
@@ -72,32 +86,36 @@
     }
 }
 
+/// Evidence on the roll-out of one service.
 #[derive(Debug, Clone, Default)]
 struct ServiceEvidence {
+    /// Revision of the order that started the roll-out.
     order: u64,
+    /// Evidence by route name.
     routes: BTreeMap<Box<str>, RouteEvidence>,
 }
 
-/// How old a roll-out is.
+/// Age of a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RolloutAge {
-    /// Time since its order.
+    /// Time since the operator ordered the roll-out.
     pub since_order: Duration,
-    /// Time since it turned to its state.
+    /// Time since the roll-out reached its current state.
     pub in_state: Duration,
 }
 
-/// The evidence on all roll-outs that go on.
+/// Collects evidence on all roll-outs in progress and decides their transitions.
 #[derive(Debug, Clone, Default)]
 pub struct RolloutEvaluator {
     services: BTreeMap<Box<str>, ServiceEvidence>,
 }
 
 impl RolloutEvaluator {
-    /// Takes what entries tell. What is told of an earlier roll-out of the
-    /// service counts for nothing.
+    /// Records outcome counts reported by entries. Ignores reports on an earlier
+    /// roll-out of the same service.
     pub fn record_outcomes(&mut self, batches: &[VersionOutcomes]) {
-        // The old version's answers first: they say what is usual.
+        // Record the old version first: its bad fraction is the reference for the
+        // new version's answers.
         let (new, old): (Vec<_>, Vec<_>) = batches.iter().partition(|outcomes| outcomes.is_target);
         for outcomes in old.into_iter().chain(new) {
             let evidence = self.services.entry(outcomes.service.clone()).or_default();
@@ -115,12 +133,12 @@
         }
     }
 
-    /// Forgets services whose roll-outs have ended.
+    /// Removes the evidence on services whose roll-outs have ended.
     pub fn retain_services(&mut self, is_open: impl Fn(&str) -> bool) {
         self.services.retain(|service, _| is_open(service));
     }
 
-    /// Returns the state that a roll-out should turn to, if any.
+    /// Returns the next state of a roll-out, or `None` if it should stay as it is.
     pub fn decide_transition(
         &self,
         service: &str,
@@ -135,8 +153,8 @@
         let routes: Vec<RouteEvidence> = evidence
             .map(|evidence| evidence.routes.values().copied().collect())
             .unwrap_or_default();
-        let max_log_ratio = routes.iter().map(|route| route.log_ratio);
-        let max_log_ratio = max_log_ratio.fold(f64::NEG_INFINITY, f64::max);
+        let log_ratios = routes.iter().map(|route| route.log_ratio);
+        let max_log_ratio = log_ratios.fold(f64::NEG_INFINITY, f64::max);
         if max_log_ratio > ROLL_BACK_LOG_RATIO {
             return Some(RolloutState::RolledBack);
         }
@@ -159,7 +177,7 @@
         {
             return Some(RolloutState::Moving);
         }
-        // What is in doubt for so long is not proved good in time.
+        // The evidence is still unclear, so that the version can't be accepted in time.
         (elapsed_fraction >= DECISION_DEADLINE_FRACTION).then_some(RolloutState::RolledBack)
     }
 }
--- a/crates/core/src/process/rollout/mod.rs
+++ b/crates/core/src/process/rollout/mod.rs
@@ -1,8 +1,9 @@
-//! Moving a service's requests to a new version, by evidence.
+//! Canary roll-out of a service to a new version.
 //!
 //! Entries send a few requests to the new version ([`share::CanarySampler`]) and
-//! tell the control group how both versions answered ([`VersionOutcomes`]); its
-//! leader decides by that ([`evaluator::RolloutEvaluator`]).
+//! report to the control group how both versions answered ([`VersionOutcomes`]).
+//! The group's leader evaluates the reports and completes the roll-out or rolls it
+//! back ([`evaluator::RolloutEvaluator`]).
 
 pub mod evaluator;
 pub mod share;
@@ -11,33 +12,34 @@
 
 use crate::process::control::rollout::RolloutState;
 
-/// What entries are told of a service's roll-out.
+/// State of a service's roll-out, as published to entries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutView {
-    /// The service.
+    /// Name of the service.
     pub service: Box<str>,
     /// The new version.
     pub target: Box<str>,
-    /// How far it is.
+    /// State of the roll-out.
     pub state: RolloutState,
-    /// Revision of its order.
+    /// Revision of the order that started the roll-out.
     pub order: u64,
 }
 
-/// How one version of a service answered the requests of one route at an entry,
-/// since it last told.
+/// Outcome counts for one version of a service on one route, counted by an entry
+/// since its previous report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionOutcomes {
-    /// Revision of the roll-out's order.
+    /// Revision of the order that started the roll-out.
     pub order: u64,
-    /// The service.
+    /// Name of the service.
     pub service: Box<str>,
     /// Name of the route.
     pub route: Box<str>,
-    /// Whether it is the new version.
+    /// Whether the counts are of the new version, not the old one.
     pub is_target: bool,
-    /// Answers, failures among them.
+    /// Number of answers, including failures.
     pub answers: u32,
-    /// Failures, and answers that took much longer than the route's usual.
+    /// Number of failures and of answers that took much longer than is typical of
+    /// the route.
     pub bad: u32,
 }
--- a/crates/core/src/process/rollout/share.rs
+++ b/crates/core/src/process/rollout/share.rs
@@ -1,25 +1,25 @@
-//! Which requests try a new version.
+//! Random selection of the requests that go to a new version as canaries.
 //!
-//! The bound holds for all entries together, and most of them see a service a
-//! few times in a roll-out. Each draws by chance, so that the sum comes out as
-//! if one had drawn for all.
+//! The bound on canary requests holds for all entries together, and most entries
+//! get only a few requests for a service during a roll-out. Each entry therefore
+//! selects at random, so that the total is as if one entry selected for all.
 
 use rand::Rng;
 
-/// Part of the bound's share that requests draw.
+/// Fraction of [`CanaryBound::share`] that entries use as probability.
 const SHARE_USE: f64 = 0.75;
-/// Part of the bound's slack that all entries together try first.
+/// Fraction of [`CanaryBound::slack`] that all entries together use.
 const SLACK_USE: f64 = 0.4;
-/// Part of the first requests that try the new version while the slack lasts.
+/// Probability that a request is drawn from the slack while some is left.
 const SLACK_DRAW_PROBABILITY: f64 = 0.5;
 
-/// The bound on requests to a new version that is not proved good, over all
-/// entries, as the operator sets it.
+/// Bound on the canary requests of all entries together: requests to a new version
+/// that the evaluation has not accepted yet. Set by the operator.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CanaryBound {
-    /// Part of the service's requests.
+    /// Allowed fraction of the service's requests.
     pub share: f64,
-    /// Requests besides.
+    /// Number of requests allowed in addition to that fraction, per roll-out.
     pub slack: f64,
 }
 
@@ -32,16 +32,19 @@
     }
 }
 
-/// An entry's part of the bound, in one roll-out.
+/// Selects an entry's canary requests in one roll-out.
 #[derive(Debug, Clone)]
 pub struct CanarySampler {
+    /// Probability that a request is a canary when no slack is used.
     sampling_probability: f64,
+    /// Number of requests that this entry may still take from the slack.
     slack_left: u32,
 }
 
 impl CanarySampler {
-    /// Returns the part of one of `entries`. What is no whole request falls to
-    /// some of them, by chance.
+    /// Returns a sampler for one of `entries` entries, with an equal part of the
+    /// slack. A fractional request is rounded up or down at random, with the
+    /// fraction as the probability of rounding up.
     pub fn new<R: Rng>(bound: CanaryBound, entries: u32, rng: &mut R) -> CanarySampler {
         let slack_requests = bound.slack * SLACK_USE / f64::from(entries.max(1));
         let whole_requests = slack_requests.floor();
@@ -52,7 +55,8 @@
         }
     }
 
-    /// Tells whether the next request tries the new version.
+    /// Decides whether the next request goes to the new version. Takes one request
+    /// from the slack if the decision uses the slack.
     pub fn should_try_new_version<R: Rng>(&mut self, rng: &mut R) -> bool {
         if self.slack_left > 0 && rng.random::<f64>() < SLACK_DRAW_PROBABILITY {
             self.slack_left -= 1;
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -1,4 +1,5 @@
-//! Failure domains out of use: orders that come twice, late and crossed.
+//! Tests of the evacuation registry: changes that are duplicated, delayed or arrive
+//! out of order.
 
 use proptest::prelude::*;
 use wheelmast_core::process::control::evacuation::{
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn an_order_stands_once_and_a_late_one_undoes_nothing() {
+fn a_change_is_applied_once_and_a_delayed_one_is_rejected() {
     use EvacuationOutcome::{Conflict, Stands};
     let cases = [
         OrderCase {
@@ -32,43 +33,43 @@
             evacuated_domains: &["a"],
         },
         OrderCase {
-            name: "sent again, knowing of the first",
+            name: "repeated, based on the first",
             orders: &[("a", true, 0), ("a", true, 1)],
             last_outcome: Stands(2),
             evacuated_domains: &["a"],
         },
         OrderCase {
-            name: "taken back",
+            name: "reverted",
             orders: &[("a", true, 0), ("a", false, 1)],
             last_outcome: Stands(2),
             evacuated_domains: &[],
         },
         OrderCase {
-            name: "late after it was taken back",
+            name: "duplicate after the reversal",
             orders: &[("a", true, 0), ("a", false, 1), ("a", true, 0)],
             last_outcome: Conflict(2),
             evacuated_domains: &[],
         },
         OrderCase {
-            name: "the end of what never began",
+            name: "put back into use without being out of use",
             orders: &[("a", false, 0)],
             last_outcome: Stands(1),
             evacuated_domains: &[],
         },
         OrderCase {
-            name: "a beginning that was held up until after its end",
+            name: "an evacuation delayed until after its reversal",
             orders: &[("a", false, 0), ("a", true, 0)],
             last_outcome: Conflict(1),
             evacuated_domains: &[],
         },
         OrderCase {
-            name: "several at once",
+            name: "two domains",
             orders: &[("a", true, 0), ("b", true, 0), ("a", false, 1)],
             last_outcome: Stands(3),
             evacuated_domains: &["b"],
         },
         OrderCase {
-            name: "begun, taken back and begun",
+            name: "evacuated, reverted and evacuated again",
             orders: &[("a", true, 0), ("a", false, 1), ("a", true, 2)],
             last_outcome: Stands(3),
             evacuated_domains: &["a"],
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn what_is_remembered_is_bounded() {
+fn number_of_domains_is_bounded() {
     let mut registry = EvacuationRegistry::default();
     for number in 0..MAX_DOMAINS {
         registry.apply(&change(&number.to_string(), true, 0));
@@ -104,11 +105,12 @@
 }
 
 proptest! {
-    /// An operator makes one order after the other, each on what it knows of the
-    /// log. Some are held up and come at any later time, some come twice. The
-    /// last one that was acknowledged holds, unless a later one got no answer.
+    /// An operator issues changes one after the other, each based on the current
+    /// revision. Some changes are delayed and arrive at any later time; some arrive
+    /// twice. Right after a change was acknowledged, its state must hold, whatever
+    /// copies of earlier changes arrive.
     #[test]
-    fn what_was_held_up_changes_nothing_that_was_acknowledged(
+    fn delayed_changes_never_undo_an_acknowledged_change(
         orders in prop::collection::vec((any::<bool>(), any::<bool>()), 1..12),
         copies in prop::collection::vec((0usize..12, 0usize..12), 0..24),
     ) {
--- a/crates/core/tests/fence.rs
+++ b/crates/core/tests/fence.rs
@@ -1,4 +1,5 @@
-//! Claims: one claimant a key, the first outcome for all, bounded memory.
+//! Tests of the claim registry: one claimant per key, the first result for all later
+//! claims, bounded memory.
 
 use wheelmast_core::process::control::fence::{
     ClaimOutcome, ClaimRegistry, ClaimRequest, ExecutionResult, CLAIM_LOST_AFTER_MS,
@@ -14,22 +15,25 @@
     }
 }
 
-/// Something that happens to a key claimed by claimant 1, and what a claim of
-/// claimant 2 at `at_ms` then gets.
+/// An event after claimant 1 has claimed a key, and the expected outcome of a later
+/// claim of the same key by claimant 2.
 struct SecondClaimCase {
     name: &'static str,
+    /// Claimant and result of a call that ends the first claim, if there is one.
     result: Option<(u64, Option<ExecutionResult>)>,
+    /// Content digest of the second request; the first one's is 7.
     digest: u128,
+    /// Time of the second claim; the first one's is 0.
     at_ms: u64,
     outcome: ClaimOutcome,
 }
 
 #[test]
-fn a_second_arrival_gets_what_became_of_the_first() {
+fn a_second_claim_gets_the_result_of_the_first() {
     let ran = || ExecutionResult::Ran(Some("answer".to_string()));
     let cases = [
         SecondClaimCase {
-            name: "at work",
+            name: "in progress",
             result: None,
             digest: 7,
             at_ms: 1,
@@ -50,14 +54,14 @@
             outcome: ClaimOutcome::Granted,
         },
         SecondClaimCase {
-            name: "not known",
+            name: "result unknown",
             result: Some((1, Some(ExecutionResult::Unknown))),
             digest: 7,
             at_ms: 1,
             outcome: ClaimOutcome::Ended(ExecutionResult::Unknown),
         },
         SecondClaimCase {
-            name: "another's word",
+            name: "result reported by another claimant",
             result: Some((2, None)),
             digest: 7,
             at_ms: 1,
@@ -71,14 +75,14 @@
             outcome: ClaimOutcome::OtherContent,
         },
         SecondClaimCase {
-            name: "its instance was lost",
+            name: "claimant's instance lost",
             result: None,
             digest: 7,
             at_ms: CLAIM_LOST_AFTER_MS + 2,
             outcome: ClaimOutcome::Ended(ExecutionResult::Unknown),
         },
         SecondClaimCase {
-            name: "a day ago",
+            name: "claim older than a day",
             result: Some((1, Some(ran()))),
             digest: 7,
             at_ms: CLAIM_RETENTION_MS + 2,
@@ -127,7 +131,7 @@
 }
 
 #[test]
-fn kept_answers_are_bounded_in_sum_and_forgotten_with_their_claims() {
+fn total_result_size_is_bounded_and_freed_with_expired_claims() {
     let answer = "x".repeat(MAX_RESULT_BYTES);
     let max_full_results = MAX_TOTAL_RESULT_BYTES / MAX_RESULT_BYTES;
     let mut registry = ClaimRegistry::default();
@@ -142,13 +146,13 @@
         }
         let last = registry.claim(&request(&format!("k{max_full_results}"), 1, 2, at_ms));
         assert_eq!(last, ClaimOutcome::Ended(ExecutionResult::Ran(None)));
-        let kept = registry.claim(&request("k0", 1, 2, at_ms));
+        let stored = registry.claim(&request("k0", 1, 2, at_ms));
         assert_eq!(
-            kept,
+            stored,
             ClaimOutcome::Ended(ExecutionResult::Ran(Some(answer.clone())))
         );
     };
     fill_registry(&mut registry, 0);
-    // A day later all of them have made room.
+    // A day later all earlier claims have expired and their bytes are free again.
     fill_registry(&mut registry, CLAIM_RETENTION_MS + 1);
 }
--- a/crates/core/tests/members/cases.rs
+++ b/crates/core/tests/members/cases.rs
@@ -1,4 +1,5 @@
-//! Random plays with each rule on, and with one off.
+//! Random sequences of faults, with every safety check on, and with one off to show
+//! that the harness notices the violation.
 
 use std::time::Duration;
 
@@ -18,11 +19,14 @@
     size: usize,
     rules: ReplicaRules,
     wiped_identity: WipedIdentity,
-    /// Whether something must break.
+    /// Whether at least one sequence must violate an invariant.
     expects_violation: bool,
+    /// Number of random sequences to try.
     seeds: u32,
 }
 
+/// Applies random event sequences until one violates an invariant; returns its
+/// violations, or none.
 fn run(case: &GroupCase) -> Violations {
     let config = Config {
         rng_algorithm: RngAlgorithm::ChaCha,
@@ -57,7 +61,7 @@
 }
 
 #[test]
-fn nothing_acknowledged_is_lost_and_each_rule_counts() {
+fn no_acknowledged_change_is_lost_and_each_check_is_needed() {
     let rules = ReplicaRules::default();
     let cases = [
         GroupCase {
@@ -88,7 +92,7 @@
             seeds: 150,
         },
         GroupCase {
-            name: "a wiped replica votes under its old name",
+            name: "a wiped replica votes under its old identity",
             nodes: 3,
             size: 3,
             rules,
@@ -97,7 +101,7 @@
             seeds: 600,
         },
         GroupCase {
-            name: "a learner counts",
+            name: "a learner counts towards the quorum",
             nodes: 4,
             size: 3,
             rules: ReplicaRules {
@@ -109,7 +113,7 @@
             seeds: 1500,
         },
         GroupCase {
-            name: "two changes at once",
+            name: "two membership changes at once",
             nodes: 5,
             size: 3,
             rules: ReplicaRules {
@@ -133,14 +137,15 @@
 }
 
 #[test]
-fn a_leader_that_was_frozen_confirms_no_read() {
+fn a_leader_that_was_suspended_confirms_no_read() {
     for confirmed in [true, false] {
         let rules = ReplicaRules {
             confirmed_reads: confirmed,
             ..ReplicaRules::default()
         };
         let mut group = Group::new(3, 3, rules, WipedIdentity::New, 1);
-        // The founder leads and stands still while the others go on.
+        // Node 0 bootstrapped the group and leads. Suspend it while the other nodes
+        // go on and elect a new leader.
         for _ in 0..100 {
             group.now += Duration::from_millis(20);
             for node in 1..3 {
@@ -168,7 +173,10 @@
                 .in_flight
                 .retain(|(_, _, to, _)| *to != group.nodes[0].id);
         }
-        assert!(group.acknowledged_version > 0, "the others have a leader");
+        assert!(
+            group.acknowledged_version > 0,
+            "the other nodes have a leader"
+        );
         group.last_tag += 1;
         group
             .reads
@@ -181,7 +189,7 @@
 }
 
 #[test]
-fn a_replica_without_a_vote_knows_that_it_has_lost_its_leader() {
+fn a_learner_notices_that_it_has_lost_its_leader() {
     let leader = 1;
     let mut learner = ReplicaMachine::new(
         ReplicaStart {
@@ -212,14 +220,14 @@
     let begin = Duration::from_secs(1);
     learner.step(begin, heartbeat, &mut actions);
     assert_eq!(learner.leader(), Some(leader));
-    let silent = ReplicaTiming::default().election * 2;
-    while learner.next_wake() <= begin + silent {
+    let leader_timeout = ReplicaTiming::default().election * 2;
+    while learner.next_wake() <= begin + leader_timeout {
         learner.step(learner.next_wake(), ReplicaInput::Wake, &mut actions);
     }
     assert_eq!(
         learner.leader(),
         None,
-        "its leader is silent for {silent:?}"
+        "the leader sent nothing for {leader_timeout:?}"
     );
     assert!(!learner.is_leader());
 }
--- a/crates/core/tests/members/harness.rs
+++ b/crates/core/tests/members/harness.rs
@@ -1,4 +1,5 @@
-//! A group on a wire and disks that a play harms.
+//! Simulates a control group with a network and disks on which random events inject
+//! faults, and counts violated invariants.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,22 +14,26 @@
 
 use crate::disk::Disk;
 
-/// Messages at one moment that no group should need.
+/// Maximum number of messages delivered in one step of time; more is a message storm.
 const MAX_MESSAGES_PER_STEP: usize = 5000;
 
+/// A random event; numbers select a node, or a message in flight, modulo the count.
 #[derive(Debug, Clone)]
 pub(crate) enum Event {
+    /// Advances the clock by this many milliseconds.
     Advance(u16),
     Deliver(u8),
     DeliverAll,
     Drop(u8),
-    /// Cuts what one node sends, or also what it gets.
+    /// Drops what a node sends and, if true, also what is sent to the node.
     Cut(u8, bool),
+    /// Ends all cuts and disk stalls.
     Heal,
     Kill(u8),
     Start(u8),
-    /// A node loses its disk and starts as another.
+    /// Deletes a node's disk and restarts the node.
     Wipe(u8),
+    /// Stalls a node's disk: writes wait until the next heal.
     Stall(u8),
     Propose(u8),
     Read(u8),
@@ -58,14 +63,15 @@
     machine: Option<ReplicaMachine>,
     disk: Disk,
     is_stalled: bool,
-    /// What waits for a stalled disk.
+    /// Actions that wait for a stalled disk, in order.
     pending_actions: Vec<ReplicaAction>,
-    /// Cut: what it sends, what it gets.
+    /// Whether messages from the node, and to the node, are dropped.
     cut: (bool, bool),
-    /// Highest version that was in force in this lifetime.
+    /// Highest route table version seen since the node started.
     highest_version: u64,
 }
 
+/// Number of violations by invariant.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub(crate) struct Violations {
     leaders_in_one_term: u32,
@@ -91,7 +97,8 @@
     }
 }
 
-/// What a wiped node is: another, or (a fault) itself.
+/// Identity of a node after its disk was wiped: a new one, or its old one (a fault
+/// that the harness must notice).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum WipedIdentity {
     New,
@@ -104,16 +111,20 @@
     rules: ReplicaRules,
     wiped_identity: WipedIdentity,
     pub(crate) now: Duration,
+    /// Messages in flight: sending node, sender's identity, receiver's identity.
     pub(crate) in_flight: Vec<(usize, ReplicaId, ReplicaId, ReplicaMessage)>,
     next_id: ReplicaId,
     seed: u64,
+    /// Last route table version that was proposed.
     last_version: u64,
-    /// Versions proposed, by tag.
+    /// Proposed route table versions, by proposal tag.
     proposed: BTreeMap<u64, u64>,
-    /// Highest version acknowledged when a read began, by tag.
+    /// Reading node and highest version acknowledged when the read began, by tag.
     pub(crate) reads: BTreeMap<u64, (usize, u64)>,
+    /// Highest route table version that was acknowledged to a proposer.
     pub(crate) acknowledged_version: u64,
     pub(crate) last_tag: u64,
+    /// Leader of each term.
     leaders: BTreeMap<u64, ReplicaId>,
     pub(crate) violations: Violations,
 }
@@ -200,6 +211,8 @@
         state.highest_version = 0;
     }
 
+    /// Passes an input to a node's state machine, checks the leader invariants, and
+    /// runs the resulting actions.
     pub(crate) fn step(&mut self, node: usize, input: ReplicaInput) {
         let mut out = Vec::new();
         let Some(machine) = &mut self.nodes[node].machine else {
@@ -230,8 +243,8 @@
         self.run_pending_actions(node);
     }
 
-    /// Does what a node asks for, in order; a stalled disk holds up what it is
-    /// to keep and all that comes after.
+    /// Runs a node's pending actions in order. On a stalled disk, an action that must
+    /// be persisted waits, and so do all actions after it.
     fn run_pending_actions(&mut self, node: usize) {
         let pending_actions = std::mem::take(&mut self.nodes[node].pending_actions);
         let mut pending_actions = pending_actions.into_iter();
@@ -265,6 +278,7 @@
         }
     }
 
+    /// Records the result of a proposal or read, and checks reads for staleness.
     fn handle_completion(&mut self, node: usize, tag: u64, end: ProposalEnd) {
         let done = matches!(end, ProposalEnd::Done(_));
         if let Some(version) = self.proposed.remove(&tag) {
@@ -303,7 +317,7 @@
         self.send_learner_requests();
     }
 
-    /// Nodes without a vote, or without a leader, ask to be kept up to date.
+    /// Lets every node that should join as a learner send its request to all others.
     fn send_learner_requests(&mut self) {
         let learners: Vec<usize> = (0..self.nodes.len())
             .filter(|node| {
@@ -322,6 +336,7 @@
         }
     }
 
+    /// Runs the group for this time, delivering all messages at once.
     pub(crate) fn run_for(&mut self, millis: u64) {
         for _ in 0..millis / 20 {
             self.advance(20);
@@ -337,8 +352,8 @@
         }
     }
 
-    /// Tells whether the group is whole: every member lives, has its disk, and
-    /// holds all that was acknowledged.
+    /// Returns whether the group has its target size, and every member is running, has
+    /// a working disk, and has the leader's commit index.
     fn is_fully_repaired(&self) -> bool {
         let machines = self.nodes.iter().filter_map(|node| node.machine.as_ref());
         let leaders = machines.filter(|machine| machine.is_leader());
@@ -346,7 +361,7 @@
         let Some(leader) = leader else {
             return false;
         };
-        // A repair counts once it is decided.
+        // A membership change counts only once it is committed.
         let members = leader.state().members();
         members == leader.member_records()
             && members.len() >= self.size
@@ -390,7 +405,7 @@
             }
             Event::Heal => self.heal(),
             Event::Kill(selector) => {
-                // What its disk has not taken yet is gone with it.
+                // Actions that were not yet persisted are lost with the process.
                 self.nodes[at(selector)].machine = None;
                 self.nodes[at(selector)].pending_actions.clear();
             }
@@ -412,6 +427,7 @@
         }
     }
 
+    /// Proposes the next route table version at a node.
     pub(crate) fn propose(&mut self, node: usize) {
         let machine = self.nodes[node].machine.as_ref();
         if !machine.is_some_and(|machine| machine.state().is_founded()) {
@@ -449,7 +465,7 @@
         }
     }
 
-    /// Ends all trouble and looks at what is left.
+    /// Heals all faults, restarts all nodes, and checks the final state.
     pub(crate) fn finish(mut self) -> Violations {
         self.heal();
         for node in 0..self.nodes.len() {
--- a/crates/core/tests/members/main.rs
+++ b/crates/core/tests/members/main.rs
@@ -1,5 +1,6 @@
-//! A group that keeps its replicas in its own log: founding, learners, lost
-//! disks, replacements, stalled disks, one-way cuts, sure reads.
+//! Tests of a group that records its members in its own log: bootstrap, learners,
+//! lost disks, replacement of members, stalled disks, one-way network cuts, and
+//! linearizable reads.
 
 mod cases;
 #[path = "../support/disk.rs"]
--- a/crates/core/tests/rollouts.rs
+++ b/crates/core/tests/rollouts.rs
@@ -1,4 +1,5 @@
-//! Roll-outs: orders that come twice and crossed, and what the evidence decides.
+//! Tests of roll-outs: duplicated and reordered changes in the registry, decisions of
+//! the evaluator, and the bound on canary requests.
 
 use std::time::Duration;
 
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn an_order_stands_once_and_one_roll_out_a_service_goes_on() {
+fn an_order_is_applied_once_and_a_service_has_one_open_roll_out() {
     let cases = [
         ChangeCase {
             name: "once",
@@ -49,19 +50,19 @@
             state: Trying,
         },
         ChangeCase {
-            name: "sent again",
+            name: "resent",
             changes: vec![start("v2", 0), start("v2", 900)],
             last_outcome: Stands(1),
             state: Trying,
         },
         ChangeCase {
-            name: "another version meanwhile",
+            name: "another version during the roll-out",
             changes: vec![start("v2", 0), start("v3", 900)],
             last_outcome: Busy("v2".into()),
             state: Trying,
         },
         ChangeCase {
-            name: "sent again after its end",
+            name: "resent after the roll-back",
             changes: vec![
                 start("v2", 0),
                 transition(1, RolledBack, 3000),
@@ -112,7 +113,7 @@
             state: Completed,
         },
         ChangeCase {
-            name: "a turn of an earlier roll-out",
+            name: "a transition of an earlier roll-out",
             changes: vec![
                 start("v2", 0),
                 transition(1, RolledBack, 3000),
@@ -123,7 +124,7 @@
             state: Trying,
         },
         ChangeCase {
-            name: "completed without being moved",
+            name: "completed without the moving phase",
             changes: vec![start("v2", 0), transition(1, Completed, 1)],
             last_outcome: Passed,
             state: Trying,
@@ -137,36 +138,41 @@
             .map(|change| registry.apply(change))
             .collect();
         assert_eq!(outcomes.last(), Some(&case.last_outcome), "{}", case.name);
-        let record = registry.get("desk").expect("it is known");
+        let record = registry.get("desk").expect("the service has a roll-out");
         assert_eq!(record.state, case.state, "{}", case.name);
     }
 }
 
-/// Part of bad answers of a version on a route, at a part of the time.
+/// Returns a version's fraction of bad answers on a route, at an elapsed fraction of
+/// the roll-out's duration.
 type BadFraction = fn(route: usize, elapsed_fraction: f64) -> f64;
 
 struct EvidenceCase {
     name: &'static str,
-    /// Requests a second.
+    /// Requests per second, over all entries.
     requests_per_second: f64,
     old_bad_fraction: f64,
     new_bad_fraction: BadFraction,
     final_state: RolloutState,
-    /// Least part of the plays that must end so.
+    /// Minimum fraction of the runs that must end in `final_state`.
     min_run_fraction: f64,
-    /// Most bad answers on average.
+    /// Maximum bad answers of the new version per run, on average.
     max_bad_answers: f64,
 }
 
+/// Simulated roll-outs per case.
 const RUNS: u64 = 300;
+/// Time within which a roll-out should end.
 const DURATION: Duration = Duration::from_secs(12);
+/// Simulated time between two reports of all entries.
 const STEP: Duration = Duration::from_millis(200);
 const BOUND: CanaryBound = CanaryBound {
     share: 0.1,
     slack: 50.0,
 };
 
-/// Plays a roll-out over two routes; returns its end and the bad answers.
+/// Simulates a roll-out of a service with two routes. Returns the final state, the
+/// elapsed fraction of the duration, and the new version's bad answers.
 fn simulate_rollout(case: &EvidenceCase, seed: u64) -> (RolloutState, f64, u32) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut evaluator = RolloutEvaluator::default();
@@ -185,7 +191,10 @@
     let mut now = Duration::ZERO;
     while now < DURATION * 2 {
         now += STEP;
-        let record: RolloutRecord = registry.get("desk").expect("it is known").clone();
+        let record: RolloutRecord = registry
+            .get("desk")
+            .expect("the service has a roll-out")
+            .clone();
         let elapsed_fraction = now.as_secs_f64() / DURATION.as_secs_f64();
         let count = (case.requests_per_second * STEP.as_secs_f64() + rng.random::<f64>()) as usize;
         let mut batches = Vec::new();
@@ -250,7 +259,7 @@
             max_bad_answers: 3.0,
         },
         EvidenceCase {
-            name: "good beside an old one with faults",
+            name: "good, with faults in the old version",
             requests_per_second: 40.0,
             old_bad_fraction: 0.15,
             new_bad_fraction: |_, _| 0.12,
@@ -259,7 +268,7 @@
             max_bad_answers: 60.0,
         },
         EvidenceCase {
-            name: "bad at once",
+            name: "bad from the start",
             requests_per_second: 40.0,
             old_bad_fraction: 0.01,
             new_bad_fraction: |_, _| 0.4,
@@ -314,30 +323,30 @@
             latest_end = latest_end.max(elapsed_fraction);
         }
         let matching_fraction = f64::from(matching_runs) / RUNS as f64;
-        let bad = f64::from(bad) / RUNS as f64;
+        let mean_bad_answers = f64::from(bad) / RUNS as f64;
         assert!(
             matching_fraction >= case.min_run_fraction,
-            "{}: {matching_fraction} ended {:?}",
+            "{}: only {matching_fraction} of the runs ended in {:?}",
             case.name,
             case.final_state
         );
         assert!(
-            bad <= case.max_bad_answers,
-            "{}: {bad} bad answers",
+            mean_bad_answers <= case.max_bad_answers,
+            "{}: {mean_bad_answers} bad answers per run",
             case.name
         );
         assert!(
             latest_end <= 1.0,
-            "{}: over after {latest_end} of the time",
+            "{}: ended only after {latest_end} of the duration",
             case.name
         );
     }
 }
 
 #[test]
-fn a_version_that_answers_nothing_is_rolled_back_in_time() {
+fn a_version_without_answers_is_rolled_back_in_time() {
     let case = EvidenceCase {
-        name: "silent",
+        name: "no answers",
         requests_per_second: 0.0,
         old_bad_fraction: 0.0,
         new_bad_fraction: |_, _| 0.0,
@@ -347,11 +356,14 @@
     };
     let (state, elapsed_fraction, _) = simulate_rollout(&case, 1);
     assert_eq!(state, RolledBack);
-    assert!(elapsed_fraction < 1.0, "after {elapsed_fraction}");
+    assert!(
+        elapsed_fraction < 1.0,
+        "ended after {elapsed_fraction} of the duration"
+    );
 }
 
 #[test]
-fn all_entries_together_keep_to_the_bound_on_an_unproved_version() {
+fn canary_requests_of_all_entries_stay_within_the_bound() {
     for entries in [1_u32, 3, 65, 1000] {
         for requests in [0, 20, 100, 1000, 10_000] {
             for seed in 0..200 {
@@ -367,7 +379,7 @@
                 let max_requests = BOUND.share * f64::from(requests) + BOUND.slack;
                 assert!(
                     canary_requests <= max_requests,
-                    "{entries} entries, {requests}: {canary_requests} of {max_requests}"
+                    "{entries} entries, {requests} requests: {canary_requests} canaries, at most {max_requests} allowed"
                 );
             }
         }
@@ -375,9 +387,9 @@
 }
 
 #[test]
-fn what_is_told_of_an_earlier_roll_out_counts_for_nothing() {
+fn reports_on_an_earlier_roll_out_are_ignored() {
     let mut evaluator = RolloutEvaluator::default();
-    let tally = |order, bad| VersionOutcomes {
+    let report = |order, bad| VersionOutcomes {
         order,
         service: "desk".into(),
         route: "r".into(),
@@ -385,13 +397,13 @@
         answers: 20,
         bad,
     };
-    evaluator.record_outcomes(&[tally(3, 0)]);
-    evaluator.record_outcomes(&[tally(1, 20)]);
+    evaluator.record_outcomes(&[report(3, 0)]);
+    evaluator.record_outcomes(&[report(1, 20)]);
     let mut registry = RolloutRegistry::default();
     for change in [start("v2", 0), transition(1, RolledBack, 1), start("v3", 2)] {
         registry.apply(&change);
     }
-    let record = registry.get("desk").expect("it is known");
+    let record = registry.get("desk").expect("the service has a roll-out");
     let age = RolloutAge {
         since_order: Duration::from_millis(500),
         in_state: Duration::from_millis(500),
