--- a/crates/core/src/process/control/rollout.rs
+++ b/crates/core/src/process/control/rollout.rs
@@ -3,7 +3,7 @@
 //! Each service has at most one roll-out in progress. A resent order matches the
 //! roll-out that it started and changes nothing. The leader of the control group
 //! moves a roll-out to its next state according to the outcome counts that entries
-//! report ([`crate::process::rollout::evaluator`]).
+//! report ([`crate::process::rollout::judge`]).
 
 use std::collections::BTreeMap;
 
--- a/crates/core/src/process/rollout/mod.rs
+++ b/crates/core/src/process/rollout/mod.rs
@@ -3,9 +3,9 @@
 //! Entries send a few requests to the new version ([`share::CanarySampler`]) and
 //! report to the control group how both versions answered ([`VersionOutcomes`]).
 //! The group's leader evaluates the reports and completes the roll-out or rolls it
-//! back ([`evaluator::RolloutEvaluator`]).
+//! back ([`judge::RolloutEvaluator`]).
 
-pub mod evaluator;
+pub mod judge;
 pub mod share;
 
 use serde::{Deserialize, Serialize};
--- a/crates/core/tests/rollouts.rs
+++ b/crates/core/tests/rollouts.rs
@@ -8,7 +8,7 @@
 use wheelmast_core::process::control::rollout::{
     RolloutChange, RolloutOutcome, RolloutRecord, RolloutRegistry, RolloutState,
 };
-use wheelmast_core::process::rollout::evaluator::{RolloutAge, RolloutEvaluator};
+use wheelmast_core::process::rollout::judge::{RolloutAge, RolloutEvaluator};
 use wheelmast_core::process::rollout::share::{CanaryBound, CanarySampler};
 use wheelmast_core::process::rollout::VersionOutcomes;
 
--- a/crates/node/src/process/group/rollouts.rs
+++ b/crates/node/src/process/group/rollouts.rs
@@ -9,7 +9,7 @@
     RolloutChange, RolloutOutcome, RolloutRecord, RolloutState,
 };
 use wheelmast_core::process::control::state::{CommandOutcome, ControlCommand};
-use wheelmast_core::process::rollout::evaluator::{RolloutAge, RolloutEvaluator};
+use wheelmast_core::process::rollout::judge::{RolloutAge, RolloutEvaluator};
 use wheelmast_core::process::rollout::{RolloutView, VersionOutcomes};
 use wheelmast_wire::dialect::RolloutOrder;
 use wheelmast_wire::group::{GroupMessage, GroupTell};
@@ -27,7 +27,7 @@
     /// All of them.
     pub views: Vec<RolloutView>,
     /// What entries have told.
-    pub evaluator: RolloutEvaluator,
+    pub judge: RolloutEvaluator,
     /// When the roll-outs that go on were ordered and turned, by service.
     seen: HashMap<Box<str>, SeenRollout>,
 }
@@ -138,7 +138,7 @@
             state.rollouts.note(service, record, now);
         }
         let open = |service: &str| book.get(service).is_some_and(|known| known.state.is_open());
-        state.rollouts.evaluator.retain_services(open);
+        state.rollouts.judge.retain_services(open);
         let message = state.rollouts.message();
         tracing::info!(target: "group", revision = state.rollouts.revision, "rollout: in force");
         state.tell_entries(message);
@@ -148,7 +148,7 @@
     /// whoever leads next decides by the same evidence.
     pub fn take_tallies(&self, tallies: Vec<VersionOutcomes>, is_first: bool) {
         let mut state = self.state.borrow_mut();
-        state.rollouts.evaluator.record_outcomes(&tallies);
+        state.rollouts.judge.record_outcomes(&tallies);
         if is_first {
             state.tell_control(&GroupMessage::Tallies(tallies));
         }
@@ -179,7 +179,7 @@
         let book = replica.state().rollouts();
         let due = book.iter().filter_map(|(service, record)| {
             let age = rollouts.age(service, now)?;
-            let next = rollouts.evaluator.decide_transition(service, record, age)?;
+            let next = rollouts.judge.decide_transition(service, record, age)?;
             Some(RolloutChange::Turn {
                 service: service.into(),
                 order: record.order,
