--- a/crates/core/src/process/control/apply.rs
+++ b/crates/core/src/process/control/apply.rs
@@ -76,7 +76,7 @@
         let changes_members = matches!(entry.command, ControlCommand::Members { .. });
         self.log.push(entry);
         if changes_members {
-            self.find_members();
+            self.reload_members();
         }
     }
 
@@ -84,7 +84,7 @@
     /// compacts the log. The result of a published change is deferred until a
     /// quorum knows the commit.
     pub(super) fn apply_committed(&mut self, out: &mut Vec<ReplicaAction>) {
-        let before = self.state.published_marks();
+        let before = self.state.published_revisions();
         let mut members_changed = false;
         while self.applied < self.commit {
             let index = self.applied + 1;
@@ -93,16 +93,16 @@
             };
             let outcome = self.state.apply(&entry.command);
             let term = entry.term;
-            let is_published =
-                entry.command.is_published() && self.safety_checks.awaits_known_commit;
+            let changes_published_state =
+                entry.command.changes_published_state() && self.safety_checks.awaits_known_commit;
             members_changed |= matches!(entry.command, ControlCommand::Members { .. });
             self.applied = index;
             let Some((tag, proposal_term)) = self.pending_proposals.remove(&index) else {
                 continue;
             };
             let is_own_proposal = proposal_term == term;
-            if is_own_proposal && is_published {
-                self.put_off_end(tag, outcome, index);
+            if is_own_proposal && changes_published_state {
+                self.defer_result(tag, outcome, index);
                 continue;
             }
             let result = if is_own_proposal {
@@ -112,7 +112,7 @@
             };
             out.push(ReplicaAction::Complete { tag, result });
         }
-        let after = self.state.published_marks();
+        let after = self.state.published_revisions();
         if after != before || members_changed {
             out.push(ReplicaAction::PersistCommitIndex(self.applied));
             out.push(ReplicaAction::StateChanged);
--- a/crates/core/src/process/control/elect.rs
+++ b/crates/core/src/process/control/elect.rs
@@ -216,7 +216,7 @@
             self.step_down(self.hard_state.term, out);
             return self.reset_election_timer(now);
         }
-        self.mend_group(now, out);
+        self.reconcile_members(now, out);
     }
 
     /// Returns the initial progress of a peer: nothing is known to match, and
--- a/crates/core/src/process/control/replica.rs
+++ b/crates/core/src/process/control/replica.rs
@@ -14,7 +14,7 @@
 use crate::process::control::message::{
     ReplicaAction, ReplicaInput, ReplicaMessage, ReplicaTiming,
 };
-use crate::process::control::publish::PendingEnd;
+use crate::process::control::publish::PendingResult;
 use crate::process::control::read::PendingRead;
 use crate::process::control::state::{ControlState, MemberRecord};
 
@@ -162,7 +162,7 @@
     /// Reads that wait for a quorum to confirm this replica's leadership.
     pub(super) pending_reads: Vec<PendingRead>,
     /// Committed proposals that are reported once a quorum knows the commit.
-    pub(super) pending_results: Vec<PendingEnd>,
+    pub(super) pending_results: Vec<PendingResult>,
     pub(super) timing: ReplicaTiming,
     pub(super) safety_checks: SafetyChecks,
     pub(super) rng: SmallRng,
@@ -227,7 +227,7 @@
         replica.election_at = now + replica.timing.election.mul_f64(wait);
         replica.commit = start.commit.clamp(place.index, replica.log.last().index);
         replica.apply_recovered();
-        replica.find_members();
+        replica.reload_members();
         replica
     }
 
@@ -250,9 +250,9 @@
             ReplicaInput::Message { from, message } => self.handle_message(from, message, now, out),
             ReplicaInput::Propose { tag, command } => self.propose(tag, command, now, out),
             ReplicaInput::Read { tag } => self.start_read(tag, now, out),
-            ReplicaInput::AddLearner(record) => self.take_learner(record, now),
-            ReplicaInput::Bootstrap(record) => self.found(record, out),
-            ReplicaInput::TransferLeadership => self.hand_over(now, out),
+            ReplicaInput::AddLearner(record) => self.add_learner(record, now),
+            ReplicaInput::Bootstrap(record) => self.bootstrap(record, out),
+            ReplicaInput::TransferLeadership => self.transfer_leadership(now, out),
         }
         self.run_timers(now, out);
     }
--- a/crates/core/src/process/control/replicate.rs
+++ b/crates/core/src/process/control/replicate.rs
@@ -158,7 +158,7 @@
             Some(term) if term == entry.term => return,
             Some(_) => {
                 self.log.truncate(entry.index);
-                self.find_members();
+                self.reload_members();
             }
             None => {}
         }
@@ -180,7 +180,7 @@
             self.state = state;
             self.commit = place.index;
             self.applied = place.index;
-            self.find_members();
+            self.reload_members();
             out.push(ReplicaAction::PersistSnapshot {
                 place,
                 state: Box::new(self.state.clone()),
@@ -249,7 +249,7 @@
         }
         let is_behind = progress.next_index <= last;
         if let Ok(index) = index {
-            self.note_known(from, index, round);
+            self.record_commit_acknowledgement(from, index, round);
         }
         self.advance_commit(out);
         self.confirm_reads(now, out);
@@ -295,7 +295,7 @@
             self.commit = index;
             self.apply_committed(out);
         }
-        self.end_known(out);
+        self.complete_acknowledged(out);
         if !self.is_voter() && self.members_index <= self.commit {
             // The entry that removes this leader from the group is committed.
             self.step_down(self.hard_state.term, out);
--- a/crates/core/src/process/forward/version.rs
+++ b/crates/core/src/process/forward/version.rs
@@ -12,8 +12,8 @@
 use crate::process::forward::answer::ForwardAction;
 use crate::process::forward::directory::ServerLifecycle;
 use crate::process::forward::machine::ForwardMachine;
-use crate::process::rollout::share::CanaryShare;
-use crate::process::rollout::{RolloutView, VersionTally};
+use crate::process::rollout::share::CanarySampler;
+use crate::process::rollout::{RolloutView, VersionOutcomes};
 
 /// Time without contact to the control group after which an entry sends no more
 /// requests to a new version under test, because the entry would not learn that
@@ -38,7 +38,7 @@
     /// Roll-out as announced by the control group.
     view: RolloutView,
     /// Share of requests that this entry sends to the new version as canaries.
-    share: CanaryShare,
+    share: CanarySampler,
     /// Counts since the last report to the control group, by route (index of its
     /// timing) and whether the server ran the new version.
     counts: BTreeMap<(usize, bool), AnswerCount>,
@@ -90,7 +90,7 @@
             let former = self.upstreams[upstream].rollout.take();
             let share = match former {
                 Some(former) if former.view.order == view.order => former.share,
-                _ => CanaryShare::new(self.options.canary_bound, self.entries, &mut self.rng),
+                _ => CanarySampler::new(self.options.canary_bound, self.entries, &mut self.rng),
             };
             let is_completed = view.state == RolloutState::Completed;
             self.upstreams[upstream].rollout = Some(UpstreamRollout {
@@ -139,8 +139,9 @@
         };
         match rollout.view.state {
             RolloutState::Trying => {
-                let tries_new =
-                    has_control_contact && !is_repeat && rollout.share.draw(&mut self.rng);
+                let tries_new = has_control_contact
+                    && !is_repeat
+                    && rollout.share.should_try_new_version(&mut self.rng);
                 if tries_new {
                     VersionPreference::NewFirst
                 } else {
@@ -182,7 +183,7 @@
 
     /// Returns the counts since the last call, to be reported to the control group, and
     /// resets them.
-    pub fn take_outcome_counts(&mut self) -> Vec<VersionTally> {
+    pub fn take_outcome_counts(&mut self) -> Vec<VersionOutcomes> {
         let mut tallies = Vec::new();
         for (_, upstream) in self.upstreams.iter_mut() {
             let Some(rollout) = &mut upstream.rollout else {
@@ -191,7 +192,7 @@
             for ((timing, is_target), count) in std::mem::take(&mut rollout.counts) {
                 let mut names = self.timings_by_route.iter();
                 let route = names.find(|(_, index)| **index == timing);
-                tallies.push(VersionTally {
+                tallies.push(VersionOutcomes {
                     order: rollout.view.order,
                     service: rollout.view.service.clone(),
                     route: route.map(|(route, _)| route.clone()).unwrap_or_default(),
--- a/crates/core/tests/members/cases.rs
+++ b/crates/core/tests/members/cases.rs
@@ -1,4 +1,5 @@
-//! Random plays with each rule on, and with one off.
+//! Random sequences of faults, with every safety check on, and with one off to show
+//! that the harness notices the violation.
 
 use std::time::Duration;
 
@@ -10,20 +11,23 @@
 use wheelmast_core::process::control::replica::{ReplicaMachine, ReplicaStart, SafetyChecks};
 use wheelmast_core::process::control::state::ControlState;
 
-use crate::harness::{event, Broken, Group, WipedName};
+use crate::harness::{event, Group, Violations, WipedIdentity};
 
 struct GroupCase {
     name: &'static str,
     nodes: usize,
     target_size: usize,
     safety_checks: SafetyChecks,
-    wiped: WipedName,
-    /// Whether something must break.
-    breaks: bool,
+    wiped_identity: WipedIdentity,
+    /// Whether at least one sequence must violate an invariant.
+    expects_violation: bool,
+    /// Number of random sequences to try.
     seeds: u32,
 }
 
-fn run(case: &GroupCase) -> Broken {
+/// Applies random event sequences until one violates an invariant; returns its
+/// violations, or none.
+fn run(case: &GroupCase) -> Violations {
     let config = Config {
         rng_algorithm: RngAlgorithm::ChaCha,
         rng_seed: RngSeed::Fixed(7),
@@ -32,32 +36,32 @@
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let events = prop::collection::vec(event(), 80..160);
-    let mut broken = Broken::default();
+    let mut violations = Violations::default();
     for seed in 0..case.seeds {
         let events = events.new_tree(&mut runner).expect("events").current();
         let mut group = Group::new(
             case.nodes,
             case.target_size,
             case.safety_checks,
-            case.wiped,
+            case.wiped_identity,
             u64::from(seed) * 1000,
         );
         for event in &events {
-            group.play(event);
+            group.apply_event(event);
         }
-        broken = group.finish();
-        if broken.total() > 0 {
-            if !case.breaks {
-                eprintln!("{}: seed {seed}: {broken:?}", case.name);
+        violations = group.finish();
+        if violations.total() > 0 {
+            if !case.expects_violation {
+                eprintln!("{}: seed {seed}: {violations:?}", case.name);
             }
-            return broken;
+            return violations;
         }
     }
-    broken
+    violations
 }
 
 #[test]
-fn nothing_acknowledged_is_lost_and_each_rule_counts() {
+fn no_acknowledged_change_is_lost_and_each_check_is_needed() {
     let safety_checks = SafetyChecks::default();
     let cases = [
         GroupCase {
@@ -65,8 +69,8 @@
             nodes: 3,
             target_size: 3,
             safety_checks,
-            wiped: WipedName::New,
-            breaks: false,
+            wiped_identity: WipedIdentity::New,
+            expects_violation: false,
             seeds: 300,
         },
         GroupCase {
@@ -74,8 +78,8 @@
             nodes: 4,
             target_size: 3,
             safety_checks,
-            wiped: WipedName::New,
-            breaks: false,
+            wiped_identity: WipedIdentity::New,
+            expects_violation: false,
             seeds: 300,
         },
         GroupCase {
@@ -83,92 +87,109 @@
             nodes: 6,
             target_size: 5,
             safety_checks,
-            wiped: WipedName::New,
-            breaks: false,
+            wiped_identity: WipedIdentity::New,
+            expects_violation: false,
             seeds: 150,
         },
         GroupCase {
-            name: "a wiped replica votes under its old name",
+            name: "a wiped replica votes under its old identity",
             nodes: 3,
             target_size: 3,
             safety_checks,
-            wiped: WipedName::Old,
-            breaks: true,
+            wiped_identity: WipedIdentity::Old,
+            expects_violation: true,
             seeds: 600,
         },
         GroupCase {
-            name: "a learner counts",
+            name: "a learner counts towards the quorum",
             nodes: 4,
             target_size: 3,
             safety_checks: SafetyChecks {
                 excludes_learners: false,
                 ..safety_checks
             },
-            wiped: WipedName::New,
-            breaks: true,
+            wiped_identity: WipedIdentity::New,
+            expects_violation: true,
             seeds: 1500,
         },
         GroupCase {
-            name: "two changes at once",
+            name: "two membership changes at once",
             nodes: 5,
             target_size: 3,
             safety_checks: SafetyChecks {
                 changes_one_member: false,
                 ..safety_checks
             },
-            wiped: WipedName::New,
-            breaks: true,
+            wiped_identity: WipedIdentity::New,
+            expects_violation: true,
             seeds: 1500,
         },
     ];
     for case in &cases {
-        let broken = run(case);
-        assert_eq!(broken.total() > 0, case.breaks, "{}: {broken:?}", case.name);
+        let violations = run(case);
+        assert_eq!(
+            violations.total() > 0,
+            case.expects_violation,
+            "{}: {violations:?}",
+            case.name
+        );
     }
 }
 
 #[test]
-fn a_leader_that_was_frozen_confirms_no_read() {
+fn a_leader_that_was_suspended_confirms_no_read() {
     for confirmed in [true, false] {
         let safety_checks = SafetyChecks {
             confirms_reads: confirmed,
             ..SafetyChecks::default()
         };
-        let mut group = Group::new(3, 3, safety_checks, WipedName::New, 1);
-        // The founder leads and stands still while the others go on.
+        let mut group = Group::new(3, 3, safety_checks, WipedIdentity::New, 1);
+        // Node 0 bootstrapped the group and leads. Suspend it while the other nodes
+        // go on and elect a new leader.
         for _ in 0..100 {
             group.now += Duration::from_millis(20);
             for node in 1..3 {
                 group.step(node, ReplicaInput::Wake);
             }
             group
-                .wire
+                .in_flight
                 .retain(|(sender, _, to, _)| *sender != 0 && *to != group.nodes[0].id);
-            while !group.wire.is_empty() {
+            while !group.in_flight.is_empty() {
                 group.deliver(0);
-                group.wire.retain(|(_, _, to, _)| *to != group.nodes[0].id);
+                group
+                    .in_flight
+                    .retain(|(_, _, to, _)| *to != group.nodes[0].id);
             }
         }
         for node in 1..3 {
             group.propose(node);
         }
-        group.wire.retain(|(_, _, to, _)| *to != group.nodes[0].id);
-        while !group.wire.is_empty() {
+        group
+            .in_flight
+            .retain(|(_, _, to, _)| *to != group.nodes[0].id);
+        while !group.in_flight.is_empty() {
             group.deliver(0);
-            group.wire.retain(|(_, _, to, _)| *to != group.nodes[0].id);
+            group
+                .in_flight
+                .retain(|(_, _, to, _)| *to != group.nodes[0].id);
         }
-        assert!(group.acknowledged > 0, "the others have a leader");
-        group.tags += 1;
-        group.reads.insert(group.tags, (0, group.acknowledged));
-        let tag = group.tags;
+        assert!(
+            group.acknowledged_version > 0,
+            "the other nodes have a leader"
+        );
+        group.last_tag += 1;
+        group
+            .reads
+            .insert(group.last_tag, (0, group.acknowledged_version));
+        let tag = group.last_tag;
         group.step(0, ReplicaInput::Read { tag });
-        group.settle(2000);
-        assert_eq!(group.broken.stale_read > 0, !confirmed);
+        group.run_for(2000);
+        assert_eq!(group.violations.stale_reads > 0, !confirmed);
     }
 }
 
 #[test]
-fn a_replica_without_a_vote_knows_that_it_has_lost_its_leader() {
+fn a_learner_notices_that_it_has_lost_its_leader() {
     let leader = 1;
     let mut learner = ReplicaMachine::new(
         ReplicaStart {
@@ -199,14 +220,14 @@
     let begin = Duration::from_secs(1);
     learner.step(begin, heartbeat, &mut actions);
     assert_eq!(learner.leader(), Some(leader));
-    let silent = ReplicaTiming::default().election * 2;
-    while learner.next_wake() <= begin + silent {
+    let leader_timeout = ReplicaTiming::default().election * 2;
+    while learner.next_wake() <= begin + leader_timeout {
         learner.step(learner.next_wake(), ReplicaInput::Wake, &mut actions);
     }
     assert_eq!(
         learner.leader(),
         None,
-        "its leader is silent for {silent:?}"
+        "the leader sent nothing for {leader_timeout:?}"
     );
     assert!(!learner.is_leader());
 }
