--- a/crates/cli/src/measure/capacity.rs
+++ b/crates/cli/src/measure/capacity.rs
@@ -10,7 +10,7 @@
 use wheelmast_core::process::control::message::ReplicaMessage;
 use wheelmast_core::process::control::state::{ControlCommand, ControlState, TableVersion};
 use wheelmast_core::process::gossip::machine::{GossipInput, GossipMachine};
-use wheelmast_core::process::gossip::member::{MemberNews, MemberStanding};
+use wheelmast_core::process::gossip::member::{MemberLifecycle, MemberState};
 use wheelmast_wire::peer::{encode, PeerRequest};
 use wheelmast_wire::prelude::{AnnouncementBody, HeldBody};
 use wheelmast_wire::upstream::encode_search;
@@ -265,12 +265,12 @@
 /// Returns the memory of a gossip that knows `servers` servers.
 fn gossip_bytes(servers: u32) -> f64 {
     const MACHINES: usize = 8;
-    let own = MemberNews {
+    let own = MemberState {
         name: "instance-0".into(),
         address: ([127, 0, 0, 1], 7403).into(),
         domain: "domain-0".into(),
         incarnation: 1,
-        standing: MemberStanding::Alive,
+        standing: MemberLifecycle::Alive,
     };
     let before = resident_bytes();
     let mut machines = Vec::new();
--- a/crates/cli/src/measure/gossip.rs
+++ b/crates/cli/src/measure/gossip.rs
@@ -8,7 +8,7 @@
 use rand::{Rng, SeedableRng};
 use wheelmast_core::prelude::{HeldSnapshot, ServerNews, ServerPhase, SnapshotId};
 use wheelmast_core::process::gossip::machine::{GossipAction, GossipInput, GossipMachine};
-use wheelmast_core::process::gossip::member::{MemberNews, MemberStanding};
+use wheelmast_core::process::gossip::member::{MemberLifecycle, MemberState};
 use wheelmast_core::process::gossip::message::GossipMessage;
 use wheelmast_wire::peer::{encode, PeerRequest};
 
@@ -74,12 +74,12 @@
 impl QuietNet {
     fn new(members: usize) -> QuietNet {
         let machines = (0..members).map(|node| {
-            let own = MemberNews {
+            let own = MemberState {
                 name: format!("instance-{node}"),
                 address: address(node),
                 domain: format!("domain-{}", node % 6),
                 incarnation: 1_700_000_000_000,
-                standing: MemberStanding::Alive,
+                standing: MemberLifecycle::Alive,
             };
             let seeds = (0..3).filter(|seed| *seed != node).map(address).collect();
             GossipMachine::new(own, seeds, node as u64, Duration::ZERO)
@@ -155,7 +155,7 @@
             let is_settled = |machine: &GossipMachine| {
                 machine.others().count() + 1 == members
                     && machine.server_count() == servers
-                    && machine.is_quiet()
+                    && machine.is_queue_empty()
             };
             if self.machines.iter().all(is_settled) {
                 return Ok(());
--- a/crates/core/src/prelude.rs
+++ b/crates/core/src/prelude.rs
@@ -19,6 +19,6 @@
 pub use crate::request::decision::{DecisionEvent, DropReason, RouteDecision};
 pub use crate::request::identity::{AttemptId, RequestId};
 pub use crate::request::merge::{MergeRule, ScoredHit};
-pub use crate::version::row::{FirstAim, RequestKind, ServiceRow, UnfencedRule};
+pub use crate::version::row::{AnswerPriority, RequestKind, ServiceRow, UnfencedRule};
 pub use crate::version::snapshot::SnapshotId;
 pub use crate::version::table::ServiceTable;
--- a/crates/core/src/process/forward/access.rs
+++ b/crates/core/src/process/forward/access.rs
@@ -9,7 +9,7 @@
 use crate::process::forward::input::ForwardCall;
 use crate::process::forward::machine::ForwardMachine;
 use crate::version::route_table::{RouteRule, RouteTable};
-use crate::version::workspace::WorkspaceKey;
+use crate::version::workspace::WorkspaceIndex;
 
 /// Returns the workspace of a request, if its table has any.
 ///
@@ -21,7 +21,7 @@
     table: &RouteTable,
     route: &RouteRule,
     call: &ForwardCall,
-) -> Result<Option<WorkspaceKey>, ForwardFailure> {
+) -> Result<Option<WorkspaceIndex>, ForwardFailure> {
     let Some(book) = table.workspaces() else {
         return Ok(None);
     };
@@ -29,13 +29,13 @@
         Some(order) => {
             let name = order.workspace.as_deref();
             (
-                name.and_then(|name| book.named(name)),
+                name.and_then(|name| book.find_by_name(name)),
                 ForwardFailure::NoTable,
             )
         }
         None => {
-            let holder = call.key.and_then(|key| book.holder(key));
-            (holder, ForwardFailure::NoKey)
+            let caller_workspace = call.key.and_then(|key| book.caller_workspace(key));
+            (caller_workspace, ForwardFailure::NoKey)
         }
     };
     match found {
@@ -93,9 +93,9 @@
     let Some(book) = table.workspaces() else {
         return true;
     };
-    let holder = match state.key {
-        Some(key) => book.holder(key),
-        None => book.named(name),
+    let caller_workspace = match state.key {
+        Some(key) => book.caller_workspace(key),
+        None => book.find_by_name(name),
     };
-    holder.is_some_and(|holder| *book.rule(holder).name == **name)
+    caller_workspace.is_some_and(|caller_workspace| *book.rule(caller_workspace).name == **name)
 }
--- a/crates/core/src/process/forward/begin.rs
+++ b/crates/core/src/process/forward/begin.rs
@@ -15,7 +15,7 @@
 use crate::process::forward::machine::{ForwardMachine, ForwardTimer};
 use crate::process::forward::split::SplitScheduler;
 use crate::version::route_table::{RouteRule, RouteTable, RouteTarget};
-use crate::version::workspace::WorkspaceKey;
+use crate::version::workspace::WorkspaceIndex;
 
 impl ForwardMachine {
     /// Admits a new request and sends its first attempts, or rejects the request.
@@ -96,17 +96,20 @@
         call: &ForwardCall,
         table: Arc<RouteTable>,
         route: usize,
-        workspace: Option<WorkspaceKey>,
+        workspace: Option<WorkspaceIndex>,
         now: Duration,
     ) -> CallState {
         let rule = &table.routes()[route];
         let timing = self.timing(&rule.name);
         let workspace = workspace.zip(table.workspaces());
         let workspace = workspace.map(|(workspace, workspaces)| workspaces.rule(workspace));
-        let mut allowed_regions = self.options.regions.homes(&rule.homes);
+        let mut allowed_regions = self.options.regions.allowed_regions(&rule.allowed_regions);
         if let Some(workspace) = workspace {
-            allowed_regions =
-                allowed_regions.intersection(self.options.regions.homes(&workspace.homes));
+            allowed_regions = allowed_regions.intersection(
+                self.options
+                    .regions
+                    .allowed_regions(&workspace.allowed_regions),
+            );
         }
         let mut plan = self.timings[timing].plan(rule, call.time_left, call.arrived_at);
         let upstreams = match &call.relayed {
--- a/crates/core/src/process/forward/place.rs
+++ b/crates/core/src/process/forward/place.rs
@@ -68,9 +68,9 @@
         index.map_or(RegionKey::UNKNOWN, |index| RegionKey::new(*index))
     }
 
-    /// Returns the set of regions with these names (the `homes` of a route or a
+    /// Returns the set of regions with these names (the `allowed_regions` of a route or a
     /// workspace), or all regions if `names` is empty. Unknown names are ignored.
-    pub fn homes(&self, names: &[String]) -> RegionSet {
+    pub fn allowed_regions(&self, names: &[String]) -> RegionSet {
         if names.is_empty() {
             return RegionSet::ANYWHERE;
         }
--- a/crates/core/src/process/gossip/spread.rs
+++ b/crates/core/src/process/gossip/dissemination.rs
@@ -6,7 +6,7 @@
 use rand::seq::IndexedRandom;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::process::gossip::homes::homes_of;
+use crate::process::gossip::lease_tracker::select_lease_trackers;
 use crate::process::gossip::machine::{GossipAction, GossipMachine, QueuedUpdate, ServerHold};
 use crate::process::gossip::message::{GossipPurpose, ServerOrder, ServerUpdate};
 use crate::process::news::ServerNews;
@@ -26,15 +26,15 @@
         now: Duration,
         out: &mut Vec<GossipAction>,
     ) {
-        let homes: Vec<SocketAddr> = {
-            let names = homes_of(&news.name, self.names());
+        let trackers: Vec<SocketAddr> = {
+            let names = select_lease_trackers(&news.name, self.names());
             let others = self.others();
             others
                 .filter(|member| names.contains(&member.name.as_str()))
                 .map(|member| member.address)
                 .collect()
         };
-        for home in homes {
+        for home in trackers {
             let renewal = GossipPurpose::Renewal(Box::new(news.clone()));
             self.send(home, renewal, out);
         }
@@ -57,7 +57,7 @@
         if is_change(&hold.update, &update) {
             return self.learn_server(update, now, out);
         }
-        out.push(GossipAction::Server(update.news.clone()));
+        out.push(GossipAction::ServerAnnounced(update.news.clone()));
         hold.update = update;
     }
 
@@ -97,7 +97,7 @@
         let action = if update.expired {
             GossipAction::Expired(name.clone())
         } else {
-            GossipAction::Server(update.news.clone())
+            GossipAction::ServerAnnounced(update.news.clone())
         };
         self.servers.insert(name, hold);
         out.push(action);
@@ -148,12 +148,12 @@
             return;
         }
         let names: Vec<String> = self.names().map(str::to_string).collect();
-        let own = self.own.name.as_str();
+        let local_member = self.local_member.name.as_str();
         for (name, hold) in &mut self.servers {
             if hold.members_seen != changes {
-                let homes = homes_of(name, names.iter().map(String::as_str));
+                let trackers = select_lease_trackers(name, names.iter().map(String::as_str));
                 let was_home = hold.is_home;
-                hold.is_home = homes.contains(&own);
+                hold.is_home = trackers.contains(&local_member);
                 if hold.is_home && !was_home {
                     // Renewals went to other homes so far: a whole lease is
                     // given for the first to arrive here.
@@ -187,9 +187,10 @@
         servers: &[u64],
         out: &mut Vec<GossipAction>,
     ) {
-        let own = self.server_digests();
-        let differs =
-            |bucket: &u16| servers.get(usize::from(*bucket)) != own.get(usize::from(*bucket));
+        let local_member = self.server_digests();
+        let differs = |bucket: &u16| {
+            servers.get(usize::from(*bucket)) != local_member.get(usize::from(*bucket))
+        };
         let buckets: Vec<u16> = (0..BUCKETS as u16).filter(differs).collect();
         let same_members = members == self.member_digest();
         if same_members && buckets.is_empty() {
@@ -243,7 +244,7 @@
             out.push(GossipAction::Send {
                 to,
                 message: super::message::GossipMessage {
-                    from: self.own.clone(),
+                    from: self.local_member.clone(),
                     purpose: GossipPurpose::Updates,
                     members: Vec::new(),
                     servers: newer,
@@ -270,7 +271,9 @@
 
     fn member_digest(&self) -> u64 {
         let others = self.members.values().map(|record| &record.news);
-        let there = others.chain([&self.own]).filter(|news| news.is_there());
+        let there = others
+            .chain([&self.local_member])
+            .filter(|news| news.is_there());
         let hashes = there.map(|news| {
             let text = format!("{}/{}", news.name, news.incarnation);
             xxh3_64(text.as_bytes())
--- a/crates/core/src/process/gossip/machine.rs
+++ b/crates/core/src/process/gossip/machine.rs
@@ -8,7 +8,7 @@
 use rand::seq::IndexedRandom;
 use rand::SeedableRng;
 
-use crate::process::gossip::member::{MemberNews, MemberRecord, MemberStanding};
+use crate::process::gossip::member::{MemberLifecycle, MemberRecord, MemberState};
 use crate::process::gossip::message::{GossipMessage, GossipPurpose, ServerUpdate};
 use crate::process::news::ServerNews;
 
@@ -54,13 +54,13 @@
         message: GossipMessage,
     },
     /// Something was learned of a server: hand it to the entry.
-    Server(ServerNews),
+    ServerAnnounced(ServerNews),
     /// A server's lease ran out at a home: it gets no new work.
     Expired(String),
     /// The homes vouch for these servers: renew their leases.
     Vouch(Vec<String>),
     /// A member's standing changed.
-    Member(MemberNews),
+    MemberChanged(MemberState),
 }
 
 /// An update on its way, and how often it is still to be sent.
@@ -87,12 +87,12 @@
 /// The gossip of one instance.
 #[derive(Debug)]
 pub struct GossipMachine {
-    pub(super) own: MemberNews,
+    pub(super) local_member: MemberState,
     pub(super) seeds: Vec<SocketAddr>,
     pub(super) rng: SmallRng,
     pub(super) members: BTreeMap<String, MemberRecord>,
     pub(super) servers: BTreeMap<String, ServerHold>,
-    pub(super) member_queue: Vec<QueuedUpdate<MemberNews>>,
+    pub(super) member_queue: Vec<QueuedUpdate<MemberState>>,
     pub(super) server_queue: Vec<QueuedUpdate<ServerUpdate>>,
     /// Members still to be probed in this round.
     pub(super) round: Vec<String>,
@@ -109,10 +109,15 @@
 }
 
 impl GossipMachine {
-    /// Returns the gossip of `own`, which knows only the addresses of seeds.
-    pub fn new(own: MemberNews, seeds: Vec<SocketAddr>, seed: u64, now: Duration) -> Self {
+    /// Returns the gossip of `local_member`, which knows only the addresses of seeds.
+    pub fn new(
+        local_member: MemberState,
+        seeds: Vec<SocketAddr>,
+        seed: u64,
+        now: Duration,
+    ) -> Self {
         GossipMachine {
-            own,
+            local_member,
             seeds,
             rng: SmallRng::seed_from_u64(seed),
             members: BTreeMap::new(),
@@ -152,7 +157,7 @@
     }
 
     /// Returns the members that are there, this one not among them.
-    pub fn others(&self) -> impl Iterator<Item = &MemberNews> {
+    pub fn others(&self) -> impl Iterator<Item = &MemberState> {
         let records = self.members.values();
         records
             .map(|record| &record.news)
@@ -162,16 +167,16 @@
     /// Returns the names of all members that are there, this one among them.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         let others = self.others().map(|news| news.name.as_str());
-        others.chain([self.own.name.as_str()])
+        others.chain([self.local_member.name.as_str()])
     }
 
     /// Returns this instance, as it sees itself.
-    pub fn own(&self) -> &MemberNews {
-        &self.own
+    pub fn local_member(&self) -> &MemberState {
+        &self.local_member
     }
 
     /// Returns all members that are remembered, gone ones among them.
-    pub fn members(&self) -> impl Iterator<Item = &MemberNews> {
+    pub fn members(&self) -> impl Iterator<Item = &MemberState> {
         self.members.values().map(|record| &record.news)
     }
 
@@ -186,12 +191,12 @@
     }
 
     /// Returns the number of members remembered, gone ones among them.
-    pub fn remembered(&self) -> usize {
+    pub fn member_count(&self) -> usize {
         self.members.len()
     }
 
     fn take(&mut self, message: GossipMessage, now: Duration, out: &mut Vec<GossipAction>) {
-        if message.from.name == self.own.name {
+        if message.from.name == self.local_member.name {
             return;
         }
         let sender = message.from.address;
@@ -233,7 +238,7 @@
         self.ask_indirectly(now, out);
         if now >= self.spread_at && self.has_updates() {
             self.spread_at = now + SPREAD_INTERVAL;
-            self.spread(out);
+            self.disseminate(out);
         }
         if now >= self.digest_at {
             self.digest_at = now + DIGEST_INTERVAL;
@@ -253,7 +258,7 @@
         out: &mut Vec<GossipAction>,
     ) {
         let message = GossipMessage {
-            from: self.own.clone(),
+            from: self.local_member.clone(),
             purpose,
             members: take_updates(&mut self.member_queue),
             servers: take_updates(&mut self.server_queue),
@@ -275,7 +280,7 @@
         3 * (u32::BITS - members.leading_zeros())
     }
 
-    pub(super) fn queue_member(&mut self, news: MemberNews) {
+    pub(super) fn queue_member(&mut self, news: MemberState) {
         self.member_queue
             .retain(|queued| queued.update.name != news.name);
         let left = self.repeats();
@@ -283,7 +288,7 @@
     }
 
     /// Tells whether no update waits to be sent.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_queue_empty(&self) -> bool {
         !self.has_updates()
     }
 
@@ -291,7 +296,7 @@
         !self.member_queue.is_empty() || !self.server_queue.is_empty()
     }
 
-    fn spread(&mut self, out: &mut Vec<GossipAction>) {
+    fn disseminate(&mut self, out: &mut Vec<GossipAction>) {
         for to in self.some_members(FANOUT) {
             if self.has_updates() {
                 self.send(to, GossipPurpose::Updates, out);
@@ -300,7 +305,7 @@
     }
 
     fn leave(&mut self, out: &mut Vec<GossipAction>) {
-        self.own.standing = MemberStanding::Left;
+        self.local_member.standing = MemberLifecycle::Left;
         let everybody: Vec<SocketAddr> = self.others().map(|news| news.address).collect();
         for to in everybody {
             self.send(to, GossipPurpose::Updates, out);
--- a/crates/core/src/process/gossip/member.rs
+++ b/crates/core/src/process/gossip/member.rs
@@ -7,7 +7,7 @@
 
 /// Standing of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum MemberStanding {
+pub enum MemberLifecycle {
     /// It answers.
     Alive,
     /// It did not answer a probe and has not refuted yet.
@@ -22,7 +22,7 @@
 ///
 /// Ordered by incarnation, then standing: a greater one overrides.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MemberNews {
+pub struct MemberState {
     /// Its name, unique in the deployment.
     pub name: String,
     /// Its listener for peers.
@@ -32,12 +32,12 @@
     /// Raised by the member itself, at its start and to refute.
     pub incarnation: u64,
     /// Its standing.
-    pub standing: MemberStanding,
+    pub standing: MemberLifecycle,
 }
 
-impl MemberNews {
+impl MemberState {
     /// Tells whether this news overrides `other`.
-    pub fn overrides(&self, other: &MemberNews) -> bool {
+    pub fn overrides(&self, other: &MemberState) -> bool {
         (self.incarnation, self.standing) > (other.incarnation, other.standing)
     }
 
@@ -45,7 +45,7 @@
     pub fn is_there(&self) -> bool {
         matches!(
             self.standing,
-            MemberStanding::Alive | MemberStanding::Suspect
+            MemberLifecycle::Alive | MemberLifecycle::Suspect
         )
     }
 }
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone)]
 pub struct MemberRecord {
     /// The latest news of it.
-    pub news: MemberNews,
+    pub news: MemberState,
     /// When its standing changed.
     pub since: Duration,
 }
--- a/crates/core/src/process/gossip/message.rs
+++ b/crates/core/src/process/gossip/message.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::process::gossip::member::MemberNews;
+use crate::process::gossip::member::MemberState;
 use crate::process::news::ServerNews;
 
 /// Order of a server's news: incarnation, sequence, and whether it is the
@@ -62,7 +62,7 @@
     /// so that the other side can send what is newer.
     Known {
         /// All members, if their digests differ.
-        members: Vec<MemberNews>,
+        members: Vec<MemberState>,
         /// Buckets that differ.
         buckets: Vec<u16>,
         /// Servers in those buckets by the hash of their name, with the order
@@ -75,11 +75,11 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GossipMessage {
     /// The sender, as it sees itself.
-    pub from: MemberNews,
+    pub from: MemberState,
     /// What it is for.
     pub purpose: GossipPurpose,
     /// News of members that rides along.
-    pub members: Vec<MemberNews>,
+    pub members: Vec<MemberState>,
     /// News of servers that rides along.
     pub servers: Vec<ServerUpdate>,
 }
--- a/crates/core/src/process/gossip/mod.rs
+++ b/crates/core/src/process/gossip/mod.rs
@@ -6,9 +6,9 @@
 //! Its messages carry changes of upstream servers as well; digests repair what
 //! was lost. See `docs/design/membership.md`.
 
-pub mod homes;
+mod dissemination;
+pub mod lease_tracker;
 pub mod machine;
 pub mod member;
 pub mod message;
 mod probe;
-mod spread;
--- a/crates/core/src/process/gossip/probe.rs
+++ b/crates/core/src/process/gossip/probe.rs
@@ -6,7 +6,7 @@
 use rand::seq::SliceRandom;
 
 use crate::process::gossip::machine::{GossipAction, GossipMachine, MEMBERS, PROBE_INTERVAL};
-use crate::process::gossip::member::{MemberNews, MemberRecord, MemberStanding};
+use crate::process::gossip::member::{MemberLifecycle, MemberRecord, MemberState};
 use crate::process::gossip::message::GossipPurpose;
 
 /// Time a member has to answer before others are asked to probe it.
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct OpenProbe {
     pub(super) number: u64,
-    target: MemberNews,
+    target: MemberState,
     began: Duration,
     asked_others: bool,
 }
@@ -115,11 +115,11 @@
     /// Takes news of a member, if it is newer than what is known.
     pub(super) fn learn_member(
         &mut self,
-        news: MemberNews,
+        news: MemberState,
         now: Duration,
         out: &mut Vec<GossipAction>,
     ) {
-        if news.name == self.own.name {
+        if news.name == self.local_member.name {
             return self.refute(&news);
         }
         let known = self.members.get(&news.name);
@@ -133,10 +133,10 @@
         }
         self.remember(news.clone(), now);
         self.queue_member(news.clone());
-        out.push(GossipAction::Member(news));
+        out.push(GossipAction::MemberChanged(news));
     }
 
-    fn remember(&mut self, news: MemberNews, now: Duration) {
+    fn remember(&mut self, news: MemberState, now: Duration) {
         let name = news.name.clone();
         let was_there = self
             .members
@@ -149,18 +149,18 @@
     }
 
     /// Says "I am there" louder than who said otherwise.
-    fn refute(&mut self, news: &MemberNews) {
-        let is_wrong = news.standing != MemberStanding::Alive;
-        let is_leaving = self.own.standing == MemberStanding::Left;
-        if is_wrong && !is_leaving && news.incarnation >= self.own.incarnation {
-            self.own.incarnation = news.incarnation + 1;
-            self.queue_member(self.own.clone());
+    fn refute(&mut self, news: &MemberState) {
+        let is_wrong = news.standing != MemberLifecycle::Alive;
+        let is_leaving = self.local_member.standing == MemberLifecycle::Left;
+        if is_wrong && !is_leaving && news.incarnation >= self.local_member.incarnation {
+            self.local_member.incarnation = news.incarnation + 1;
+            self.queue_member(self.local_member.clone());
         }
     }
 
-    fn suspect(&mut self, target: MemberNews, now: Duration, out: &mut Vec<GossipAction>) {
-        let news = MemberNews {
-            standing: MemberStanding::Suspect,
+    fn suspect(&mut self, target: MemberState, now: Duration, out: &mut Vec<GossipAction>) {
+        let news = MemberState {
+            standing: MemberLifecycle::Suspect,
             ..target
         };
         self.learn_member(news, now, out);
@@ -171,12 +171,12 @@
         let doublings = u32::BITS - members.leading_zeros();
         let patience = PROBE_INTERVAL * SUSPECT_ROUNDS * doublings.max(2);
         let overdue = self.members.values().filter(|record| {
-            record.news.standing == MemberStanding::Suspect && now >= record.since + patience
+            record.news.standing == MemberLifecycle::Suspect && now >= record.since + patience
         });
-        let dead: Vec<MemberNews> = overdue.map(|record| record.news.clone()).collect();
+        let dead: Vec<MemberState> = overdue.map(|record| record.news.clone()).collect();
         for news in dead {
-            let news = MemberNews {
-                standing: MemberStanding::Dead,
+            let news = MemberState {
+                standing: MemberLifecycle::Dead,
                 ..news
             };
             self.learn_member(news, now, out);
@@ -185,7 +185,7 @@
 
     /// Returns the next member of the round; each round has an order of its
     /// own, so that every member is probed within two rounds at most.
-    fn next_target(&mut self) -> Option<MemberNews> {
+    fn next_target(&mut self) -> Option<MemberState> {
         loop {
             if self.round.is_empty() {
                 self.round = self.others().map(|news| news.name.clone()).collect();
--- a/crates/core/src/process/scatter.rs
+++ b/crates/core/src/process/scatter.rs
@@ -14,7 +14,7 @@
 use crate::request::answer::{MissingReason, RefusalReason};
 use crate::request::decision::{RouteDecision, SendCause};
 use crate::request::query::{QueryState, ShardState};
-use crate::version::row::{FirstAim, RequestKind};
+use crate::version::row::{AnswerPriority, RequestKind};
 
 /// Decisions a recorded query makes besides one for each shard.
 const TRACE_OVERHEAD: usize = 4;
@@ -92,7 +92,7 @@
         };
         let delay = self.hedge_delay(upstream, &state.row);
         self.timers.set(now + delay, TimerPurpose::Sweep(query));
-        let early = state.row.first == FirstAim::Time && self.policy.answers_early();
+        let early = state.row.first == AnswerPriority::Time && self.policy.answers_early();
         if early && !state.restarted {
             let partial = state.arrived + state.row.partial_after;
             self.timers.set(partial, TimerPurpose::Partial(query));
--- a/crates/core/src/version/column.rs
+++ b/crates/core/src/version/column.rs
@@ -3,18 +3,18 @@
 use std::time::Duration;
 
 use crate::request::merge::MergeRule;
-use crate::version::row::{FirstAim, RequestKind, ServiceRow, UnfencedRule};
+use crate::version::row::{AnswerPriority, RequestKind, ServiceRow, UnfencedRule};
 
 /// Why a cell was not taken: what is allowed there.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct CellProblem {
+pub struct CellError {
     /// What the column allows.
     pub allowed: String,
     /// The words the column knows, for a hint.
     pub words: &'static [&'static str],
 }
 
-type CellResult = Result<(), CellProblem>;
+type CellResult = Result<(), CellError>;
 
 /// One column: its name and how its cell becomes part of a row.
 pub struct TableColumn {
@@ -33,21 +33,21 @@
 const UNFENCED_WORDS: &[&str] = &["refuse", "run"];
 const MERGE_WORDS: &[&str] = &["score", "concatenate", "single"];
 
-fn out_of_range(allowed: impl Into<String>) -> CellProblem {
-    CellProblem {
+fn out_of_range(allowed: impl Into<String>) -> CellError {
+    CellError {
         allowed: allowed.into(),
         words: &[],
     }
 }
 
-fn unknown_word(words: &'static [&'static str]) -> CellProblem {
-    CellProblem {
+fn unknown_word(words: &'static [&'static str]) -> CellError {
+    CellError {
         allowed: format!("one of {}", words.join(", ")),
         words,
     }
 }
 
-fn read_whole(cell: &str, least: u32, most: u32) -> Result<u32, CellProblem> {
+fn read_whole(cell: &str, least: u32, most: u32) -> Result<u32, CellError> {
     let problem = || out_of_range(format!("a whole number from {least} to {most}"));
     let number: u32 = cell.parse().map_err(|_| problem())?;
     if number < least || number > most {
@@ -56,7 +56,7 @@
     Ok(number)
 }
 
-fn read_fraction(cell: &str, least: f64, most: f64) -> Result<f64, CellProblem> {
+fn read_fraction(cell: &str, least: f64, most: f64) -> Result<f64, CellError> {
     let problem = || out_of_range(format!("a number from {least} to {most}"));
     let number: f64 = cell.parse().map_err(|_| problem())?;
     if !(least..=most).contains(&number) {
@@ -65,7 +65,7 @@
     Ok(number)
 }
 
-fn read_millis(cell: &str, least: u32, most: u32) -> Result<Duration, CellProblem> {
+fn read_millis(cell: &str, least: u32, most: u32) -> Result<Duration, CellError> {
     let problem = |_| out_of_range(format!("milliseconds from {least} to {most}"));
     let millis = read_whole(cell, least, most).map_err(problem)?;
     Ok(Duration::from_millis(u64::from(millis)))
@@ -74,7 +74,7 @@
 /// Most characters in the name of a service.
 const NAME_LENGTH: usize = 64;
 
-fn read_name(cell: &str) -> Result<Box<str>, CellProblem> {
+fn read_name(cell: &str) -> Result<Box<str>, CellError> {
     let plain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
     if cell.is_empty() || cell.len() > NAME_LENGTH || !cell.chars().all(plain) {
         return Err(out_of_range(
@@ -84,7 +84,7 @@
     Ok(cell.into())
 }
 
-fn read_kind(cell: &str) -> Result<RequestKind, CellProblem> {
+fn read_kind(cell: &str) -> Result<RequestKind, CellError> {
     match cell {
         "query" => Ok(RequestKind::Query),
         "fetch" => Ok(RequestKind::Fetch),
@@ -101,22 +101,22 @@
     }
 }
 
-fn read_first(cell: &str) -> Result<FirstAim, CellProblem> {
+fn read_first(cell: &str) -> Result<AnswerPriority, CellError> {
     match cell {
-        "time" => Ok(FirstAim::Time),
-        "coverage" => Ok(FirstAim::Coverage),
+        "time" => Ok(AnswerPriority::Time),
+        "coverage" => Ok(AnswerPriority::Coverage),
         _ => Err(unknown_word(FIRST_WORDS)),
     }
 }
 
-fn write_first(first: FirstAim) -> &'static str {
+fn write_first(first: AnswerPriority) -> &'static str {
     match first {
-        FirstAim::Time => "time",
-        FirstAim::Coverage => "coverage",
+        AnswerPriority::Time => "time",
+        AnswerPriority::Coverage => "coverage",
     }
 }
 
-fn read_merge(cell: &str) -> Result<MergeRule, CellProblem> {
+fn read_merge(cell: &str) -> Result<MergeRule, CellError> {
     match cell {
         "score" => Ok(MergeRule::Score),
         "concatenate" => Ok(MergeRule::Concatenate),
@@ -133,7 +133,7 @@
     }
 }
 
-fn read_unfenced(cell: &str) -> Result<UnfencedRule, CellProblem> {
+fn read_unfenced(cell: &str) -> Result<UnfencedRule, CellError> {
     match cell {
         "refuse" => Ok(UnfencedRule::Refuse),
         "run" => Ok(UnfencedRule::Run),
@@ -210,9 +210,13 @@
         |c: &str| read_fraction(c, 0.0, 1.0),
         f64::to_string
     ),
-    column!("first", false, first, read_first, |first: &FirstAim| {
-        write_first(*first)
-    }),
+    column!(
+        "first",
+        false,
+        first,
+        read_first,
+        |first: &AnswerPriority| { write_first(*first) }
+    ),
     column!(
         "partial_after_ms",
         false,
@@ -271,7 +275,7 @@
         queue: 64,
         deadline: Duration::from_millis(1000),
         coverage_floor: 0.5,
-        first: FirstAim::Coverage,
+        first: AnswerPriority::Coverage,
         partial_after: Duration::from_millis(1000),
         hedge_quantile: 0.95,
         extra_load: 0.05,
--- a/crates/core/src/version/route_table.rs
+++ b/crates/core/src/version/route_table.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::finding::{did_you_mean, FindingList, FindingPlace};
-use crate::version::workspace::{WorkspaceBook, WorkspaceRule};
+use crate::version::workspace::{WorkspaceRegistry, WorkspaceRule};
 
 /// A service with its weight in a split.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -61,8 +61,8 @@
     #[serde(default)]
     pub least_coverage: f64,
     /// Regions in which its requests may be served; all, if it names none.
-    #[serde(default)]
-    pub homes: Vec<String>,
+    #[serde(default, rename = "homes")]
+    pub allowed_regions: Vec<String>,
     /// Whether its requests need no key.
     #[serde(default)]
     pub public: bool,
@@ -149,7 +149,7 @@
 pub struct RouteTable {
     draft: RouteDraft,
     /// The workspaces, if requests need a key.
-    workspaces: Option<WorkspaceBook>,
+    workspaces: Option<WorkspaceRegistry>,
     /// Routes of a host, longest prefix first.
     hosts: HashMap<Box<str>, Vec<usize>>,
 }
@@ -163,7 +163,7 @@
     pub fn check(mut draft: RouteDraft) -> Result<RouteTable, FindingList> {
         let mut findings = FindingList::default();
         let workspaces = draft.workspaces.take();
-        let workspaces = workspaces.map(|rules| WorkspaceBook::check(rules, &mut findings));
+        let workspaces = workspaces.map(|rules| WorkspaceRegistry::check(rules, &mut findings));
         let mut hosts: HashMap<Box<str>, Vec<usize>> = HashMap::new();
         for (index, route) in draft.routes.iter().enumerate() {
             check_route(&draft, index, route, &mut findings);
@@ -213,7 +213,7 @@
     }
 
     /// Returns its workspaces, if requests need a key.
-    pub fn workspaces(&self) -> Option<&WorkspaceBook> {
+    pub fn workspaces(&self) -> Option<&WorkspaceRegistry> {
         self.workspaces.as_ref()
     }
 
--- a/crates/core/src/version/row.rs
+++ b/crates/core/src/version/row.rs
@@ -17,7 +17,7 @@
 
 /// What goes first when not all shards have answered in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum FirstAim {
+pub enum AnswerPriority {
     /// A partial answer goes out at the row's partial time.
     Time,
     /// The answer waits for all shards until the deadline.
@@ -56,7 +56,7 @@
     /// Least fraction of the shards that makes an answer (0 to 1).
     pub coverage_floor: f64,
     /// What goes first, time or coverage.
-    pub first: FirstAim,
+    pub first: AnswerPriority,
     /// When a partial answer goes out, if time goes first.
     pub partial_after: Duration,
     /// Quantile of observed subquery latency after which a hedge is sent.
--- a/crates/core/src/version/table.rs
+++ b/crates/core/src/version/table.rs
@@ -5,8 +5,8 @@
 
 use crate::finding::{did_you_mean, FindingList, FindingPlace};
 use crate::request::merge::MergeRule;
-use crate::version::column::{default_row, CellProblem, TableColumn, TABLE_COLUMNS};
-use crate::version::row::{FirstAim, RequestKind, ServiceRow};
+use crate::version::column::{default_row, CellError, TableColumn, TABLE_COLUMNS};
+use crate::version::row::{AnswerPriority, RequestKind, ServiceRow};
 
 /// One version of the service table.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -16,7 +16,7 @@
 }
 
 /// Most rows in a table.
-pub const TABLE_ROWS: usize = 5_000;
+pub const MAX_TABLE_ROWS: usize = 5_000;
 
 impl ServiceTable {
     /// Reads a table from CSV text and gives it a version.
@@ -53,10 +53,10 @@
                 "no service; a table needs a row or more",
             );
         }
-        if rows.len() > TABLE_ROWS {
+        if rows.len() > MAX_TABLE_ROWS {
             findings.add(
                 FindingPlace::Whole,
-                format!("over {TABLE_ROWS} services; split the table"),
+                format!("over {MAX_TABLE_ROWS} services; split the table"),
             );
         }
         if !findings.is_empty() {
@@ -224,7 +224,7 @@
     rows.insert(row.service.clone(), Arc::new(row));
 }
 
-fn report_cell(place: FindingPlace, cell: &str, problem: CellProblem, findings: &mut FindingList) {
+fn report_cell(place: FindingPlace, cell: &str, problem: CellError, findings: &mut FindingList) {
     let message = format!("\"{cell}\" is not {}", problem.allowed);
     let hint = did_you_mean(cell, problem.words.iter().copied());
     findings.add_hint(place, message, hint);
@@ -236,7 +236,7 @@
         row: line,
         column: column.to_string(),
     };
-    if row.first == FirstAim::Time && row.partial_after > row.deadline {
+    if row.first == AnswerPriority::Time && row.partial_after > row.deadline {
         findings.add(
             place("partial_after_ms"),
             "after the deadline; give a time up to deadline_ms",
--- a/crates/core/src/version/workspace.rs
+++ b/crates/core/src/version/workspace.rs
@@ -14,7 +14,7 @@
 use crate::finding::{FindingList, FindingPlace};
 
 /// Longest key, in bytes.
-pub const MOST_KEY_BYTES: usize = 512;
+pub const MAX_KEY_BYTES: usize = 512;
 /// Longest name of a workspace, in bytes.
 const MOST_NAME_BYTES: usize = 256;
 
@@ -40,8 +40,8 @@
         if self.0.is_empty() {
             return Some("a key must not be empty".to_string());
         }
-        if self.0.len() > MOST_KEY_BYTES {
-            return Some(format!("a key must have at most {MOST_KEY_BYTES} bytes"));
+        if self.0.len() > MAX_KEY_BYTES {
+            return Some(format!("a key must have at most {MAX_KEY_BYTES} bytes"));
         }
         let is_visible = self.0.bytes().all(|byte| byte.is_ascii_graphic());
         (!is_visible).then(|| "a key must be of visible ASCII characters".to_string())
@@ -99,8 +99,8 @@
     #[serde(default)]
     pub cap: Option<UsageCap>,
     /// Regions in which its requests may be served; all, if it names none.
-    #[serde(default)]
-    pub homes: Vec<String>,
+    #[serde(default, rename = "homes")]
+    pub allowed_regions: Vec<String>,
 }
 
 /// Reads a list of keys. Its errors don't quote the input.
@@ -117,23 +117,23 @@
 
 /// Place of a workspace in its table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct WorkspaceKey(usize);
+pub struct WorkspaceIndex(usize);
 
 /// The workspaces of a checked table.
 #[derive(Debug, Clone, Default)]
-pub struct WorkspaceBook {
+pub struct WorkspaceRegistry {
     rules: Vec<WorkspaceRule>,
-    names: HashMap<Box<str>, WorkspaceKey>,
-    digests: HashMap<KeyDigest, WorkspaceKey>,
+    names: HashMap<Box<str>, WorkspaceIndex>,
+    digests: HashMap<KeyDigest, WorkspaceIndex>,
 }
 
-impl WorkspaceBook {
+impl WorkspaceRegistry {
     /// Checks the workspaces of a table and takes their keys in.
-    pub fn check(mut rules: Vec<WorkspaceRule>, findings: &mut FindingList) -> WorkspaceBook {
-        let mut book = WorkspaceBook::default();
+    pub fn check(mut rules: Vec<WorkspaceRule>, findings: &mut FindingList) -> WorkspaceRegistry {
+        let mut book = WorkspaceRegistry::default();
         for (index, rule) in rules.iter().enumerate() {
             check_rule(rule, index, findings);
-            let key = WorkspaceKey(index);
+            let key = WorkspaceIndex(index);
             if book.names.insert(rule.name.as_str().into(), key).is_some() {
                 let message = format!("there is another workspace {}", rule.name);
                 findings.add(place(index, "name"), message);
@@ -164,13 +164,13 @@
             }
             match self.digests.entry(key.digest()) {
                 Entry::Vacant(vacant) => {
-                    vacant.insert(WorkspaceKey(index));
+                    vacant.insert(WorkspaceIndex(index));
                 }
-                Entry::Occupied(holder) if holder.get().0 == index => {
+                Entry::Occupied(caller_workspace) if caller_workspace.get().0 == index => {
                     flaws.insert(format!("{name} has a key twice"));
                 }
-                Entry::Occupied(holder) => {
-                    let other = &rules[holder.get().0].name;
+                Entry::Occupied(caller_workspace) => {
+                    let other = &rules[caller_workspace.get().0].name;
                     flaws.insert(format!("{other} and {name} share a key"));
                 }
             }
@@ -181,7 +181,7 @@
     }
 
     /// Returns a workspace.
-    pub fn rule(&self, key: WorkspaceKey) -> &WorkspaceRule {
+    pub fn rule(&self, key: WorkspaceIndex) -> &WorkspaceRule {
         &self.rules[key.0]
     }
 
@@ -191,12 +191,12 @@
     }
 
     /// Finds the workspace that holds a caller's key.
-    pub fn holder(&self, digest: KeyDigest) -> Option<WorkspaceKey> {
+    pub fn caller_workspace(&self, digest: KeyDigest) -> Option<WorkspaceIndex> {
         self.digests.get(&digest).copied()
     }
 
     /// Finds a workspace by its name.
-    pub fn named(&self, name: &str) -> Option<WorkspaceKey> {
+    pub fn find_by_name(&self, name: &str) -> Option<WorkspaceIndex> {
         self.names.get(name).copied()
     }
 }
--- a/crates/core/tests/forward/allowed_regions.rs
+++ b/crates/core/tests/forward/allowed_regions.rs
@@ -1,4 +1,4 @@
-//! Allowed regions of a route (`homes`): none of its requests is sent outside of them.
+//! Allowed regions of a route (`allowed_regions`): none of its requests is sent outside of them.
 
 use wheelmast_core::process::forward::answer::{AttemptOrder, ForwardAnswer, ForwardFailure};
 use wheelmast_core::process::forward::input::AttemptResult;
@@ -27,16 +27,21 @@
     RegionMap::new(pairs.map(|(domain, region)| (domain.into(), region.into())))
 }
 
-/// Creates a harness with a route restricted to the regions `homes`. Each service has a
+/// Creates a harness with a route restricted to the regions `allowed_regions`. Each service has a
 /// server in each of `domains`; there is another entry in each of `peers`.
-fn new_harness(target: RouteTarget, homes: &[&str], domains: &[&str], peers: &[&str]) -> Harness {
+fn new_harness(
+    target: RouteTarget,
+    allowed_regions: &[&str],
+    domains: &[&str],
+    peers: &[&str],
+) -> Harness {
     let mut harness = Harness::with_options(ForwardOptions {
         domain: LOCAL_DOMAIN.into(),
         regions: regions(),
         ..ForwardOptions::default()
     });
     let rule = RouteRule {
-        homes: homes.iter().map(ToString::to_string).collect(),
+        allowed_regions: allowed_regions.iter().map(ToString::to_string).collect(),
         ..route("q", target)
     };
     let services: Vec<String> = rule.services().map(str::to_string).collect();
@@ -54,7 +59,7 @@
 
 struct RegionCase {
     name: &'static str,
-    homes: &'static [&'static str],
+    allowed_regions: &'static [&'static str],
     domains: &'static [&'static str],
     peers: &'static [&'static str],
     /// Failure domains that may receive requests.
@@ -64,28 +69,28 @@
 const CASES: &[RegionCase] = &[
     RegionCase {
         name: "the local region",
-        homes: &["west"],
+        allowed_regions: &["west"],
         domains: &[LOCAL_DOMAIN, BESIDE, FAR, FARTHER],
         peers: &[BESIDE, FAR, FARTHER],
         allowed: &[LOCAL_DOMAIN, BESIDE],
     },
     RegionCase {
         name: "another region",
-        homes: &["east"],
+        allowed_regions: &["east"],
         domains: &[LOCAL_DOMAIN, BESIDE, FAR, FARTHER],
         peers: &[LOCAL_DOMAIN, BESIDE, FAR, FARTHER],
         allowed: &[FAR],
     },
     RegionCase {
         name: "two other regions",
-        homes: &["east", "south"],
+        allowed_regions: &["east", "south"],
         domains: &[LOCAL_DOMAIN, FAR, FARTHER],
         peers: &[FAR, FARTHER, BESIDE],
         allowed: &[FAR, FARTHER],
     },
     RegionCase {
         name: "no entry in the allowed region",
-        homes: &["east"],
+        allowed_regions: &["east"],
         domains: &[LOCAL_DOMAIN, FAR],
         peers: &[BESIDE, FARTHER],
         allowed: &[FAR],
@@ -117,7 +122,7 @@
             } else {
                 shards(count)
             };
-            let mut harness = new_harness(target, case.homes, case.domains, case.peers);
+            let mut harness = new_harness(target, case.allowed_regions, case.domains, case.peers);
             for round in 0..6 {
                 let first = harness.sends.len();
                 harness.call("q");
@@ -135,12 +140,17 @@
 
 #[test]
 fn without_a_server_in_the_allowed_regions_a_request_is_refused_at_once() {
-    for homes in [&["east"][..], &["nowhere"][..]] {
+    for allowed_regions in [&["east"][..], &["nowhere"][..]] {
         let one = RouteTarget::Service("one".to_string());
         for target in [one, shards(6)] {
-            let mut harness = new_harness(target, homes, &[LOCAL_DOMAIN, FARTHER], &[BESIDE, FAR]);
+            let mut harness = new_harness(
+                target,
+                allowed_regions,
+                &[LOCAL_DOMAIN, FARTHER],
+                &[BESIDE, FAR],
+            );
             harness.call("q");
-            assert_eq!(harness.sends.len(), 0, "{homes:?}");
+            assert_eq!(harness.sends.len(), 0, "{allowed_regions:?}");
             let answers = harness.answers.iter();
             let refused = answers.filter(|(_, answer)| {
                 let ForwardAnswer::Failure { failure, .. } = answer else {
@@ -148,7 +158,7 @@
                 };
                 *failure == ForwardFailure::NoServer || *failure == ForwardFailure::Overload
             });
-            assert_eq!(refused.count(), 1, "{homes:?}");
+            assert_eq!(refused.count(), 1, "{allowed_regions:?}");
         }
     }
 }
@@ -156,12 +166,12 @@
 #[test]
 fn a_region_set_contains_its_regions_and_no_unknown_one() {
     let map = regions();
-    let east = map.homes(&["east".to_string()]);
+    let east = map.allowed_regions(&["east".to_string()]);
     assert!(east.contains(map.region_of(FAR)));
     assert!(!east.contains(map.region_of(LOCAL_DOMAIN)));
     assert!(!east.contains(map.region_of("unheard")));
     assert!(!east.contains(RegionKey::UNKNOWN));
-    assert!(map.homes(&[]).contains(RegionKey::UNKNOWN));
+    assert!(map.allowed_regions(&[]).contains(RegionKey::UNKNOWN));
     assert!(RegionSet::ANYWHERE.contains(map.region_of(FARTHER)));
     let many = RegionSet::of((0..200).map(RegionKey::new));
     assert!(many.contains(RegionKey::new(62)));
--- a/crates/core/tests/forward/keys.rs
+++ b/crates/core/tests/forward/keys.rs
@@ -23,7 +23,7 @@
         keys: vec![CallerKey::new(*key)],
         rank: None,
         cap: None,
-        homes: if *name == "tied" {
+        allowed_regions: if *name == "tied" {
             vec!["east".to_string()]
         } else {
             Vec::new()
@@ -232,14 +232,14 @@
         ("tied", &["west"], None),
         ("free", &["west"], Some(LOCAL_DOMAIN)),
     ];
-    for (workspace, homes, asked) in cases {
+    for (workspace, allowed_regions, asked) in cases {
         let mut harness = Harness::with_options(ForwardOptions {
             domain: LOCAL_DOMAIN.into(),
             regions: RegionMap::new(regions.clone()),
             ..ForwardOptions::default()
         });
         let rule = RouteRule {
-            homes: homes.iter().map(ToString::to_string).collect(),
+            allowed_regions: allowed_regions.iter().map(ToString::to_string).collect(),
             ..route("q", RouteTarget::Service("desk".into()))
         };
         harness.set_table(keyed(3, vec![rule], &[(workspace, KEY)]));
@@ -250,7 +250,7 @@
         assert_eq!(
             sent,
             asked.map(|domain| format!("desk-{domain}")),
-            "{workspace} {homes:?}"
+            "{workspace} {allowed_regions:?}"
         );
     }
 }
--- a/crates/core/tests/gossip.rs
+++ b/crates/core/tests/gossip.rs
@@ -7,9 +7,9 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use wheelmast_core::prelude::*;
-use wheelmast_core::process::gossip::homes::{homes_of, HOME_COUNT};
+use wheelmast_core::process::gossip::lease_tracker::{select_lease_trackers, LEASE_TRACKER_COUNT};
 use wheelmast_core::process::gossip::machine::{GossipAction, GossipInput, GossipMachine};
-use wheelmast_core::process::gossip::member::{MemberNews, MemberStanding};
+use wheelmast_core::process::gossip::member::{MemberLifecycle, MemberState};
 use wheelmast_core::process::gossip::message::GossipMessage;
 
 /// Time between two steps of the test's clock.
@@ -32,13 +32,13 @@
     SocketAddr::from(([127, 1, (node / 250) as u8, (node % 250) as u8 + 1], 7403))
 }
 
-fn own(node: usize, incarnation: u64) -> MemberNews {
-    MemberNews {
+fn own(node: usize, incarnation: u64) -> MemberState {
+    MemberState {
         name: format!("n{node}"),
         address: address(node),
         domain: format!("d{}", node % 3),
         incarnation,
-        standing: MemberStanding::Alive,
+        standing: MemberLifecycle::Alive,
     }
 }
 
@@ -99,14 +99,14 @@
                         self.wire.push((node, to, message));
                     }
                 }
-                GossipAction::Server(news) => {
+                GossipAction::ServerAnnounced(news) => {
                     self.told[node].insert(news.name.to_string(), news.phase);
                 }
                 GossipAction::Expired(name) => {
                     self.told[node].insert(name, ServerPhase::Left);
                 }
                 GossipAction::Vouch(names) => self.vouched[node].extend(names),
-                GossipAction::Member(_) => {}
+                GossipAction::MemberChanged(_) => {}
             }
         }
     }
@@ -223,7 +223,7 @@
         net.run(Duration::from_millis(500));
     }
     let vouching = net.vouched.iter().filter(|names| names.contains("s"));
-    assert_eq!(vouching.count(), 7 - HOME_COUNT);
+    assert_eq!(vouching.count(), 7 - LEASE_TRACKER_COUNT);
     assert!(net.all_told("s", ServerPhase::Serving));
     let took = net.run_until(seconds(6), |net| net.all_told("s", ServerPhase::Left));
     assert!(took.is_some());
@@ -322,8 +322,8 @@
         // Two probes a second with their answers, a digest to a member and
         // one to a seed.
         assert!(rate <= 6.5, "{count} members: {rate} messages a second");
-        let remembered = net.machines[0].as_ref().map(GossipMachine::remembered);
-        assert_eq!(remembered, Some(count - 1));
+        let member_count = net.machines[0].as_ref().map(GossipMachine::member_count);
+        assert_eq!(member_count, Some(count - 1));
     }
 }
 
@@ -337,8 +337,9 @@
             .filter(|name| *name != without)
             .collect();
         let servers = (0..500).map(|server| {
-            let homes = homes_of(&format!("s{server}"), members.iter().copied());
-            homes.into_iter().map(str::to_string).collect()
+            let lease_tracker =
+                select_lease_trackers(&format!("s{server}"), members.iter().copied());
+            lease_tracker.into_iter().map(str::to_string).collect()
         });
         servers.collect()
     };
@@ -346,7 +347,7 @@
     for (before, after) in before.iter().zip(&after) {
         let kept = before.iter().filter(|home| after.contains(home)).count();
         let had = usize::from(before.contains(&"n7".to_string()));
-        assert_eq!(kept, HOME_COUNT - had);
+        assert_eq!(kept, LEASE_TRACKER_COUNT - had);
     }
 }
 
@@ -356,7 +357,7 @@
     net.run_until(seconds(10), |net| net.all_know(6));
     let quiet = |net: &Net| {
         let mut machines = net.machines.iter().flatten();
-        machines.all(GossipMachine::is_quiet)
+        machines.all(GossipMachine::is_queue_empty)
     };
     let mut calm = 0;
     for sequence in 1..60 {
--- a/crates/core/tests/workspaces.rs
+++ b/crates/core/tests/workspaces.rs
@@ -2,7 +2,7 @@
 
 use wheelmast_core::version::route_table::{CallerLimits, RouteDraft, RouteTable};
 use wheelmast_core::version::workspace::{
-    CallerKey, KeyDigest, UsageCap, WorkspaceRule, MOST_KEY_BYTES,
+    CallerKey, KeyDigest, UsageCap, WorkspaceRule, MAX_KEY_BYTES,
 };
 
 fn workspace(name: &str, keys: &[&str]) -> WorkspaceRule {
@@ -11,7 +11,7 @@
         keys: keys.iter().map(|key| CallerKey::new(*key)).collect(),
         rank: None,
         cap: None,
-        homes: Vec::new(),
+        allowed_regions: Vec::new(),
     }
 }
 
@@ -37,7 +37,7 @@
         workspaces,
         finding,
     };
-    let long = "k".repeat(MOST_KEY_BYTES + 1);
+    let long = "k".repeat(MAX_KEY_BYTES + 1);
     let negative = WorkspaceRule {
         cap: Some(UsageCap {
             per_s: -1.0,
@@ -121,9 +121,10 @@
         ("", None),
     ];
     for (key, name) in cases {
-        let holder = book.holder(KeyDigest::of(key.as_bytes()));
-        let holder = holder.map(|holder| &*book.rule(holder).name);
-        assert_eq!(holder, name, "{key}");
+        let caller_workspace = book.caller_workspace(KeyDigest::of(key.as_bytes()));
+        let caller_workspace =
+            caller_workspace.map(|caller_workspace| &*book.rule(caller_workspace).name);
+        assert_eq!(caller_workspace, name, "{key}");
     }
 }
 
@@ -135,6 +136,8 @@
     });
     let table = RouteTable::check(draft(many.collect())).expect("it is good");
     let book = table.workspaces().expect("it has workspaces");
-    let holder = book.holder(KeyDigest::of(b"b9999")).expect("it is held");
-    assert_eq!(book.rule(holder).name, "w9999");
+    let caller_workspace = book
+        .caller_workspace(KeyDigest::of(b"b9999"))
+        .expect("it is held");
+    assert_eq!(book.rule(caller_workspace).name, "w9999");
 }
--- a/crates/node/src/process/gossip.rs
+++ b/crates/node/src/process/gossip.rs
@@ -9,7 +9,7 @@
 use tokio::sync::oneshot;
 use wheelmast_core::prelude::EntryInput;
 use wheelmast_core::process::gossip::machine::{GossipAction, GossipInput, GossipMachine};
-use wheelmast_core::process::gossip::member::MemberStanding;
+use wheelmast_core::process::gossip::member::MemberLifecycle;
 use wheelmast_wire::operator::MemberStatus;
 use wheelmast_wire::peer::PeerRequest;
 
@@ -130,10 +130,12 @@
                     let link = self.link(to);
                     link.tell(PeerRequest::Gossip(Box::new(message)));
                 }
-                GossipAction::Server(news) => self.hand_on(EntryInput::Announce(news)).await,
+                GossipAction::ServerAnnounced(news) => {
+                    self.hand_on(EntryInput::Announce(news)).await
+                }
                 GossipAction::Expired(name) => self.hand_on(EntryInput::Expired(name)).await,
                 GossipAction::Vouch(names) => self.hand_on(EntryInput::Vouch(names)).await,
-                GossipAction::Member(news) => {
+                GossipAction::MemberChanged(news) => {
                     let standing = standing_word(news.standing);
                     tracing::info!("member: {} of {} is {standing}", news.name, news.domain);
                 }
@@ -166,22 +168,24 @@
 
     fn members(&self) -> Vec<MemberStatus> {
         let others = self.machine.members();
-        let members = others.chain([self.machine.own()]).map(|news| MemberStatus {
-            name: news.name.clone(),
-            domain: news.domain.clone(),
-            address: news.address,
-            incarnation: news.incarnation,
-            standing: standing_word(news.standing).to_string(),
-        });
+        let members = others
+            .chain([self.machine.local_member()])
+            .map(|news| MemberStatus {
+                name: news.name.clone(),
+                domain: news.domain.clone(),
+                address: news.address,
+                incarnation: news.incarnation,
+                standing: standing_word(news.standing).to_string(),
+            });
         members.collect()
     }
 }
 
-fn standing_word(standing: MemberStanding) -> &'static str {
+fn standing_word(standing: MemberLifecycle) -> &'static str {
     match standing {
-        MemberStanding::Alive => "alive",
-        MemberStanding::Suspect => "suspect",
-        MemberStanding::Dead => "dead",
-        MemberStanding::Left => "left",
+        MemberLifecycle::Alive => "alive",
+        MemberLifecycle::Suspect => "suspect",
+        MemberLifecycle::Dead => "dead",
+        MemberLifecycle::Left => "left",
     }
 }
--- a/crates/node/src/process/instance.rs
+++ b/crates/node/src/process/instance.rs
@@ -12,7 +12,7 @@
     EntryInput, EntryMachine, EntryOptions, GuardSet, RoutePolicy, ServiceTable,
 };
 use wheelmast_core::process::gossip::machine::{GossipInput, GossipMachine};
-use wheelmast_core::process::gossip::member::{MemberNews, MemberStanding};
+use wheelmast_core::process::gossip::member::{MemberLifecycle, MemberState};
 
 use crate::process::announce::{announce_router, AnnounceState};
 use crate::process::callers::{caller_router, CallerState};
@@ -323,12 +323,12 @@
         address: SocketAddr,
         key: Arc<str>,
     ) -> GossipDriver {
-        let own = MemberNews {
+        let own = MemberState {
             name: self.settings.instance.clone(),
             address,
             domain: self.settings.domain.clone(),
             incarnation: wall_clock_ms(),
-            standing: MemberStanding::Alive,
+            standing: MemberLifecycle::Alive,
         };
         let seeds = self.cluster.peers.iter().map(|peer| peer.address).collect();
         GossipDriver {
--- a/crates/wire/tests/routes_page.rs
+++ b/crates/wire/tests/routes_page.rs
@@ -13,7 +13,7 @@
     let draft = NativeDialect::read_table(text.as_bytes()).expect("it is read");
     let table = RouteTable::check(draft).expect("it has no findings");
     let route = &table.routes()[0];
-    assert_eq!(route.homes, ["north"]);
+    assert_eq!(route.allowed_regions, ["north"]);
     assert!(matches!(&route.target, RouteTarget::Gather(names) if names.len() == 2));
     let cold: Vec<f64> = table
         .services()
