--- a/crates/core/src/process/gossip/dissemination.rs
+++ b/crates/core/src/process/gossip/dissemination.rs
@@ -1,4 +1,8 @@
-//! Upstream servers: renewals end at the homes, changes go to everybody.
+//! Dissemination of upstream servers' announcements and leases.
+//!
+//! An announcement that changes nothing but the lease (a renewal) goes only to the
+//! server's lease trackers. A change goes to all members, and digests of hash
+//! buckets find and repair changes that a member missed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,62 +11,70 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::process::gossip::lease_tracker::select_lease_trackers;
-use crate::process::gossip::machine::{GossipAction, GossipMachine, QueuedUpdate, ServerHold};
-use crate::process::gossip::message::{GossipPurpose, ServerOrder, ServerUpdate};
+use crate::process::gossip::machine::{GossipAction, GossipMachine, KnownServer, QueuedUpdate};
+use crate::process::gossip::message::{GossipPurpose, ServerUpdate, UpdateVersion};
 use crate::process::news::ServerNews;
 use crate::process::roster::ROSTER_SERVERS;
 
-/// Buckets of the digest of servers.
-const BUCKETS: u64 = 64;
-/// Most updates sent in answer to one digest.
-const REPAIR: usize = 64;
+/// Number of hash buckets in the digest of the servers.
+const DIGEST_BUCKETS: u64 = 64;
+/// Maximum number of updates sent in reply to one list of versions.
+const MAX_REPAIR_UPDATES: usize = 64;
 
 impl GossipMachine {
-    /// Takes the announcement of a server here: its homes hear of it, and if
-    /// it changes something, everybody does.
-    pub(super) fn announced(
+    /// Handles an announcement that a server sent to this instance: forwards it to
+    /// the server's lease trackers, and to all members if it is a change.
+    pub(super) fn handle_announcement(
         &mut self,
-        news: ServerNews,
+        announcement: ServerNews,
         now: Duration,
         out: &mut Vec<GossipAction>,
     ) {
         let trackers: Vec<SocketAddr> = {
-            let names = select_lease_trackers(&news.name, self.names());
+            let names = select_lease_trackers(&announcement.name, self.active_names());
             let others = self.others();
             others
                 .filter(|member| names.contains(&member.name.as_str()))
                 .map(|member| member.address)
                 .collect()
         };
-        for home in trackers {
-            let renewal = GossipPurpose::Renewal(Box::new(news.clone()));
-            self.send(home, renewal, out);
+        for tracker in trackers {
+            let renewal = GossipPurpose::Renewal(Box::new(announcement.clone()));
+            self.send(tracker, renewal, out);
         }
-        self.renewed(news, now, out);
+        self.handle_renewal(announcement, now, out);
     }
 
-    /// Takes a renewal: of a server here, or handed on by another member.
-    pub(super) fn renewed(&mut self, news: ServerNews, now: Duration, out: &mut Vec<GossipAction>) {
+    /// Handles an announcement, received from the server or forwarded by another
+    /// member: renews the lease, and disseminates the announcement if it is a
+    /// change.
+    pub(super) fn handle_renewal(
+        &mut self,
+        announcement: ServerNews,
+        now: Duration,
+        out: &mut Vec<GossipAction>,
+    ) {
         let update = ServerUpdate {
-            news,
+            news: announcement,
             expired: false,
         };
-        let Some(hold) = self.servers.get_mut(&*update.news.name) else {
-            return self.learn_server(update, now, out);
+        let Some(server) = self.servers.get_mut(&*update.news.name) else {
+            return self.apply_server_update(update, now, out);
         };
-        if update.order() <= hold.update.order() {
+        if update.version() <= server.update.version() {
             return;
         }
-        hold.renewed = now;
-        if is_change(&hold.update, &update) {
-            return self.learn_server(update, now, out);
+        server.renewed_at = now;
+        if must_disseminate(&server.update, &update) {
+            return self.apply_server_update(update, now, out);
         }
         out.push(GossipAction::ServerAnnounced(update.news.clone()));
-        hold.update = update;
+        server.update = update;
     }
 
-    /// Takes a change of a server, if it is newer than what is known.
-    pub(super) fn learn_server(
+    /// Records a change of a server if it is newer than the known state, and
+    /// disseminates it.
+    pub(super) fn apply_server_update(
         &mut self,
         update: ServerUpdate,
         now: Duration,
@@ -71,105 +83,116 @@
         let name = update.news.name.to_string();
         let is_full = self.servers.len() >= ROSTER_SERVERS;
         match self.servers.get_mut(&name) {
-            Some(hold) if update.order() <= hold.update.order() => {
-                // Others took as a change what was none here; from now on the
-                // digests are made of the same order.
-                hold.changed = hold.changed.max(update.order());
-                if update.expired && !hold.update.expired {
-                    // An old word that the lease ran out, of a server that was
-                    // renewed since: say so again.
-                    hold.changed = hold.update.order();
-                    let current = hold.update.clone();
-                    self.queue_server(current);
+            Some(server) if update.version() <= server.update.version() => {
+                // This instance recorded the same or a newer announcement as a
+                // plain renewal, but other members disseminated this one as a
+                // change. Digests must be computed from the same version.
+                server.disseminated_version = server.disseminated_version.max(update.version());
+                if update.expired && !server.update.expired {
+                    // The expiry report is outdated, because the server's lease has
+                    // been renewed since. Disseminate the current state to correct
+                    // members that believe the report.
+                    server.disseminated_version = server.update.version();
+                    let current = server.update.clone();
+                    self.queue_server_update(current);
                 }
                 return;
             }
             None if is_full => return,
             _ => {}
         }
-        let hold = ServerHold {
-            changed: update.order(),
+        let server = KnownServer {
+            disseminated_version: update.version(),
             update: update.clone(),
-            renewed: now,
-            is_home: false,
-            members_seen: 0,
+            renewed_at: now,
+            is_lease_tracker: false,
+            tracked_at_version: 0,
         };
         let action = if update.expired {
             GossipAction::Expired(name.clone())
         } else {
             GossipAction::ServerAnnounced(update.news.clone())
         };
-        self.servers.insert(name, hold);
+        self.servers.insert(name, server);
         out.push(action);
-        self.queue_server(update);
+        self.queue_server_update(update);
     }
 
-    fn queue_server(&mut self, update: ServerUpdate) {
+    /// Queues an update for dissemination in place of an older one about the same
+    /// server.
+    fn queue_server_update(&mut self, update: ServerUpdate) {
         self.server_queue
             .retain(|queued| queued.update.news.name != update.news.name);
-        let left = self.repeats();
-        self.server_queue.push(QueuedUpdate { update, left });
+        let remaining_sends = self.sends_per_update();
+        self.server_queue.push(QueuedUpdate {
+            update,
+            remaining_sends,
+        });
     }
 
-    /// As a home, tells everybody of leases that ran out; for all others,
-    /// renews what their homes vouch for by being there.
-    pub(super) fn look_at_leases(&mut self, now: Duration, out: &mut Vec<GossipAction>) {
-        self.work_out_homes(now);
+    /// Disseminates the expiry of leases that this instance tracks, and requests
+    /// the renewal of all other leases at the entry: their trackers would have
+    /// reported an expiry.
+    pub(super) fn check_leases(&mut self, now: Duration, out: &mut Vec<GossipAction>) {
+        self.update_tracked_leases(now);
         let mut expired = Vec::new();
-        let mut vouched = Vec::new();
-        for (name, hold) in &self.servers {
-            if hold.update.expired || !hold.update.news.phase.takes_work() {
+        let mut trusted_names = Vec::new();
+        for (name, server) in &self.servers {
+            if server.update.expired || !server.update.news.phase.takes_work() {
                 continue;
             }
-            if !hold.is_home {
-                vouched.push(name.clone());
-            } else if now >= hold.renewed + hold.update.news.lease {
-                expired.push(hold.update.news.clone());
+            if !server.is_lease_tracker {
+                trusted_names.push(name.clone());
+            } else if now >= server.renewed_at + server.update.news.lease {
+                expired.push(server.update.news.clone());
             }
         }
-        for news in expired {
+        for announcement in expired {
             let update = ServerUpdate {
-                news,
+                news: announcement,
                 expired: true,
             };
-            self.learn_server(update, now, out);
+            self.apply_server_update(update, now, out);
         }
-        if !vouched.is_empty() {
-            out.push(GossipAction::Vouch(vouched));
+        if !trusted_names.is_empty() {
+            out.push(GossipAction::Vouch(trusted_names));
         }
     }
 
-    /// Works out of which servers this instance is a home. Ranking all members
-    /// for all servers is dear, so it is done only after a change of either.
-    fn work_out_homes(&mut self, now: Duration) {
-        let changes = self.member_changes;
-        let is_stale = |hold: &ServerHold| hold.members_seen != changes;
+    /// Determines the servers whose leases this instance tracks. Ranking all
+    /// members for all servers is expensive, so it happens only for new servers
+    /// and after membership changes.
+    fn update_tracked_leases(&mut self, now: Duration) {
+        let membership_version = self.membership_version;
+        let is_stale = |server: &KnownServer| server.tracked_at_version != membership_version;
         if !self.servers.values().any(is_stale) {
             return;
         }
-        let names: Vec<String> = self.names().map(str::to_string).collect();
-        let local_member = self.local_member.name.as_str();
-        for (name, hold) in &mut self.servers {
-            if hold.members_seen != changes {
+        let names: Vec<String> = self.active_names().map(str::to_string).collect();
+        let local_name = self.local_member.name.as_str();
+        for (name, server) in &mut self.servers {
+            if server.tracked_at_version != membership_version {
                 let trackers = select_lease_trackers(name, names.iter().map(String::as_str));
-                let was_home = hold.is_home;
-                hold.is_home = trackers.contains(&local_member);
-                if hold.is_home && !was_home {
-                    // Renewals went to other homes so far: a whole lease is
-                    // given for the first to arrive here.
-                    hold.renewed = now;
+                let was_tracker = server.is_lease_tracker;
+                server.is_lease_tracker = trackers.contains(&local_name);
+                if server.is_lease_tracker && !was_tracker {
+                    // Renewals went to other trackers so far. The lease restarts
+                    // here, so that the first renewal has time to arrive.
+                    server.renewed_at = now;
                 }
-                hold.members_seen = changes;
+                server.tracked_at_version = membership_version;
             }
         }
     }
 
-    /// Offers a digest to a random member, or to a seed if there is none.
-    pub(super) fn offer_digest(&mut self, out: &mut Vec<GossipAction>) {
+    /// Sends a digest of the local state to a random active member and to a random
+    /// seed.
+    pub(super) fn send_digest(&mut self, out: &mut Vec<GossipAction>) {
         let seed = self.seeds.choose(&mut self.rng).copied();
-        // Seeds are asked now and then, so that two halves of a group that
-        // took each other for dead find together again.
-        let member = self.some_members(1).first().copied();
+        // The seed may belong to the other side of a healed partition. Without
+        // messages to seeds, two parts that declared each other dead would never
+        // merge again.
+        let member = self.random_members(1).first().copied();
         let purpose = GossipPurpose::Digest {
             members: self.member_digest(),
             servers: self.server_digests(),
@@ -179,29 +202,30 @@
         }
     }
 
-    /// Answers a digest with what is known in the buckets that differ.
-    pub(super) fn answer_digest(
+    /// Replies to a digest with the versions of the servers in the buckets that
+    /// differ, and with all members if the member digests differ.
+    pub(super) fn reply_to_digest(
         &mut self,
         to: SocketAddr,
         members: u64,
         servers: &[u64],
         out: &mut Vec<GossipAction>,
     ) {
-        let local_member = self.server_digests();
+        let local_digests = self.server_digests();
         let differs = |bucket: &u16| {
-            servers.get(usize::from(*bucket)) != local_member.get(usize::from(*bucket))
+            servers.get(usize::from(*bucket)) != local_digests.get(usize::from(*bucket))
         };
-        let buckets: Vec<u16> = (0..BUCKETS as u16).filter(differs).collect();
+        let buckets: Vec<u16> = (0..DIGEST_BUCKETS as u16).filter(differs).collect();
         let same_members = members == self.member_digest();
         if same_members && buckets.is_empty() {
             return;
         }
-        let servers = self.known_in(&buckets);
+        let servers = self.versions_in_buckets(&buckets);
         let members = if same_members {
             Vec::new()
         } else {
             let records = self.members.values();
-            records.map(|record| record.news.clone()).collect()
+            records.map(|record| record.state.clone()).collect()
         };
         let purpose = GossipPurpose::Known {
             members,
@@ -211,35 +235,36 @@
         self.send(to, purpose, out);
     }
 
-    /// Sends what the other side lacks, and says what it has and we do not by
-    /// offering the digest back.
-    pub(super) fn send_newer(
+    /// Sends the updates that the other member misses. If that member has newer
+    /// versions, replies with the local versions, so that it sends them.
+    pub(super) fn send_missing_updates(
         &mut self,
         to: SocketAddr,
         buckets: &[u16],
-        known: &[(u64, ServerOrder)],
+        known: &[(u64, UpdateVersion)],
         out: &mut Vec<GossipAction>,
     ) {
-        let theirs: std::collections::HashMap<u64, ServerOrder> = known.iter().copied().collect();
+        let remote_versions: std::collections::HashMap<u64, UpdateVersion> =
+            known.iter().copied().collect();
         let mut newer: Vec<ServerUpdate> = Vec::new();
-        let mut lacks = theirs.len();
-        for (name, hold) in &self.servers {
+        let mut newer_remote_count = remote_versions.len();
+        for (name, server) in &self.servers {
             let hash = xxh3_64(name.as_bytes());
             if !buckets.contains(&bucket_of(hash)) {
                 continue;
             }
-            match theirs.get(&hash) {
-                Some(order) if *order >= hold.changed => {
-                    lacks -= usize::from(*order == hold.changed);
+            match remote_versions.get(&hash) {
+                Some(version) if *version >= server.disseminated_version => {
+                    newer_remote_count -= usize::from(*version == server.disseminated_version);
                 }
                 Some(_) => {
-                    lacks -= 1;
-                    newer.push(hold.update.clone());
+                    newer_remote_count -= 1;
+                    newer.push(server.update.clone());
                 }
-                None => newer.push(hold.update.clone()),
+                None => newer.push(server.update.clone()),
             }
         }
-        newer.truncate(REPAIR);
+        newer.truncate(MAX_REPAIR_UPDATES);
         if !newer.is_empty() {
             out.push(GossipAction::Send {
                 to,
@@ -251,41 +276,45 @@
                 },
             });
         }
-        if lacks > 0 {
+        if newer_remote_count > 0 {
             let purpose = GossipPurpose::Known {
                 members: Vec::new(),
                 buckets: buckets.to_vec(),
-                servers: self.known_in(buckets),
+                servers: self.versions_in_buckets(buckets),
             };
             self.send(to, purpose, out);
         }
     }
 
-    fn known_in(&self, buckets: &[u16]) -> Vec<(u64, ServerOrder)> {
-        let holds = self.servers.iter();
-        holds
-            .map(|(name, hold)| (xxh3_64(name.as_bytes()), hold.changed))
+    /// Returns the name hashes and disseminated versions of the servers in
+    /// `buckets`.
+    fn versions_in_buckets(&self, buckets: &[u16]) -> Vec<(u64, UpdateVersion)> {
+        let servers = self.servers.iter();
+        servers
+            .map(|(name, server)| (xxh3_64(name.as_bytes()), server.disseminated_version))
             .filter(|(hash, _)| buckets.contains(&bucket_of(*hash)))
             .collect()
     }
 
+    /// Returns a digest of the names and incarnations of all active members.
     fn member_digest(&self) -> u64 {
-        let others = self.members.values().map(|record| &record.news);
-        let there = others
+        let others = self.members.values().map(|record| &record.state);
+        let active = others
             .chain([&self.local_member])
-            .filter(|news| news.is_there());
-        let hashes = there.map(|news| {
-            let text = format!("{}/{}", news.name, news.incarnation);
+            .filter(|state| state.is_active());
+        let hashes = active.map(|state| {
+            let text = format!("{}/{}", state.name, state.incarnation);
             xxh3_64(text.as_bytes())
         });
         hashes.fold(0, |sum, hash| sum ^ hash)
     }
 
+    /// Returns a digest of the servers' disseminated versions for each bucket.
     fn server_digests(&self) -> Vec<u64> {
-        let mut digests = vec![0; BUCKETS as usize];
-        for (name, hold) in &self.servers {
+        let mut digests = vec![0; DIGEST_BUCKETS as usize];
+        for (name, server) in &self.servers {
             let hash = xxh3_64(name.as_bytes());
-            let (incarnation, sequence, expired) = hold.changed;
+            let (incarnation, sequence, expired) = server.disseminated_version;
             let text = format!("{name}/{incarnation}/{sequence}/{expired}");
             digests[usize::from(bucket_of(hash))] ^= xxh3_64(text.as_bytes());
         }
@@ -293,12 +322,14 @@
     }
 }
 
+/// Returns the digest bucket of a server by the hash of its name.
 fn bucket_of(hash: u64) -> u16 {
-    (hash % BUCKETS) as u16
+    (hash % DIGEST_BUCKETS) as u16
 }
 
-/// Tells whether a renewal changes what everybody must know.
-fn is_change(known: &ServerUpdate, update: &ServerUpdate) -> bool {
+/// Returns whether `update` changes a property that all members must know, so that
+/// it is more than a renewal of the lease.
+fn must_disseminate(known: &ServerUpdate, update: &ServerUpdate) -> bool {
     let (old, new) = (&known.news, &update.news);
     known.expired
         || old.phase != new.phase
--- a/crates/core/src/process/gossip/lease_tracker.rs
+++ b/crates/core/src/process/gossip/lease_tracker.rs
@@ -1,11 +1,15 @@
-//! Which members are the homes of a server.
+//! Selection of the members that track the lease of an upstream server.
+//!
+//! Each server has a few lease trackers, chosen by rendezvous hashing. Only they
+//! receive every renewal of the server, and they report to all other members
+//! when its lease expires.
 
 use crate::process::rendezvous::highest;
 
-/// Homes of a server.
+/// Number of members that track the lease of one server.
 pub const LEASE_TRACKER_COUNT: usize = 3;
 
-/// Returns the members that a server's renewals end at.
+/// Returns the members that track the lease of `server`.
 pub fn select_lease_trackers<'a>(
     server: &str,
     members: impl Iterator<Item = &'a str>,
--- a/crates/core/src/process/gossip/machine.rs
+++ b/crates/core/src/process/gossip/machine.rs
@@ -1,4 +1,7 @@
-//! The gossip of one instance, as a pure state machine.
+//! The gossip protocol of one instance, as a pure state machine.
+//!
+//! The machine takes inputs with the current time and returns actions. It opens
+//! no sockets and reads no clock.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,104 +15,111 @@
 use crate::process::gossip::message::{GossipMessage, GossipPurpose, ServerUpdate};
 use crate::process::news::ServerNews;
 
-/// Time between two probes.
+/// Interval between two probes.
 pub const PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two rounds of spreading updates, while there are any.
-pub const SPREAD_INTERVAL: Duration = Duration::from_millis(150);
-/// Time between two exchanges of digests.
+/// Interval between two rounds of dissemination while updates are queued.
+pub const DISSEMINATION_INTERVAL: Duration = Duration::from_millis(150);
+/// Interval between two digests sent for anti-entropy.
 pub const DIGEST_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between two looks at leases.
-pub const LEASE_INTERVAL: Duration = Duration::from_millis(250);
-/// Most updates of each kind in one message.
-pub const UPDATES: usize = 12;
-/// Members that get a round's updates.
+/// Interval between two checks of the servers' leases.
+pub const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum number of updates of each kind (members, servers) in one message.
+pub const MAX_UPDATES_PER_MESSAGE: usize = 12;
+/// Number of random members that receive the updates of a dissemination round.
 pub const FANOUT: usize = 3;
-/// Time a member that is gone is remembered, so that old news of it is not
-/// taken for new.
-pub const GONE_TIME: Duration = Duration::from_secs(120);
-/// Most members remembered.
-pub const MEMBERS: usize = 2048;
+/// Time for which the state of a dead or departed member is retained, so that a
+/// delayed older update does not make it reappear.
+pub const DEPARTED_RETENTION: Duration = Duration::from_secs(120);
+/// Maximum number of members that are retained.
+pub const MAX_MEMBERS: usize = 2048;
 
-/// What comes into the gossip.
+/// Input of a [`GossipMachine`].
 #[derive(Debug, Clone)]
 pub enum GossipInput {
-    /// A timer may be due.
+    /// A timer may be due, see [`GossipMachine::next_wake`].
     Wake,
-    /// A message of another member.
+    /// Another member sent this message.
     Message(GossipMessage),
-    /// A server announced itself here.
+    /// An upstream server announced itself to this instance.
     Announced(ServerNews),
-    /// The instance leaves.
+    /// This instance leaves the group.
     Leave,
 }
 
-/// What the gossip asks its driver to do.
+/// Action that a [`GossipMachine`] requests from its driver.
 #[derive(Debug, Clone)]
 pub enum GossipAction {
-    /// Send a message; it may be lost.
+    /// Send a message; the protocol tolerates its loss.
     Send {
-        /// The receiver's listener for peers.
+        /// Address of the receiver's listener for peers.
         to: SocketAddr,
         /// The message.
         message: GossipMessage,
     },
-    /// Something was learned of a server: hand it to the entry.
+    /// Pass a server's newer announcement to the entry.
     ServerAnnounced(ServerNews),
-    /// A server's lease ran out at a home: it gets no new work.
+    /// Tell the entry that the lease of the named server expired at one of its
+    /// lease trackers, so that the server gets no new work.
     Expired(String),
-    /// The homes vouch for these servers: renew their leases.
+    /// Renew the leases of these servers at the entry. Their lease trackers, not
+    /// this instance, receive the renewals, and none of them reported an expiry.
     Vouch(Vec<String>),
-    /// A member's standing changed.
+    /// Report that the state of a member changed.
     MemberChanged(MemberState),
 }
 
-/// An update on its way, and how often it is still to be sent.
+/// A queued update and the number of times it is still to be sent.
 #[derive(Debug, Clone)]
 pub(super) struct QueuedUpdate<T> {
     pub(super) update: T,
-    pub(super) left: u32,
+    pub(super) remaining_sends: u32,
 }
 
-/// A server as the gossip holds it.
+/// The latest state of an upstream server that this instance knows.
 #[derive(Debug, Clone)]
-pub(super) struct ServerHold {
+pub(super) struct KnownServer {
     pub(super) update: ServerUpdate,
-    /// Order of the last change, which digests are made of.
-    pub(super) changed: (u64, u64, bool),
-    /// When it was last renewed here, if this instance is a home.
-    pub(super) renewed: Duration,
-    /// Whether this instance is a home, as of `members_seen`.
-    pub(super) is_home: bool,
-    /// Count of membership changes that `is_home` was worked out at.
-    pub(super) members_seen: u64,
+    /// Version of the last change that all members are to know. Digests are
+    /// computed from it, because plain renewals reach only the lease trackers.
+    pub(super) disseminated_version: (u64, u64, bool),
+    /// When the lease was last renewed here. It counts only if this instance is
+    /// a lease tracker of the server.
+    pub(super) renewed_at: Duration,
+    /// Whether this instance is a lease tracker of the server, as of
+    /// `tracked_at_version`.
+    pub(super) is_lease_tracker: bool,
+    /// Membership version for which `is_lease_tracker` was computed.
+    pub(super) tracked_at_version: u64,
 }
 
-/// The gossip of one instance.
+/// The gossip protocol state of one instance.
 #[derive(Debug)]
 pub struct GossipMachine {
     pub(super) local_member: MemberState,
     pub(super) seeds: Vec<SocketAddr>,
     pub(super) rng: SmallRng,
     pub(super) members: BTreeMap<String, MemberRecord>,
-    pub(super) servers: BTreeMap<String, ServerHold>,
+    pub(super) servers: BTreeMap<String, KnownServer>,
     pub(super) member_queue: Vec<QueuedUpdate<MemberState>>,
     pub(super) server_queue: Vec<QueuedUpdate<ServerUpdate>>,
-    /// Members still to be probed in this round.
-    pub(super) round: Vec<String>,
-    pub(super) probe: Option<super::probe::OpenProbe>,
-    pub(super) probes: u64,
-    /// Counts the changes of who is there.
-    pub(super) member_changes: u64,
-    /// Probes made for others: own number, asker, and the asker's number.
-    pub(super) relays: Vec<super::probe::RelayedProbe>,
-    probe_at: Duration,
-    spread_at: Duration,
-    digest_at: Duration,
-    lease_at: Duration,
+    /// Names of the members that are still to be probed in this round.
+    pub(super) probe_round: Vec<String>,
+    pub(super) pending_probe: Option<super::probe::PendingProbe>,
+    pub(super) last_probe_number: u64,
+    /// Number of changes to the set of active members so far.
+    pub(super) membership_version: u64,
+    /// Probes made on behalf of other members.
+    pub(super) indirect_probes: Vec<super::probe::IndirectProbe>,
+    next_probe_at: Duration,
+    next_dissemination_at: Duration,
+    next_digest_at: Duration,
+    next_lease_check_at: Duration,
 }
 
 impl GossipMachine {
-    /// Returns the gossip of `local_member`, which knows only the addresses of seeds.
+    /// Creates the machine of `local_member`, which initially knows only the
+    /// addresses of some members (`seeds`). `seed` initializes its random number
+    /// generator.
     pub fn new(
         local_member: MemberState,
         seeds: Vec<SocketAddr>,
@@ -124,24 +134,27 @@
             servers: BTreeMap::new(),
             member_queue: Vec::new(),
             server_queue: Vec::new(),
-            round: Vec::new(),
-            probe: None,
-            probes: 0,
-            member_changes: 1,
-            relays: Vec::new(),
-            probe_at: now,
-            spread_at: now,
-            digest_at: now,
-            lease_at: now,
+            probe_round: Vec::new(),
+            pending_probe: None,
+            last_probe_number: 0,
+            membership_version: 1,
+            indirect_probes: Vec::new(),
+            next_probe_at: now,
+            next_dissemination_at: now,
+            next_digest_at: now,
+            next_lease_check_at: now,
         }
     }
 
-    /// Takes one input at time `now` and appends what is to be done to `out`.
+    /// Handles one input at time `now`, runs the timers that are due and appends
+    /// the resulting actions to `out`.
     pub fn step(&mut self, now: Duration, input: GossipInput, out: &mut Vec<GossipAction>) {
         match input {
             GossipInput::Wake => {}
-            GossipInput::Message(message) => self.take(message, now, out),
-            GossipInput::Announced(news) => self.announced(news, now, out),
+            GossipInput::Message(message) => self.handle_message(message, now, out),
+            GossipInput::Announced(announcement) => {
+                self.handle_announcement(announcement, now, out)
+            }
             GossipInput::Leave => self.leave(out),
         }
         self.run_timers(now, out);
@@ -149,108 +162,121 @@
 
     /// Returns when the next timer is due.
     pub fn next_wake(&self) -> Duration {
-        let mut wake = self.probe_at.min(self.digest_at).min(self.lease_at);
+        let mut wake = self
+            .next_probe_at
+            .min(self.next_digest_at)
+            .min(self.next_lease_check_at);
         if self.has_updates() {
-            wake = wake.min(self.spread_at);
+            wake = wake.min(self.next_dissemination_at);
         }
         wake
     }
 
-    /// Returns the members that are there, this one not among them.
+    /// Returns the active members other than this instance.
     pub fn others(&self) -> impl Iterator<Item = &MemberState> {
         let records = self.members.values();
         records
-            .map(|record| &record.news)
-            .filter(|news| news.is_there())
+            .map(|record| &record.state)
+            .filter(|state| state.is_active())
     }
 
-    /// Returns the names of all members that are there, this one among them.
-    pub fn names(&self) -> impl Iterator<Item = &str> {
-        let others = self.others().map(|news| news.name.as_str());
+    /// Returns the names of all active members, including this instance.
+    pub fn active_names(&self) -> impl Iterator<Item = &str> {
+        let others = self.others().map(|member| member.name.as_str());
         others.chain([self.local_member.name.as_str()])
     }
 
-    /// Returns this instance, as it sees itself.
+    /// Returns the state that this instance reports about itself.
     pub fn local_member(&self) -> &MemberState {
         &self.local_member
     }
 
-    /// Returns all members that are remembered, gone ones among them.
+    /// Returns all retained members other than this instance, including dead and
+    /// departed ones.
     pub fn members(&self) -> impl Iterator<Item = &MemberState> {
-        self.members.values().map(|record| &record.news)
+        self.members.values().map(|record| &record.state)
     }
 
-    /// Returns the number of servers known.
+    /// Returns the number of known servers.
     pub fn server_count(&self) -> usize {
         self.servers.len()
     }
 
-    /// Returns the update last taken of a server.
+    /// Returns the latest update about the server `name`.
     pub fn server(&self, name: &str) -> Option<&ServerUpdate> {
-        self.servers.get(name).map(|hold| &hold.update)
+        self.servers.get(name).map(|server| &server.update)
     }
 
-    /// Returns the number of members remembered, gone ones among them.
+    /// Returns the number of retained members other than this instance, including
+    /// dead and departed ones.
     pub fn member_count(&self) -> usize {
         self.members.len()
     }
 
-    fn take(&mut self, message: GossipMessage, now: Duration, out: &mut Vec<GossipAction>) {
+    fn handle_message(
+        &mut self,
+        message: GossipMessage,
+        now: Duration,
+        out: &mut Vec<GossipAction>,
+    ) {
         if message.from.name == self.local_member.name {
             return;
         }
         let sender = message.from.address;
-        self.learn_member(message.from, now, out);
-        for news in message.members {
-            self.learn_member(news, now, out);
+        self.apply_member_state(message.from, now, out);
+        for state in message.members {
+            self.apply_member_state(state, now, out);
         }
         for update in message.servers {
-            self.learn_server(update, now, out);
+            self.apply_server_update(update, now, out);
         }
         match message.purpose {
             GossipPurpose::Ping { probe } => self.send(sender, GossipPurpose::Ack { probe }, out),
-            GossipPurpose::Ack { probe } => self.acked(probe, out),
-            GossipPurpose::PingFor { probe, target } => self.probe_for(sender, probe, target, out),
+            GossipPurpose::Ack { probe } => self.handle_ack(probe, out),
+            GossipPurpose::PingFor { probe, target } => {
+                self.handle_indirect_probe(sender, probe, target, out)
+            }
             GossipPurpose::Updates => {}
-            GossipPurpose::Renewal(news) => self.renewed(*news, now, out),
+            GossipPurpose::Renewal(announcement) => self.handle_renewal(*announcement, now, out),
             GossipPurpose::Digest { members, servers } => {
-                self.answer_digest(sender, members, &servers, out);
+                self.reply_to_digest(sender, members, &servers, out);
             }
             GossipPurpose::Known {
                 members,
                 buckets,
                 servers,
             } => {
-                for news in members {
-                    self.learn_member(news, now, out);
+                for state in members {
+                    self.apply_member_state(state, now, out);
                 }
-                self.send_newer(sender, &buckets, &servers, out);
+                self.send_missing_updates(sender, &buckets, &servers, out);
             }
         }
     }
 
     fn run_timers(&mut self, now: Duration, out: &mut Vec<GossipAction>) {
-        if now >= self.probe_at {
-            self.probe_at = now + PROBE_INTERVAL;
-            self.run_probes(now, out);
-            self.forget_gone(now);
+        if now >= self.next_probe_at {
+            self.next_probe_at = now + PROBE_INTERVAL;
+            self.start_next_probe(now, out);
+            self.remove_departed(now);
         }
-        self.ask_indirectly(now, out);
-        if now >= self.spread_at && self.has_updates() {
-            self.spread_at = now + SPREAD_INTERVAL;
+        self.send_indirect_probes(now, out);
+        if now >= self.next_dissemination_at && self.has_updates() {
+            self.next_dissemination_at = now + DISSEMINATION_INTERVAL;
             self.disseminate(out);
         }
-        if now >= self.digest_at {
-            self.digest_at = now + DIGEST_INTERVAL;
-            self.offer_digest(out);
+        if now >= self.next_digest_at {
+            self.next_digest_at = now + DIGEST_INTERVAL;
+            self.send_digest(out);
         }
-        if now >= self.lease_at {
-            self.lease_at = now + LEASE_INTERVAL;
-            self.look_at_leases(now, out);
+        if now >= self.next_lease_check_at {
+            self.next_lease_check_at = now + LEASE_CHECK_INTERVAL;
+            self.check_leases(now, out);
         }
     }
 
-    /// Sends a message with as many updates as fit.
+    /// Sends a message and piggybacks up to [`MAX_UPDATES_PER_MESSAGE`] queued
+    /// updates of each kind.
     pub(super) fn send(
         &mut self,
         to: SocketAddr,
@@ -266,28 +292,33 @@
         out.push(GossipAction::Send { to, message });
     }
 
-    /// Returns some members at random.
-    pub(super) fn some_members(&mut self, count: usize) -> Vec<SocketAddr> {
-        let there: Vec<SocketAddr> = self.others().map(|news| news.address).collect();
-        let chosen = there.choose_multiple(&mut self.rng, count);
+    /// Returns the addresses of up to `count` active members, chosen at random.
+    pub(super) fn random_members(&mut self, count: usize) -> Vec<SocketAddr> {
+        let addresses: Vec<SocketAddr> = self.others().map(|member| member.address).collect();
+        let chosen = addresses.choose_multiple(&mut self.rng, count);
         chosen.copied().collect()
     }
 
-    /// Returns how often an update is sent: enough to reach all by far, even
-    /// with a part of the messages lost.
-    pub(super) fn repeats(&self) -> u32 {
+    /// Returns how many times each update is sent: 3 times for each doubling of
+    /// the group's size. Updates then reach all members even if some messages
+    /// are lost.
+    pub(super) fn sends_per_update(&self) -> u32 {
         let members = self.members.len() as u32 + 2;
         3 * (u32::BITS - members.leading_zeros())
     }
 
-    pub(super) fn queue_member(&mut self, news: MemberState) {
+    /// Queues the state of a member for dissemination in place of an older one.
+    pub(super) fn queue_member_update(&mut self, state: MemberState) {
         self.member_queue
-            .retain(|queued| queued.update.name != news.name);
-        let left = self.repeats();
-        self.member_queue.push(QueuedUpdate { update: news, left });
+            .retain(|queued| queued.update.name != state.name);
+        let remaining_sends = self.sends_per_update();
+        self.member_queue.push(QueuedUpdate {
+            update: state,
+            remaining_sends,
+        });
     }
 
-    /// Tells whether no update waits to be sent.
+    /// Returns whether no update is queued for dissemination.
     pub fn is_queue_empty(&self) -> bool {
         !self.has_updates()
     }
@@ -296,38 +327,45 @@
         !self.member_queue.is_empty() || !self.server_queue.is_empty()
     }
 
+    /// Sends queued updates to [`FANOUT`] random members.
     fn disseminate(&mut self, out: &mut Vec<GossipAction>) {
-        for to in self.some_members(FANOUT) {
+        for to in self.random_members(FANOUT) {
             if self.has_updates() {
                 self.send(to, GossipPurpose::Updates, out);
             }
         }
     }
 
+    /// Notifies all other members that this instance leaves the group.
     fn leave(&mut self, out: &mut Vec<GossipAction>) {
         self.local_member.standing = MemberLifecycle::Left;
-        let everybody: Vec<SocketAddr> = self.others().map(|news| news.address).collect();
-        for to in everybody {
+        let addresses: Vec<SocketAddr> = self.others().map(|member| member.address).collect();
+        for to in addresses {
             self.send(to, GossipPurpose::Updates, out);
         }
     }
 
-    fn forget_gone(&mut self, now: Duration) {
-        self.members
-            .retain(|_, record| record.news.is_there() || now < record.since + GONE_TIME);
+    /// Removes dead and departed members after [`DEPARTED_RETENTION`].
+    fn remove_departed(&mut self, now: Duration) {
+        self.members.retain(|_, record| {
+            record.state.is_active() || now < record.recorded_at + DEPARTED_RETENTION
+        });
     }
 }
 
-/// Takes updates out of a queue for one message; the newest go first.
+/// Returns up to [`MAX_UPDATES_PER_MESSAGE`] updates from the end of the queue for
+/// one message, and removes those that have been sent often enough. New updates are
+/// pushed to the end of the queue, so they go first.
 fn take_updates<T: Clone>(queue: &mut Vec<QueuedUpdate<T>>) -> Vec<T> {
-    let start = queue.len().saturating_sub(UPDATES);
+    let start = queue.len().saturating_sub(MAX_UPDATES_PER_MESSAGE);
     let mut updates = Vec::new();
     for queued in queue[start..].iter_mut().rev() {
-        queued.left -= 1;
+        queued.remaining_sends -= 1;
         updates.push(queued.update.clone());
     }
-    queue.retain(|queued| queued.left > 0);
-    // What was sent goes behind what waits, so that a long queue moves on.
+    queue.retain(|queued| queued.remaining_sends > 0);
+    // Moves the sent updates behind the waiting ones, so that every update in a
+    // long queue gets its turn.
     let sent = updates.len().min(queue.len());
     queue.rotate_right(sent);
     updates
--- a/crates/core/src/process/gossip/member.rs
+++ b/crates/core/src/process/gossip/member.rs
@@ -1,48 +1,50 @@
-//! What is known of another instance.
+//! State of the members of the gossip group.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Standing of a member.
+/// Lifecycle state of a member, as the failure detector sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberLifecycle {
-    /// It answers.
+    /// The member acknowledges probes.
     Alive,
-    /// It did not answer a probe and has not refuted yet.
+    /// The member did not acknowledge a probe and has not refuted the suspicion.
     Suspect,
-    /// It did not refute in time.
+    /// The member did not refute the suspicion in time.
     Dead,
-    /// It said that it leaves.
+    /// The member announced that it leaves the group.
     Left,
 }
 
-/// What a member says of itself, or others of it.
+/// State of a member, as reported by the member itself or by another member.
 ///
-/// Ordered by incarnation, then standing: a greater one overrides.
+/// Ordered by incarnation, then by lifecycle state: the greater one overrides.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberState {
-    /// Its name, unique in the deployment.
+    /// Name of the member, unique in the deployment.
     pub name: String,
-    /// Its listener for peers.
+    /// Address of the member's listener for peers.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the member.
     pub domain: String,
-    /// Raised by the member itself, at its start and to refute.
+    /// Incarnation number. Only the member itself raises it, at its start and
+    /// to refute a suspicion.
     pub incarnation: u64,
-    /// Its standing.
+    /// Lifecycle state of the member.
     pub standing: MemberLifecycle,
 }
 
 impl MemberState {
-    /// Tells whether this news overrides `other`.
+    /// Returns whether this state is newer than `other` and replaces it.
     pub fn overrides(&self, other: &MemberState) -> bool {
         (self.incarnation, self.standing) > (other.incarnation, other.standing)
     }
 
-    /// Tells whether the member counts as there: alive, or only suspected.
-    pub fn is_there(&self) -> bool {
+    /// Returns whether the member takes part in the protocol: it is alive or
+    /// only suspected.
+    pub fn is_active(&self) -> bool {
         matches!(
             self.standing,
             MemberLifecycle::Alive | MemberLifecycle::Suspect
@@ -50,11 +52,11 @@
     }
 }
 
-/// A member as an instance holds it.
+/// The latest state of a member that this instance has recorded.
 #[derive(Debug, Clone)]
 pub struct MemberRecord {
-    /// The latest news of it.
-    pub news: MemberState,
-    /// When its standing changed.
-    pub since: Duration,
+    /// The latest state of the member.
+    pub state: MemberState,
+    /// When this instance recorded the state.
+    pub recorded_at: Duration,
 }
--- a/crates/core/src/process/gossip/message.rs
+++ b/crates/core/src/process/gossip/message.rs
@@ -1,4 +1,4 @@
-//! What members say to each other.
+//! Messages that members of the gossip group send to each other.
 
 use std::net::SocketAddr;
 
@@ -7,79 +7,85 @@
 use crate::process::gossip::member::MemberState;
 use crate::process::news::ServerNews;
 
-/// Order of a server's news: incarnation, sequence, and whether it is the
-/// word of a home that the lease ran out.
-pub type ServerOrder = (u64, u64, bool);
+/// Version of a server's announced state: incarnation, sequence number, and
+/// whether a lease tracker reported that the lease has expired.
+///
+/// Versions compare as tuples; the greater one replaces the lesser one.
+pub type UpdateVersion = (u64, u64, bool);
 
-/// A change of an upstream server, as it spreads.
+/// A change of an upstream server's state that members disseminate.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServerUpdate {
-    /// What the server announced.
+    /// The server's announcement.
     pub news: ServerNews,
-    /// Whether its lease ran out since, at a home.
+    /// Whether the server's lease expired at a lease tracker after this
+    /// announcement.
     pub expired: bool,
 }
 
 impl ServerUpdate {
-    /// Returns the order of the update.
-    pub fn order(&self) -> ServerOrder {
+    /// Returns the version that decides which of two updates is newer.
+    pub fn version(&self) -> UpdateVersion {
         (self.news.incarnation, self.news.sequence, self.expired)
     }
 }
 
-/// What a message is for.
+/// The purpose of a message, with the data that only this purpose needs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum GossipPurpose {
-    /// Are you there?
+    /// Probes the receiver, which replies with `Ack`.
     Ping {
-        /// Number of the probe.
+        /// Number of the probe, unique at the sender.
         probe: u64,
     },
-    /// I am.
+    /// Acknowledges a probe.
     Ack {
-        /// Number of the probe.
+        /// Number of the acknowledged probe.
         probe: u64,
     },
-    /// Is that one there? I did not hear from it.
+    /// Asks the receiver to probe a member that did not acknowledge the
+    /// sender's direct probe (SWIM's `ping-req`).
     PingFor {
-        /// Number of the asker's probe.
+        /// Number of the sender's probe, which the `Ack` returns.
         probe: u64,
-        /// Whom to ask.
+        /// Address of the member to probe.
         target: SocketAddr,
     },
-    /// Only carries updates.
+    /// Carries nothing but the updates in the message.
     Updates,
-    /// A renewal of a server, for its homes.
+    /// Forwards a server's announcement, which renews its lease, to a lease
+    /// tracker of the server.
     Renewal(Box<ServerNews>),
-    /// What the sender knows, as a digest of each bucket.
+    /// Starts an anti-entropy exchange: digests of the state that the sender
+    /// has.
     Digest {
         /// Digest of the members.
         members: u64,
-        /// Digests of the servers, by bucket.
+        /// Digest of the servers in each hash bucket.
         servers: Vec<u64>,
     },
-    /// The answer to a digest: what the sender knows in buckets that differ,
-    /// so that the other side can send what is newer.
+    /// Replies to a digest: lists the versions that the sender has in the
+    /// differing buckets, so that the receiver can send back newer ones.
     Known {
-        /// All members, if their digests differ.
+        /// All members that the sender knows, if the member digests differ.
         members: Vec<MemberState>,
-        /// Buckets that differ.
+        /// Indexes of the buckets whose digests differ.
         buckets: Vec<u16>,
-        /// Servers in those buckets by the hash of their name, with the order
-        /// of their last change.
-        servers: Vec<(u64, ServerOrder)>,
+        /// Hash of the name and last disseminated version of each server in
+        /// these buckets.
+        servers: Vec<(u64, UpdateVersion)>,
     },
 }
 
 /// A message between members.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GossipMessage {
-    /// The sender, as it sees itself.
+    /// The sender's own state.
     pub from: MemberState,
-    /// What it is for.
+    /// The purpose of the message.
     pub purpose: GossipPurpose,
-    /// News of members that rides along.
+    /// Piggybacked member updates.
     pub members: Vec<MemberState>,
-    /// News of servers that rides along.
+    /// Piggybacked server updates.
     pub servers: Vec<ServerUpdate>,
 }
--- a/crates/core/src/process/gossip/mod.rs
+++ b/crates/core/src/process/gossip/mod.rs
@@ -1,10 +1,12 @@
-//! Members that know each other, and upstream servers that all of them know.
+//! Group membership, failure detection and dissemination of server announcements
+//! among instances.
 //!
-//! Membership follows SWIM (Das, Gupta, Motivala: "SWIM: Scalable
+//! The protocol follows SWIM (Das, Gupta, Motivala: "SWIM: Scalable
 //! Weakly-consistent Infection-style Process Group Membership Protocol",
-//! 2002): direct and indirect probes, suspicion, refutation by incarnation.
-//! Its messages carry changes of upstream servers as well; digests repair what
-//! was lost. See `docs/design/membership.md`.
+//! 2002): direct and indirect probes, suspicion, and refutation by a higher
+//! incarnation number. The same messages carry updates about upstream servers;
+//! periodic digest exchanges (anti-entropy) repair updates that were lost. See
+//! `docs/design/membership.md`.
 
 mod dissemination;
 pub mod lease_tracker;
--- a/crates/core/src/process/gossip/probe.rs
+++ b/crates/core/src/process/gossip/probe.rs
@@ -1,72 +1,82 @@
-//! Probes: is a member there?
+//! Failure detection by direct and indirect probes, suspicion and refutation
+//! (SWIM).
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use rand::seq::SliceRandom;
 
-use crate::process::gossip::machine::{GossipAction, GossipMachine, MEMBERS, PROBE_INTERVAL};
+use crate::process::gossip::machine::{GossipAction, GossipMachine, MAX_MEMBERS, PROBE_INTERVAL};
 use crate::process::gossip::member::{MemberLifecycle, MemberRecord, MemberState};
 use crate::process::gossip::message::GossipPurpose;
 
-/// Time a member has to answer before others are asked to probe it.
-const DIRECT_TIME: Duration = Duration::from_millis(200);
-/// Members asked to probe another.
-const INDIRECT: usize = 3;
-/// Probe intervals a suspect has to refute, for each doubling of the members.
-const SUSPECT_ROUNDS: u32 = 2;
-/// Most probes made for others at a time.
-const RELAYS: usize = 64;
-
-/// A probe that is not answered yet.
+/// Time in which a member must acknowledge a direct probe before other members
+/// are asked to probe it.
+const DIRECT_PROBE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Number of random members asked to probe a member indirectly.
+const INDIRECT_PROBERS: usize = 3;
+/// Number of probe intervals that a suspect has to refute the suspicion, for each
+/// doubling of the group's size.
+const SUSPICION_INTERVALS: u32 = 2;
+/// Maximum number of pending probes made for other members; the oldest is dropped
+/// beyond that.
+const MAX_INDIRECT_PROBES: usize = 64;
+
+/// A probe that has not been acknowledged yet.
 #[derive(Debug, Clone)]
-pub(super) struct OpenProbe {
+pub(super) struct PendingProbe {
     pub(super) number: u64,
     target: MemberState,
-    began: Duration,
-    asked_others: bool,
+    started_at: Duration,
+    /// Whether other members have been asked to probe the target.
+    is_indirect: bool,
 }
 
-/// A probe made for another member.
+/// A probe made on behalf of another member.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct RelayedProbe {
+pub(super) struct IndirectProbe {
+    /// Number of this instance's probe.
     number: u64,
-    asker: SocketAddr,
-    asked: u64,
+    /// Address of the member that asked for the probe.
+    requester: SocketAddr,
+    /// Number of the requester's probe, which the acknowledgement returns.
+    requester_probe: u64,
 }
 
 impl GossipMachine {
-    /// Ends the last probe and begins the next.
-    pub(super) fn run_probes(&mut self, now: Duration, out: &mut Vec<GossipAction>) {
-        if let Some(probe) = self.probe.take() {
+    /// Suspects the target of the last probe if that is still unacknowledged, and
+    /// probes the next member.
+    pub(super) fn start_next_probe(&mut self, now: Duration, out: &mut Vec<GossipAction>) {
+        if let Some(probe) = self.pending_probe.take() {
             self.suspect(probe.target, now, out);
         }
         self.declare_dead(now, out);
         let Some(target) = self.next_target() else {
-            return self.ask_seeds(out);
+            return self.ping_seeds(out);
         };
-        self.probes += 1;
-        self.probe = Some(OpenProbe {
-            number: self.probes,
+        self.last_probe_number += 1;
+        self.pending_probe = Some(PendingProbe {
+            number: self.last_probe_number,
             target: target.clone(),
-            began: now,
-            asked_others: false,
+            started_at: now,
+            is_indirect: false,
         });
-        let probe = self.probes;
+        let probe = self.last_probe_number;
         self.send(target.address, GossipPurpose::Ping { probe }, out);
     }
 
-    /// Asks others to probe a member that has not answered.
-    pub(super) fn ask_indirectly(&mut self, now: Duration, out: &mut Vec<GossipAction>) {
-        let Some(probe) = &mut self.probe else {
+    /// Asks other members to probe a member that did not acknowledge a direct
+    /// probe within [`DIRECT_PROBE_TIMEOUT`].
+    pub(super) fn send_indirect_probes(&mut self, now: Duration, out: &mut Vec<GossipAction>) {
+        let Some(probe) = &mut self.pending_probe else {
             return;
         };
-        if probe.asked_others || now < probe.began + DIRECT_TIME {
+        if probe.is_indirect || now < probe.started_at + DIRECT_PROBE_TIMEOUT {
             return;
         }
-        probe.asked_others = true;
+        probe.is_indirect = true;
         let (number, target) = (probe.number, probe.target.address);
-        for to in self.some_members(INDIRECT) {
+        for to in self.random_members(INDIRECT_PROBERS) {
             if to != target {
                 let purpose = GossipPurpose::PingFor {
                     probe: number,
@@ -77,132 +87,155 @@
         }
     }
 
-    pub(super) fn acked(&mut self, number: u64, out: &mut Vec<GossipAction>) {
+    /// Handles the acknowledgement of a probe, and forwards it to the requester if
+    /// the probe was made for another member.
+    pub(super) fn handle_ack(&mut self, number: u64, out: &mut Vec<GossipAction>) {
         if self
-            .probe
+            .pending_probe
             .as_ref()
             .is_some_and(|probe| probe.number == number)
         {
-            self.probe = None;
+            self.pending_probe = None;
         }
-        let relay = self.relays.iter().position(|relay| relay.number == number);
-        if let Some(relay) = relay.map(|place| self.relays.remove(place)) {
-            let probe = relay.asked;
-            self.send(relay.asker, GossipPurpose::Ack { probe }, out);
+        let index = self
+            .indirect_probes
+            .iter()
+            .position(|indirect| indirect.number == number);
+        if let Some(indirect) = index.map(|index| self.indirect_probes.remove(index)) {
+            let probe = indirect.requester_probe;
+            self.send(indirect.requester, GossipPurpose::Ack { probe }, out);
         }
     }
 
-    pub(super) fn probe_for(
+    /// Probes `target` on behalf of another member.
+    pub(super) fn handle_indirect_probe(
         &mut self,
-        asker: SocketAddr,
-        asked: u64,
+        requester: SocketAddr,
+        requester_probe: u64,
         target: SocketAddr,
         out: &mut Vec<GossipAction>,
     ) {
-        if self.relays.len() >= RELAYS {
-            self.relays.remove(0);
+        if self.indirect_probes.len() >= MAX_INDIRECT_PROBES {
+            self.indirect_probes.remove(0);
         }
-        self.probes += 1;
-        let number = self.probes;
-        self.relays.push(RelayedProbe {
+        self.last_probe_number += 1;
+        let number = self.last_probe_number;
+        self.indirect_probes.push(IndirectProbe {
             number,
-            asker,
-            asked,
+            requester,
+            requester_probe,
         });
         self.send(target, GossipPurpose::Ping { probe: number }, out);
     }
 
-    /// Takes news of a member, if it is newer than what is known.
-    pub(super) fn learn_member(
+    /// Records the state of a member if it overrides the known one, and
+    /// disseminates it.
+    pub(super) fn apply_member_state(
         &mut self,
-        news: MemberState,
+        state: MemberState,
         now: Duration,
         out: &mut Vec<GossipAction>,
     ) {
-        if news.name == self.local_member.name {
-            return self.refute(&news);
+        if state.name == self.local_member.name {
+            return self.refute(&state);
         }
-        let known = self.members.get(&news.name);
-        let is_news = known.is_none_or(|record| news.overrides(&record.news));
-        if !is_news || (known.is_none() && self.members.len() >= MEMBERS) {
+        let known = self.members.get(&state.name);
+        let is_newer = known.is_none_or(|record| state.overrides(&record.state));
+        if !is_newer || (known.is_none() && self.members.len() >= MAX_MEMBERS) {
             return;
         }
-        if known.is_none() && !news.is_there() {
-            // Remembered, but nobody needs to hear of it.
-            return self.remember(news, now);
+        if known.is_none() && !state.is_active() {
+            // The other members need no update about a departed member that this
+            // instance never saw active.
+            return self.store_member(state, now);
         }
-        self.remember(news.clone(), now);
-        self.queue_member(news.clone());
-        out.push(GossipAction::MemberChanged(news));
+        self.store_member(state.clone(), now);
+        self.queue_member_update(state.clone());
+        out.push(GossipAction::MemberChanged(state));
     }
 
-    fn remember(&mut self, news: MemberState, now: Duration) {
-        let name = news.name.clone();
-        let was_there = self
+    /// Stores the state of a member, and raises the membership version if the set
+    /// of active members changes.
+    fn store_member(&mut self, state: MemberState, now: Duration) {
+        let name = state.name.clone();
+        let was_active = self
             .members
             .get(&name)
-            .is_some_and(|old| old.news.is_there());
-        if was_there != news.is_there() {
-            self.member_changes += 1;
+            .is_some_and(|old| old.state.is_active());
+        if was_active != state.is_active() {
+            self.membership_version += 1;
         }
-        self.members.insert(name, MemberRecord { news, since: now });
+        self.members.insert(
+            name,
+            MemberRecord {
+                state,
+                recorded_at: now,
+            },
+        );
     }
 
-    /// Says "I am there" louder than who said otherwise.
-    fn refute(&mut self, news: &MemberState) {
-        let is_wrong = news.standing != MemberLifecycle::Alive;
+    /// Refutes a report that this instance is suspect, dead or has left: raises the
+    /// instance's incarnation above the reported one and disseminates its state.
+    fn refute(&mut self, report: &MemberState) {
+        let is_false_report = report.standing != MemberLifecycle::Alive;
         let is_leaving = self.local_member.standing == MemberLifecycle::Left;
-        if is_wrong && !is_leaving && news.incarnation >= self.local_member.incarnation {
-            self.local_member.incarnation = news.incarnation + 1;
-            self.queue_member(self.local_member.clone());
+        if is_false_report && !is_leaving && report.incarnation >= self.local_member.incarnation {
+            self.local_member.incarnation = report.incarnation + 1;
+            self.queue_member_update(self.local_member.clone());
         }
     }
 
+    /// Marks a member as suspect and disseminates the suspicion.
     fn suspect(&mut self, target: MemberState, now: Duration, out: &mut Vec<GossipAction>) {
-        let news = MemberState {
+        let state = MemberState {
             standing: MemberLifecycle::Suspect,
             ..target
         };
-        self.learn_member(news, now, out);
+        self.apply_member_state(state, now, out);
     }
 
+    /// Declares the suspects dead that did not refute the suspicion in time.
     fn declare_dead(&mut self, now: Duration, out: &mut Vec<GossipAction>) {
         let members = self.members.len() as u32 + 1;
         let doublings = u32::BITS - members.leading_zeros();
-        let patience = PROBE_INTERVAL * SUSPECT_ROUNDS * doublings.max(2);
-        let overdue = self.members.values().filter(|record| {
-            record.news.standing == MemberLifecycle::Suspect && now >= record.since + patience
+        let suspicion_timeout = PROBE_INTERVAL * SUSPICION_INTERVALS * doublings.max(2);
+        let overdue_suspects = self.members.values().filter(|record| {
+            record.state.standing == MemberLifecycle::Suspect
+                && now >= record.recorded_at + suspicion_timeout
         });
-        let dead: Vec<MemberState> = overdue.map(|record| record.news.clone()).collect();
-        for news in dead {
-            let news = MemberState {
+        let dead: Vec<MemberState> = overdue_suspects
+            .map(|record| record.state.clone())
+            .collect();
+        for state in dead {
+            let state = MemberState {
                 standing: MemberLifecycle::Dead,
-                ..news
+                ..state
             };
-            self.learn_member(news, now, out);
+            self.apply_member_state(state, now, out);
         }
     }
 
-    /// Returns the next member of the round; each round has an order of its
-    /// own, so that every member is probed within two rounds at most.
+    /// Returns the next active member to probe. Each round probes all members in a
+    /// new random order, so that every member is probed within two rounds at most.
     fn next_target(&mut self) -> Option<MemberState> {
         loop {
-            if self.round.is_empty() {
-                self.round = self.others().map(|news| news.name.clone()).collect();
-                self.round.shuffle(&mut self.rng);
+            if self.probe_round.is_empty() {
+                self.probe_round = self.others().map(|member| member.name.clone()).collect();
+                self.probe_round.shuffle(&mut self.rng);
             }
-            let name = self.round.pop()?;
+            let name = self.probe_round.pop()?;
             let record = self.members.get(&name);
-            if let Some(record) = record.filter(|record| record.news.is_there()) {
-                return Some(record.news.clone());
+            if let Some(record) = record.filter(|record| record.state.is_active()) {
+                return Some(record.state.clone());
             }
         }
     }
 
-    fn ask_seeds(&mut self, out: &mut Vec<GossipAction>) {
+    /// Sends a ping to every seed, used while no other member is known.
+    fn ping_seeds(&mut self, out: &mut Vec<GossipAction>) {
         for seed in self.seeds.clone() {
-            self.probes += 1;
-            let probe = self.probes;
+            self.last_probe_number += 1;
+            let probe = self.last_probe_number;
             self.send(seed, GossipPurpose::Ping { probe }, out);
         }
     }
--- a/crates/core/src/version/column.rs
+++ b/crates/core/src/version/column.rs
@@ -1,31 +1,31 @@
-//! The columns of the service table: their names, ranges and defaults.
+//! The columns of the service table: their names, allowed values and defaults.
 
 use std::time::Duration;
 
 use crate::request::merge::MergeRule;
 use crate::version::row::{AnswerPriority, RequestKind, ServiceRow, UnfencedRule};
 
-/// Why a cell was not taken: what is allowed there.
+/// Reason why a cell was rejected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CellError {
-    /// What the column allows.
+    /// Description of the values that the column allows.
     pub allowed: String,
-    /// The words the column knows, for a hint.
-    pub words: &'static [&'static str],
+    /// Keywords that the column accepts, used to suggest a correction.
+    pub known_words: &'static [&'static str],
 }
 
 type CellResult = Result<(), CellError>;
 
-/// One column: its name and how its cell becomes part of a row.
+/// A column: its name and the conversion between its cells and the rows.
 pub struct TableColumn {
-    /// Name in the header.
+    /// Name of the column in the header.
     pub name: &'static str,
-    /// Whether the header must name it.
+    /// Whether the header must name the column.
     pub required: bool,
-    /// Reads a cell into the row.
-    pub read: fn(&str, &mut ServiceRow) -> CellResult,
-    /// Writes the cell of a row.
-    pub write: fn(&ServiceRow) -> String,
+    /// Parses a cell and stores its value in the row.
+    pub parse_cell: fn(&str, &mut ServiceRow) -> CellResult,
+    /// Formats the row's value for this column as a cell.
+    pub format_cell: fn(&ServiceRow) -> String,
 }
 
 const KIND_WORDS: &[&str] = &["query", "fetch", "non-repeatable"];
@@ -36,47 +36,47 @@
 fn out_of_range(allowed: impl Into<String>) -> CellError {
     CellError {
         allowed: allowed.into(),
-        words: &[],
+        known_words: &[],
     }
 }
 
-fn unknown_word(words: &'static [&'static str]) -> CellError {
+fn unknown_word(known_words: &'static [&'static str]) -> CellError {
     CellError {
-        allowed: format!("one of {}", words.join(", ")),
-        words,
+        allowed: format!("one of {}", known_words.join(", ")),
+        known_words,
     }
 }
 
-fn read_whole(cell: &str, least: u32, most: u32) -> Result<u32, CellError> {
-    let problem = || out_of_range(format!("a whole number from {least} to {most}"));
-    let number: u32 = cell.parse().map_err(|_| problem())?;
-    if number < least || number > most {
-        return Err(problem());
+fn parse_whole_number(cell: &str, min: u32, max: u32) -> Result<u32, CellError> {
+    let error = || out_of_range(format!("a whole number from {min} to {max}"));
+    let number: u32 = cell.parse().map_err(|_| error())?;
+    if number < min || number > max {
+        return Err(error());
     }
     Ok(number)
 }
 
-fn read_fraction(cell: &str, least: f64, most: f64) -> Result<f64, CellError> {
-    let problem = || out_of_range(format!("a number from {least} to {most}"));
-    let number: f64 = cell.parse().map_err(|_| problem())?;
-    if !(least..=most).contains(&number) {
-        return Err(problem());
+fn parse_fraction(cell: &str, min: f64, max: f64) -> Result<f64, CellError> {
+    let error = || out_of_range(format!("a number from {min} to {max}"));
+    let number: f64 = cell.parse().map_err(|_| error())?;
+    if !(min..=max).contains(&number) {
+        return Err(error());
     }
     Ok(number)
 }
 
-fn read_millis(cell: &str, least: u32, most: u32) -> Result<Duration, CellError> {
-    let problem = |_| out_of_range(format!("milliseconds from {least} to {most}"));
-    let millis = read_whole(cell, least, most).map_err(problem)?;
+fn parse_millis(cell: &str, min: u32, max: u32) -> Result<Duration, CellError> {
+    let error = |_| out_of_range(format!("milliseconds from {min} to {max}"));
+    let millis = parse_whole_number(cell, min, max).map_err(error)?;
     Ok(Duration::from_millis(u64::from(millis)))
 }
 
-/// Most characters in the name of a service.
-const NAME_LENGTH: usize = 64;
+/// Maximum number of characters in the name of a service or an upstream.
+const MAX_NAME_LENGTH: usize = 64;
 
-fn read_name(cell: &str) -> Result<Box<str>, CellError> {
-    let plain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
-    if cell.is_empty() || cell.len() > NAME_LENGTH || !cell.chars().all(plain) {
+fn parse_name(cell: &str) -> Result<Box<str>, CellError> {
+    let is_allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
+    if cell.is_empty() || cell.len() > MAX_NAME_LENGTH || !cell.chars().all(is_allowed) {
         return Err(out_of_range(
             "1 to 64 of lower-case letters, digits and hyphens",
         ));
@@ -84,7 +84,7 @@
     Ok(cell.into())
 }
 
-fn read_kind(cell: &str) -> Result<RequestKind, CellError> {
+fn parse_kind(cell: &str) -> Result<RequestKind, CellError> {
     match cell {
         "query" => Ok(RequestKind::Query),
         "fetch" => Ok(RequestKind::Fetch),
@@ -93,7 +93,7 @@
     }
 }
 
-fn write_kind(kind: RequestKind) -> &'static str {
+fn format_kind(kind: RequestKind) -> &'static str {
     match kind {
         RequestKind::Query => "query",
         RequestKind::Fetch => "fetch",
@@ -101,7 +101,7 @@
     }
 }
 
-fn read_first(cell: &str) -> Result<AnswerPriority, CellError> {
+fn parse_priority(cell: &str) -> Result<AnswerPriority, CellError> {
     match cell {
         "time" => Ok(AnswerPriority::Time),
         "coverage" => Ok(AnswerPriority::Coverage),
@@ -109,14 +109,14 @@
     }
 }
 
-fn write_first(first: AnswerPriority) -> &'static str {
+fn format_priority(first: AnswerPriority) -> &'static str {
     match first {
         AnswerPriority::Time => "time",
         AnswerPriority::Coverage => "coverage",
     }
 }
 
-fn read_merge(cell: &str) -> Result<MergeRule, CellError> {
+fn parse_merge_rule(cell: &str) -> Result<MergeRule, CellError> {
     match cell {
         "score" => Ok(MergeRule::Score),
         "concatenate" => Ok(MergeRule::Concatenate),
@@ -125,7 +125,7 @@
     }
 }
 
-fn write_merge(merge: MergeRule) -> &'static str {
+fn format_merge_rule(merge: MergeRule) -> &'static str {
     match merge {
         MergeRule::Score => "score",
         MergeRule::Concatenate => "concatenate",
@@ -133,7 +133,7 @@
     }
 }
 
-fn read_unfenced(cell: &str) -> Result<UnfencedRule, CellError> {
+fn parse_unfenced_rule(cell: &str) -> Result<UnfencedRule, CellError> {
     match cell {
         "refuse" => Ok(UnfencedRule::Refuse),
         "run" => Ok(UnfencedRule::Run),
@@ -141,130 +141,136 @@
     }
 }
 
-fn write_unfenced(rule: UnfencedRule) -> &'static str {
+fn format_unfenced_rule(rule: UnfencedRule) -> &'static str {
     match rule {
         UnfencedRule::Refuse => "refuse",
         UnfencedRule::Run => "run",
     }
 }
 
-fn write_millis(duration: Duration) -> String {
+fn format_millis(duration: Duration) -> String {
     duration.as_millis().to_string()
 }
 
+/// Builds a [`TableColumn`] from its name, whether it is required, the field of
+/// [`ServiceRow`], and the functions that parse and format its cells.
 macro_rules! column {
-    ($name:literal, $required:expr, $field:ident, $read:expr, $write:expr) => {
+    ($name:literal, $required:expr, $field:ident, $parse:expr, $format:expr) => {
         TableColumn {
             name: $name,
             required: $required,
-            read: |cell, row| {
-                row.$field = $read(cell)?;
+            parse_cell: |cell, row| {
+                row.$field = $parse(cell)?;
                 Ok(())
             },
-            write: |row| $write(&row.$field).to_string(),
+            format_cell: |row| $format(&row.$field).to_string(),
         }
     };
 }
 
 /// All columns, in the order in which a table is written.
 pub static TABLE_COLUMNS: &[TableColumn] = &[
-    column!("service", true, service, read_name, |name: &str| name
+    column!("service", true, service, parse_name, |name: &str| name
         .to_string()),
-    column!("kind", true, kind, read_kind, |kind: &RequestKind| {
-        write_kind(*kind)
+    column!("kind", true, kind, parse_kind, |kind: &RequestKind| {
+        format_kind(*kind)
     }),
-    column!("upstream", false, upstream, read_name, |name: &str| name
+    column!("upstream", false, upstream, parse_name, |name: &str| name
         .to_string()),
     column!(
         "weight",
         false,
         weight,
-        |c: &str| read_whole(c, 1, 1000),
+        |c: &str| parse_whole_number(c, 1, 1000),
         u32::to_string
     ),
     column!(
         "in_flight",
         false,
         in_flight,
-        |c: &str| read_whole(c, 1, 100_000),
+        |c: &str| parse_whole_number(c, 1, 100_000),
         u32::to_string
     ),
     column!(
         "queue",
         false,
         queue,
-        |c: &str| read_whole(c, 0, 100_000),
+        |c: &str| parse_whole_number(c, 0, 100_000),
         u32::to_string
     ),
     column!(
         "deadline_ms",
         false,
         deadline,
-        |c: &str| read_millis(c, 5, 600_000),
-        |d: &Duration| write_millis(*d)
+        |c: &str| parse_millis(c, 5, 600_000),
+        |d: &Duration| format_millis(*d)
     ),
     column!(
         "coverage_floor",
         false,
         coverage_floor,
-        |c: &str| read_fraction(c, 0.0, 1.0),
+        |c: &str| parse_fraction(c, 0.0, 1.0),
         f64::to_string
     ),
     column!(
         "first",
         false,
         first,
-        read_first,
-        |first: &AnswerPriority| { write_first(*first) }
+        parse_priority,
+        |first: &AnswerPriority| { format_priority(*first) }
     ),
     column!(
         "partial_after_ms",
         false,
         partial_after,
-        |c: &str| read_millis(c, 1, 600_000),
-        |d: &Duration| write_millis(*d)
+        |c: &str| parse_millis(c, 1, 600_000),
+        |d: &Duration| format_millis(*d)
     ),
     column!(
         "hedge_quantile",
         false,
         hedge_quantile,
-        |c: &str| read_fraction(c, 0.5, 1.0),
+        |c: &str| parse_fraction(c, 0.5, 1.0),
         f64::to_string
     ),
     column!(
         "extra_load",
         false,
         extra_load,
-        |c: &str| read_fraction(c, 0.0, 1.0),
+        |c: &str| parse_fraction(c, 0.0, 1.0),
         f64::to_string
     ),
     column!(
         "retries",
         false,
         retries,
-        |c: &str| read_whole(c, 0, 10),
+        |c: &str| parse_whole_number(c, 0, 10),
         u32::to_string
     ),
-    column!("merge", false, merge, read_merge, |merge: &MergeRule| {
-        write_merge(*merge)
-    }),
+    column!(
+        "merge",
+        false,
+        merge,
+        parse_merge_rule,
+        |merge: &MergeRule| { format_merge_rule(*merge) }
+    ),
     column!(
         "limit",
         false,
         limit,
-        |c: &str| read_whole(c, 0, 100_000),
+        |c: &str| parse_whole_number(c, 0, 100_000),
         u32::to_string
     ),
     column!(
         "unfenced",
         false,
         unfenced,
-        read_unfenced,
-        |rule: &UnfencedRule| write_unfenced(*rule)
+        parse_unfenced_rule,
+        |rule: &UnfencedRule| format_unfenced_rule(*rule)
     ),
 ];
 
-/// Returns a row in which every column has its default.
+/// Returns a row in which every column has its default value.
 pub fn default_row() -> ServiceRow {
     ServiceRow {
         service: "".into(),
--- a/crates/core/src/version/mod.rs
+++ b/crates/core/src/version/mod.rs
@@ -1,4 +1,5 @@
-//! What lives for a version: of the service table, or of the data.
+//! Versioned tables and data snapshots: the service table, the route table with
+//! its workspaces, and the identity of a snapshot of an upstream's data.
 
 pub mod column;
 pub mod route_table;
--- a/crates/core/src/version/route_table.rs
+++ b/crates/core/src/version/route_table.rs
@@ -1,8 +1,8 @@
-//! The route table: which upstream services answer for which requests.
+//! The route table: which upstream services answer which requests.
 //!
-//! A route is found by host and longest path prefix. It names one service, a
-//! weighted split of services, or a set of shard services whose parts are
-//! merged. One document under one version carries routes, services and limits.
+//! A route is selected by host and longest path prefix. Its target is one service,
+//! a weighted split of services, or a set of shard services whose answers are
+//! merged. Routes, services, limits and workspaces share one document and version.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,64 +12,67 @@
 use crate::finding::{did_you_mean, FindingList, FindingPlace};
 use crate::version::workspace::{WorkspaceRegistry, WorkspaceRule};
 
-/// A service with its weight in a split.
+/// A service of a weighted split.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WeightedService {
     /// Name of the service.
     pub service: String,
-    /// Its weight; a share of the sum of all weights.
+    /// Weight of the service, relative to the sum of all weights of the split.
     pub weight: f64,
 }
 
-/// What answers the requests of a route.
+/// The service or services that answer the requests of a route.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteTarget {
     /// One service.
     Service(String),
-    /// One of several services, in proportion to their weights.
+    /// One of several services per request, in proportion to their weights.
     Split(Vec<WeightedService>),
-    /// All of several services; each holds a shard.
+    /// All of several services, each of which holds one shard (scatter-gather).
     Gather(Vec<String>),
 }
 
-/// A route as the operator writes it.
+/// A route as the operator defines it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RouteRule {
-    /// Its name.
+    /// Name of the route.
     pub name: String,
-    /// Host of the requests.
+    /// Host that requests must name to match.
     pub host: String,
-    /// Beginning of their path.
+    /// Prefix that the path of matching requests starts with.
     pub prefix: String,
-    /// What answers them.
+    /// The service or services that answer the requests.
     pub target: RouteTarget,
     /// Whether a request may run more than once.
     pub idempotent: bool,
-    /// Longest time a request may be kept waiting, in milliseconds.
+    /// Maximum time until a request is answered or refused, in milliseconds.
     pub time_limit_ms: u64,
-    /// Time within which an answer has its full worth, in milliseconds.
+    /// Response-time objective in milliseconds: an answer within this time has its
+    /// full value for the caller.
     pub objective_ms: u64,
-    /// Most servers a request is sent to, for each shard.
+    /// Maximum number of servers that a request is sent to, for each shard.
     pub attempts: u32,
-    /// Rank; 0 goes first.
+    /// Priority rank of the requests; 0 is the highest priority.
     pub rank: u32,
-    /// Records in the answer of a gathered route.
+    /// Maximum number of records in the merged answer of a scatter-gather route.
     #[serde(default)]
     pub top: usize,
-    /// Least fraction of the shards in the answer of a gathered route.
+    /// Minimum fraction of the shards that the merged answer of a scatter-gather
+    /// route must cover (0 to 1).
     #[serde(default)]
     pub least_coverage: f64,
-    /// Regions in which its requests may be served; all, if it names none.
+    /// Regions in which the route's requests may be served; empty allows all
+    /// regions. Serialized as `homes`.
     #[serde(default, rename = "homes")]
     pub allowed_regions: Vec<String>,
-    /// Whether its requests need no key.
+    /// Whether requests of the route need no caller key.
     #[serde(default)]
     pub public: bool,
 }
 
 impl RouteRule {
-    /// Returns the time limit.
+    /// Returns the time limit of a request.
     pub fn time_limit(&self) -> Duration {
         Duration::from_millis(self.time_limit_ms)
     }
@@ -79,7 +82,7 @@
         Duration::from_millis(self.objective_ms)
     }
 
-    /// Iterates over the services it names.
+    /// Iterates over the names of the services in the route's target.
     pub fn services(&self) -> impl Iterator<Item = &str> {
         let names: Vec<&str> = match &self.target {
             RouteTarget::Service(name) => vec![name],
@@ -90,29 +93,30 @@
     }
 }
 
-/// An upstream service as the operator writes it.
+/// An upstream service as the operator defines it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceRule {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Connections a server of it accepts from all callers.
+    /// Number of connections that each server of the service accepts from all
+    /// entries together.
     pub connections: u32,
-    /// Requests that a server takes in a second while it is cold; 0 for no
-    /// bound.
+    /// Requests per second that a server of the service accepts while it is cold
+    /// (just started, with empty caches); 0 means no limit.
     #[serde(default)]
     pub cold_per_s: f64,
 }
 
-/// Limits on what a caller may send, and how slowly.
+/// Limits on the size and duration of callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Largest head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Largest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a head, in milliseconds.
+    /// Maximum time to receive a request head, in milliseconds.
     pub head_ms: u64,
-    /// Longest time a connection may be idle, in milliseconds.
+    /// Maximum idle time of a connection, in milliseconds.
     pub idle_ms: u64,
 }
 
@@ -127,19 +131,20 @@
     }
 }
 
-/// A route table as it was written, not checked yet.
+/// A route table as the operator wrote it, before it is checked.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RouteDraft {
-    /// Its version.
+    /// Version of the table.
     pub version: u64,
-    /// Its routes.
+    /// Routes of the table.
     pub routes: Vec<RouteRule>,
-    /// Its services.
+    /// Upstream services that the routes use.
     pub services: Vec<ServiceRule>,
-    /// Its limits.
+    /// Limits on callers' requests.
     #[serde(default)]
     pub limits: CallerLimits,
-    /// Its workspaces; if there are any, or an empty list, requests need a key.
+    /// Workspaces of the table. If the list is present, even empty, requests need a
+    /// caller key.
     #[serde(default)]
     pub workspaces: Option<Vec<WorkspaceRule>>,
 }
@@ -148,14 +153,14 @@
 #[derive(Debug, Clone)]
 pub struct RouteTable {
     draft: RouteDraft,
-    /// The workspaces, if requests need a key.
+    /// The workspaces, if requests need a caller key.
     workspaces: Option<WorkspaceRegistry>,
-    /// Routes of a host, longest prefix first.
+    /// Indexes of the routes of each host, longest prefix first.
     hosts: HashMap<Box<str>, Vec<usize>>,
 }
 
 impl RouteTable {
-    /// Checks a draft.
+    /// Checks a draft and builds the route table from it.
     ///
     /// # Errors
     ///
@@ -167,17 +172,17 @@
         let mut hosts: HashMap<Box<str>, Vec<usize>> = HashMap::new();
         for (index, route) in draft.routes.iter().enumerate() {
             check_route(&draft, index, route, &mut findings);
-            let host = host_key(&route.host);
-            let known = hosts.entry(host).or_default();
-            let twin = known
+            let host = normalize_host(&route.host);
+            let host_routes = hosts.entry(host).or_default();
+            let duplicate = host_routes
                 .iter()
                 .find(|other| draft.routes[**other].prefix == route.prefix);
-            if let Some(twin) = twin {
-                let other = &draft.routes[*twin].name;
+            if let Some(duplicate) = duplicate {
+                let other = &draft.routes[*duplicate].name;
                 let message = format!("same host and prefix as route {other}");
-                findings.add(route_place(index, "prefix"), message);
+                findings.add(finding_place(index, "prefix"), message);
             }
-            known.push(index);
+            host_routes.push(index);
         }
         if !findings.is_empty() {
             return Err(findings);
@@ -192,48 +197,50 @@
         })
     }
 
-    /// Returns its version.
+    /// Returns the version of the table.
     pub fn version(&self) -> u64 {
         self.draft.version
     }
 
-    /// Returns its limits.
+    /// Returns the limits on callers' requests.
     pub fn limits(&self) -> CallerLimits {
         self.draft.limits
     }
 
-    /// Returns its routes.
+    /// Returns the routes of the table.
     pub fn routes(&self) -> &[RouteRule] {
         &self.draft.routes
     }
 
-    /// Returns its services.
+    /// Returns the upstream services of the table.
     pub fn services(&self) -> &[ServiceRule] {
         &self.draft.services
     }
 
-    /// Returns its workspaces, if requests need a key.
+    /// Returns the workspaces, if requests need a caller key.
     pub fn workspaces(&self) -> Option<&WorkspaceRegistry> {
         self.workspaces.as_ref()
     }
 
-    /// Finds the route of a request, by its place in [`RouteTable::routes`].
+    /// Finds the route of a request and returns its index in
+    /// [`RouteTable::routes`].
     pub fn find(&self, host: &str, path: &str) -> Option<usize> {
-        let routes = self.hosts.get(&*host_key(host))?;
-        let found = routes
+        let routes = self.hosts.get(&*normalize_host(host))?;
+        let index = routes
             .iter()
             .find(|index| path.starts_with(&*self.draft.routes[**index].prefix));
-        found.copied()
+        index.copied()
     }
 }
 
-/// Returns the name of a host without port, in lower case.
-fn host_key(host: &str) -> Box<str> {
+/// Returns the name of a host in lower case, without its port.
+fn normalize_host(host: &str) -> Box<str> {
     let name = host.split(':').next().unwrap_or(host);
     name.to_ascii_lowercase().into()
 }
 
-fn route_place(index: usize, column: &str) -> FindingPlace {
+/// Returns the place of a finding about a property of the route with this index.
+fn finding_place(index: usize, column: &str) -> FindingPlace {
     FindingPlace::Cell {
         row: index + 1,
         column: format!("routes.{column}"),
@@ -242,14 +249,14 @@
 
 fn check_route(draft: &RouteDraft, index: usize, route: &RouteRule, findings: &mut FindingList) {
     if route.time_limit_ms == 0 {
-        findings.add(route_place(index, "time limit"), "must be above 0");
+        findings.add(finding_place(index, "time limit"), "must be above 0");
     }
     for name in route.services() {
         let known = draft.services.iter().map(|service| service.name.as_str());
         if !known.clone().any(|service| service == name) {
             let message = format!("unknown service {name}");
             let hint = did_you_mean(name, known);
-            findings.add_hint(route_place(index, "target"), message, hint);
+            findings.add_hint(finding_place(index, "target"), message, hint);
         }
     }
     match &route.target {
@@ -261,12 +268,12 @@
 
 fn check_split(parts: &[WeightedService], index: usize, findings: &mut FindingList) {
     let sum: f64 = parts.iter().map(|part| part.weight).sum();
-    let is_sound = parts
+    let are_valid = parts
         .iter()
         .all(|part| part.weight >= 0.0 && part.weight.is_finite());
-    if !is_sound || sum <= 0.0 {
+    if !are_valid || sum <= 0.0 {
         findings.add(
-            route_place(index, "weight"),
+            finding_place(index, "weight"),
             "weights must not be negative and must add up to more than 0",
         );
     }
@@ -274,6 +281,6 @@
 
 fn check_gather(names: &[String], index: usize, findings: &mut FindingList) {
     if names.is_empty() {
-        findings.add(route_place(index, "gather"), "must name a service");
+        findings.add(finding_place(index, "gather"), "must name a service");
     }
 }
--- a/crates/core/src/version/row.rs
+++ b/crates/core/src/version/row.rs
@@ -1,74 +1,79 @@
-//! One row of the service table: how one service is treated.
+//! A row of the service table: the settings of one service.
 
 use std::time::Duration;
 
 use crate::request::merge::MergeRule;
 
-/// The kind of request a service takes.
+/// Kind of request that a service accepts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
-    /// Searches every shard.
+    /// Sends a subquery to every shard and merges the replies.
     Query,
     /// Reads one key from the shard that holds it.
     Fetch,
-    /// Must run at most once; sent to one server.
+    /// Must run at most once, so it is sent to one server.
     NonRepeatable,
 }
 
-/// What goes first when not all shards have answered in time.
+/// What takes priority when not all shards have answered in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerPriority {
-    /// A partial answer goes out at the row's partial time.
+    /// Response time: a partial answer is sent after
+    /// [`ServiceRow::partial_after`].
     Time,
-    /// The answer waits for all shards until the deadline.
+    /// Coverage: the answer waits for all shards until the deadline.
     Coverage,
 }
 
-/// What happens to a submission with an idempotency key while no quorum of the
-/// control group is in reach.
+/// How to handle a submission with an idempotency key while no quorum of the
+/// control group is reachable.
+///
+/// With a quorum, the control group fences the submission: it records a claim on
+/// the key, so that no other entry runs the same submission again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnfencedRule {
-    /// It is refused, not run.
+    /// Refuses the submission without running it.
     Refuse,
-    /// It is run without the fence: it may run again in another failure
+    /// Runs the submission without a fence, so it may run again in another failure
     /// domain.
     Run,
 }
 
-/// How one service is treated. Ranges and defaults are in
-/// [`column`](crate::version::column).
+/// Settings of one service. [`column`](crate::version::column) holds the allowed
+/// ranges and the defaults.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceRow {
     /// Name of the service, as callers use it.
     pub service: Box<str>,
-    /// Kind of request.
+    /// Kind of request that the service accepts.
     pub kind: RequestKind,
     /// Name under which the servers of this service announce themselves.
     pub upstream: Box<str>,
-    /// Share of an instance's capacity against the other services.
+    /// Weight of the service when an instance's capacity is shared among services.
     pub weight: u32,
-    /// Most requests of the service at work in one instance.
+    /// Maximum number of requests of the service in progress in one instance.
     pub in_flight: u32,
-    /// Most requests of the service waiting in one instance.
+    /// Maximum number of requests of the service queued in one instance.
     pub queue: u32,
-    /// Time a request may take when its caller names none.
+    /// Time that a request may take if the caller sets no deadline.
     pub deadline: Duration,
-    /// Least fraction of the shards that makes an answer (0 to 1).
+    /// Minimum fraction of the shards that an answer must cover (0 to 1).
     pub coverage_floor: f64,
-    /// What goes first, time or coverage.
+    /// Whether response time or coverage takes priority.
     pub first: AnswerPriority,
-    /// When a partial answer goes out, if time goes first.
+    /// Time after which a partial answer is sent if response time takes priority.
     pub partial_after: Duration,
-    /// Quantile of observed subquery latency after which a hedge is sent.
+    /// Quantile of the observed subquery latency after which a hedge is sent.
     pub hedge_quantile: f64,
-    /// Extra subqueries (hedges and retries) a subquery earns (0 to 1).
+    /// Extra-load budget that each subquery adds, in extra subqueries (hedges and
+    /// retries), 0 to 1.
     pub extra_load: f64,
-    /// Most repeated sends for one shard of one request.
+    /// Maximum number of repeated sends for one shard of one request.
     pub retries: u32,
-    /// How the hits of the shards become one list.
+    /// How the hits of the shards are merged into one list.
     pub merge: MergeRule,
-    /// Most hits in an answer; 0 means no bound.
+    /// Maximum number of hits in an answer; 0 means no limit.
     pub limit: u32,
-    /// What happens to keyed submissions without a quorum.
+    /// How to handle submissions with an idempotency key without a quorum.
     pub unfenced: UnfencedRule,
 }
--- a/crates/core/src/version/snapshot.rs
+++ b/crates/core/src/version/snapshot.rs
@@ -1,20 +1,21 @@
-//! Identity of a consistent view of the data.
+//! Identity of a snapshot, a consistent view of an upstream's data.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A consistent view of an upstream's data.
+/// Identifies a consistent view of an upstream's data.
 ///
-/// Ordered by partitioning epoch first, then by index version; newer is
+/// Ordered by partitioning epoch, then by index version; a newer snapshot is
 /// greater.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct SnapshotId {
-    /// Partitioning epoch: how the data is cut into shards.
+    /// Partitioning epoch. It increases when the data is divided into shards in a
+    /// new way.
     pub epoch: u32,
-    /// Index version within the epoch.
+    /// Version of the index within the epoch.
     pub version: u64,
 }
 
--- a/crates/core/src/version/table.rs
+++ b/crates/core/src/version/table.rs
@@ -1,4 +1,4 @@
-//! The service table: a header and a row for each service, as CSV.
+//! The service table: a CSV document with a header and one row for each service.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,22 +8,22 @@
 use crate::version::column::{default_row, CellError, TableColumn, TABLE_COLUMNS};
 use crate::version::row::{AnswerPriority, RequestKind, ServiceRow};
 
-/// One version of the service table.
+/// A checked version of the service table.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ServiceTable {
     version: u64,
     rows: BTreeMap<Box<str>, Arc<ServiceRow>>,
 }
 
-/// Most rows in a table.
+/// Maximum number of rows in a table.
 pub const MAX_TABLE_ROWS: usize = 5_000;
 
 impl ServiceTable {
-    /// Reads a table from CSV text and gives it a version.
+    /// Parses a table from CSV text and assigns it a version.
     ///
     /// # Errors
     ///
-    /// Returns every finding at once, each with its row and column.
+    /// Returns all findings at once, each with its row and column.
     pub fn parse(text: &str, version: u64) -> Result<ServiceTable, FindingList> {
         let mut findings = FindingList::default();
         let mut reader = csv::ReaderBuilder::new()
@@ -32,7 +32,7 @@
             .flexible(true)
             .from_reader(text.as_bytes());
         let columns = match reader.headers() {
-            Ok(header) => read_header(header, &mut findings),
+            Ok(header) => parse_header(header, &mut findings),
             Err(error) => {
                 findings.add(FindingPlace::Whole, format!("not readable CSV: {error}"));
                 return Err(findings);
@@ -41,7 +41,7 @@
         let mut rows = BTreeMap::new();
         for record in reader.records() {
             match record {
-                Ok(record) => read_row(&record, &columns, &mut rows, &mut findings),
+                Ok(record) => parse_row(&record, &columns, &mut rows, &mut findings),
                 Err(error) => {
                     findings.add(FindingPlace::Whole, format!("not readable CSV: {error}"))
                 }
@@ -75,25 +75,25 @@
         self.rows.get(service)
     }
 
-    /// Iterates over the rows by the name of their service.
+    /// Iterates over the rows, ordered by service name.
     pub fn rows(&self) -> impl Iterator<Item = &Arc<ServiceRow>> {
         self.rows.values()
     }
 
-    /// Writes the table as CSV with all columns.
+    /// Formats the table as CSV with all columns.
     pub fn to_csv(&self) -> String {
         let names: Vec<&str> = TABLE_COLUMNS.iter().map(|column| column.name).collect();
         let mut text = names.join(",");
         text.push('\n');
         for row in self.rows.values() {
-            let cells: Vec<String> = TABLE_COLUMNS.iter().map(|c| (c.write)(row)).collect();
+            let cells: Vec<String> = TABLE_COLUMNS.iter().map(|c| (c.format_cell)(row)).collect();
             text.push_str(&cells.join(","));
             text.push('\n');
         }
         text
     }
 
-    /// Lists the cells in which `next` differs from this table.
+    /// Returns the cells in which `next` differs from this table.
     pub fn diff(&self, next: &ServiceTable) -> Vec<CellChange> {
         let mut changes = Vec::new();
         let names = self.rows.keys().chain(next.rows.keys());
@@ -107,19 +107,21 @@
     }
 }
 
-/// One cell that differs between two tables.
+/// A cell that differs between two tables.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CellChange {
-    /// Service of the row.
+    /// Name of the service whose row differs.
     pub service: String,
-    /// Column of the cell.
+    /// Name of the column.
     pub column: &'static str,
-    /// Value before, if the row stood.
+    /// Value in the old table, if it has the row.
     pub before: Option<String>,
-    /// Value after, if the row stands.
+    /// Value in the new table, if it has the row.
     pub after: Option<String>,
 }
 
+/// Appends the cells in which two rows of a service differ to `changes`. `None`
+/// means that the table has no row for the service.
 fn diff_row(
     service: &str,
     before: Option<&Arc<ServiceRow>>,
@@ -127,8 +129,8 @@
     changes: &mut Vec<CellChange>,
 ) {
     for column in TABLE_COLUMNS {
-        let old = before.map(|row| (column.write)(row));
-        let new = after.map(|row| (column.write)(row));
+        let old = before.map(|row| (column.format_cell)(row));
+        let new = after.map(|row| (column.format_cell)(row));
         if old != new {
             changes.push(CellChange {
                 service: service.to_string(),
@@ -144,7 +146,8 @@
     TABLE_COLUMNS.iter().map(|column| column.name)
 }
 
-fn read_header(
+/// Returns the column of each header cell, or `None` for an unknown name.
+fn parse_header(
     header: &csv::StringRecord,
     findings: &mut FindingList,
 ) -> Vec<Option<&'static TableColumn>> {
@@ -179,7 +182,8 @@
     columns
 }
 
-fn read_row(
+/// Parses a record into a row and adds the row to `rows`.
+fn parse_row(
     record: &csv::StringRecord,
     columns: &[Option<&'static TableColumn>],
     rows: &mut BTreeMap<Box<str>, Arc<ServiceRow>>,
@@ -207,8 +211,8 @@
         if cell.is_empty() && !column.required {
             continue;
         }
-        if let Err(problem) = (column.read)(cell, &mut row) {
-            report_cell(place(column.name), cell, problem, findings);
+        if let Err(error) = (column.parse_cell)(cell, &mut row) {
+            report_cell_error(place(column.name), cell, error, findings);
         }
     }
     if row.upstream.is_empty() {
@@ -224,13 +228,18 @@
     rows.insert(row.service.clone(), Arc::new(row));
 }
 
-fn report_cell(place: FindingPlace, cell: &str, problem: CellError, findings: &mut FindingList) {
-    let message = format!("\"{cell}\" is not {}", problem.allowed);
-    let hint = did_you_mean(cell, problem.words.iter().copied());
+fn report_cell_error(
+    place: FindingPlace,
+    cell: &str,
+    error: CellError,
+    findings: &mut FindingList,
+) {
+    let message = format!("\"{cell}\" is not {}", error.allowed);
+    let hint = did_you_mean(cell, error.known_words.iter().copied());
     findings.add_hint(place, message, hint);
 }
 
-/// Checks what no cell shows alone.
+/// Checks the rules that involve several cells of a row.
 fn check_row(row: &ServiceRow, line: usize, findings: &mut FindingList) {
     let place = |column: &str| FindingPlace::Cell {
         row: line,
--- a/crates/core/src/version/workspace.rs
+++ b/crates/core/src/version/workspace.rs
@@ -1,7 +1,8 @@
-//! Workspaces: who may ask, by which keys, how much, and where.
+//! Workspaces: the customers that may send requests, with their caller keys, usage
+//! caps and allowed regions.
 //!
-//! A key is compared by a keyed digest of fixed length, so that the time of a
-//! lookup tells nothing of a key's text. A checked table holds digests alone.
+//! A lookup compares keyed digests of fixed length, so that its duration reveals
+//! nothing about a key's text. A checked table holds digests only, no keys.
 
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, HashSet};
@@ -13,30 +14,31 @@
 
 use crate::finding::{FindingList, FindingPlace};
 
-/// Longest key, in bytes.
+/// Maximum length of a caller key, in bytes.
 pub const MAX_KEY_BYTES: usize = 512;
-/// Longest name of a workspace, in bytes.
-const MOST_NAME_BYTES: usize = 256;
+/// Maximum length of a workspace's name, in bytes.
+const MAX_NAME_BYTES: usize = 256;
 
-/// A caller's key as the operator writes it. Its text is never displayed or
+/// A caller's key as the operator defines it. Its text is never displayed or
 /// serialized.
 #[derive(Clone, PartialEq, Eq, Deserialize)]
 #[serde(transparent)]
 pub struct CallerKey(Box<str>);
 
 impl CallerKey {
-    /// Returns the key with this text.
+    /// Creates a key with this text.
     pub fn new(text: impl Into<Box<str>>) -> CallerKey {
         CallerKey(text.into())
     }
 
-    /// Returns its digest.
+    /// Returns the digest of the key.
     pub fn digest(&self) -> KeyDigest {
         KeyDigest::of(self.0.as_bytes())
     }
 
-    /// Returns what speaks against it, if it can't stand in a header.
-    fn flaw(&self) -> Option<String> {
+    /// Returns why the key is invalid as the value of a request header, or `None` if
+    /// it is valid.
+    fn invalid_reason(&self) -> Option<String> {
         if self.0.is_empty() {
             return Some("a key must not be empty".to_string());
         }
@@ -54,12 +56,13 @@
     }
 }
 
-/// Digest of a caller's key, with a secret that is drawn once a process.
+/// Digest of a caller's key, computed with a secret that each process draws once
+/// at random.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyDigest(u128);
 
 impl KeyDigest {
-    /// Returns the digest of a key.
+    /// Returns the digest of a key's bytes.
     pub fn of(key: &[u8]) -> KeyDigest {
         static SECRETS: OnceLock<[RandomState; 2]> = OnceLock::new();
         let [high, low] = SECRETS.get_or_init(|| [RandomState::new(), RandomState::new()]);
@@ -75,39 +78,42 @@
     }
 }
 
-/// What all entries together may run for a workspace.
+/// Limit on the requests that all entries together may run for a workspace.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct UsageCap {
-    /// Requests a second.
+    /// Requests per second.
     pub per_s: f64,
-    /// Requests at once besides.
+    /// Number of requests that may run in a burst, in addition to the rate.
     pub burst: f64,
 }
 
-/// A workspace as the operator writes it.
+/// A workspace as the operator defines it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkspaceRule {
-    /// Its name; servers are told it.
+    /// Name of the workspace, which is sent to the servers with each request.
     pub name: String,
-    /// Keys of its callers.
+    /// Keys of the workspace's callers.
     #[serde(default, skip_serializing, deserialize_with = "read_keys")]
     pub keys: Vec<CallerKey>,
-    /// Rank, if it has one of its own; it goes before the route's.
+    /// Priority rank of the workspace's requests; it overrides the rank of the
+    /// route.
     #[serde(default)]
     pub rank: Option<u32>,
-    /// Its cap, if it has one.
+    /// Usage cap of the workspace; `None` means no limit.
     #[serde(default)]
     pub cap: Option<UsageCap>,
-    /// Regions in which its requests may be served; all, if it names none.
+    /// Regions in which the workspace's requests may be served; empty allows all
+    /// regions. Serialized as `homes`.
     #[serde(default, rename = "homes")]
     pub allowed_regions: Vec<String>,
 }
 
-/// Reads a list of keys. Its errors don't quote the input.
+/// Deserializes a list of keys. Error messages do not quote the input, because it
+/// may contain secrets.
 ///
 /// # Errors
 ///
-/// Fails if the input is no list of texts.
+/// Returns an error if the input is not a list of strings.
 pub fn read_keys<'de, D: serde::Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Vec<CallerKey>, D::Error> {
@@ -115,11 +121,11 @@
     keys.map_err(|_| serde::de::Error::custom("keys must be a list of texts"))
 }
 
-/// Place of a workspace in its table.
+/// Index of a workspace in its [`WorkspaceRegistry`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct WorkspaceIndex(usize);
 
-/// The workspaces of a checked table.
+/// The workspaces of a checked route table, with lookups by name and key digest.
 #[derive(Debug, Clone, Default)]
 pub struct WorkspaceRegistry {
     rules: Vec<WorkspaceRule>,
@@ -128,27 +134,32 @@
 }
 
 impl WorkspaceRegistry {
-    /// Checks the workspaces of a table and takes their keys in.
+    /// Checks the workspaces of a table and builds a registry with the digests of
+    /// their keys. Adds all problems to `findings`.
     pub fn check(mut rules: Vec<WorkspaceRule>, findings: &mut FindingList) -> WorkspaceRegistry {
-        let mut book = WorkspaceRegistry::default();
+        let mut registry = WorkspaceRegistry::default();
         for (index, rule) in rules.iter().enumerate() {
             check_rule(rule, index, findings);
-            let key = WorkspaceIndex(index);
-            if book.names.insert(rule.name.as_str().into(), key).is_some() {
+            let workspace = WorkspaceIndex(index);
+            if registry
+                .names
+                .insert(rule.name.as_str().into(), workspace)
+                .is_some()
+            {
                 let message = format!("there is another workspace {}", rule.name);
-                findings.add(place(index, "name"), message);
+                findings.add(finding_place(index, "name"), message);
             }
         }
         for index in 0..rules.len() {
             let keys = std::mem::take(&mut rules[index].keys);
-            book.take_keys(&rules, index, &keys, findings);
+            registry.add_keys(&rules, index, &keys, findings);
         }
-        book.rules = rules;
-        book
+        registry.rules = rules;
+        registry
     }
 
-    /// Takes in the keys of one of these workspaces.
-    fn take_keys(
+    /// Checks the keys of the workspace with this index and adds their digests.
+    fn add_keys(
         &mut self,
         rules: &[WorkspaceRule],
         index: usize,
@@ -156,41 +167,41 @@
         findings: &mut FindingList,
     ) {
         let name = &rules[index].name;
-        let mut flaws = HashSet::new();
+        let mut messages = HashSet::new();
         for key in keys {
-            if let Some(flaw) = key.flaw() {
-                flaws.insert(format!("{flaw} (workspace {name})"));
+            if let Some(reason) = key.invalid_reason() {
+                messages.insert(format!("{reason} (workspace {name})"));
                 continue;
             }
             match self.digests.entry(key.digest()) {
                 Entry::Vacant(vacant) => {
                     vacant.insert(WorkspaceIndex(index));
                 }
-                Entry::Occupied(caller_workspace) if caller_workspace.get().0 == index => {
-                    flaws.insert(format!("{name} has a key twice"));
+                Entry::Occupied(occupied) if occupied.get().0 == index => {
+                    messages.insert(format!("{name} has a key twice"));
                 }
-                Entry::Occupied(caller_workspace) => {
-                    let other = &rules[caller_workspace.get().0].name;
-                    flaws.insert(format!("{other} and {name} share a key"));
+                Entry::Occupied(occupied) => {
+                    let other = &rules[occupied.get().0].name;
+                    messages.insert(format!("{other} and {name} share a key"));
                 }
             }
         }
-        for flaw in flaws {
-            findings.add(place(index, "keys"), flaw);
+        for message in messages {
+            findings.add(finding_place(index, "keys"), message);
         }
     }
 
-    /// Returns a workspace.
-    pub fn rule(&self, key: WorkspaceIndex) -> &WorkspaceRule {
-        &self.rules[key.0]
+    /// Returns the workspace with this index.
+    pub fn rule(&self, index: WorkspaceIndex) -> &WorkspaceRule {
+        &self.rules[index.0]
     }
 
-    /// Returns all of them.
+    /// Returns all workspaces.
     pub fn rules(&self) -> &[WorkspaceRule] {
         &self.rules
     }
 
-    /// Finds the workspace that holds a caller's key.
+    /// Finds the workspace of the caller whose key has this digest.
     pub fn caller_workspace(&self, digest: KeyDigest) -> Option<WorkspaceIndex> {
         self.digests.get(&digest).copied()
     }
@@ -201,7 +212,9 @@
     }
 }
 
-fn place(index: usize, column: &str) -> FindingPlace {
+/// Returns the place of a finding about a property of the workspace with this
+/// index.
+fn finding_place(index: usize, column: &str) -> FindingPlace {
     FindingPlace::Cell {
         row: index + 1,
         column: format!("workspaces.{column}"),
@@ -210,14 +223,14 @@
 
 fn check_rule(rule: &WorkspaceRule, index: usize, findings: &mut FindingList) {
     let is_visible = rule.name.bytes().all(|byte| byte.is_ascii_graphic());
-    if rule.name.is_empty() || rule.name.len() > MOST_NAME_BYTES || !is_visible {
-        let message = format!("must be of 1 to {MOST_NAME_BYTES} visible ASCII characters");
-        findings.add(place(index, "name"), message);
+    if rule.name.is_empty() || rule.name.len() > MAX_NAME_BYTES || !is_visible {
+        let message = format!("must be of 1 to {MAX_NAME_BYTES} visible ASCII characters");
+        findings.add(finding_place(index, "name"), message);
     }
     if let Some(cap) = rule.cap {
-        let is_sound = |figure: f64| figure.is_finite() && figure >= 0.0;
-        if !is_sound(cap.per_s) || !is_sound(cap.burst) {
-            findings.add(place(index, "cap"), "must not be negative");
+        let is_valid = |value: f64| value.is_finite() && value >= 0.0;
+        if !is_valid(cap.per_s) || !is_valid(cap.burst) {
+            findings.add(finding_place(index, "cap"), "must not be negative");
         }
     }
 }
--- a/crates/core/tests/gossip.rs
+++ b/crates/core/tests/gossip.rs
@@ -1,4 +1,5 @@
-//! Members and servers spread over a lossy network.
+//! Tests of membership and of the dissemination of server announcements among
+//! instances in a simulated lossy network.
 
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
@@ -12,27 +13,35 @@
 use wheelmast_core::process::gossip::member::{MemberLifecycle, MemberState};
 use wheelmast_core::process::gossip::message::GossipMessage;
 
-/// Time between two steps of the test's clock.
+/// Step of the simulated clock.
 const TICK: Duration = Duration::from_millis(10);
 
-struct Net {
+/// Instances that exchange gossip messages over a simulated network.
+struct SimulatedNetwork {
+    /// Machines of the instances; `None` for a stopped instance.
     machines: Vec<Option<GossipMachine>>,
-    wire: Vec<(usize, SocketAddr, GossipMessage)>,
+    /// Messages with sender and destination, delivered in the next step.
+    in_transit: Vec<(usize, SocketAddr, GossipMessage)>,
     rng: SmallRng,
-    loss: f64,
+    /// Fraction of the messages that are lost (0 to 1).
+    loss_rate: f64,
     now: Duration,
-    cut: HashSet<usize>,
-    sent: u64,
-    /// What each instance was told of each server last.
-    told: Vec<BTreeMap<String, ServerPhase>>,
-    vouched: Vec<HashSet<String>>,
+    /// Instances that a partition separates from the others.
+    minority: HashSet<usize>,
+    sent_count: u64,
+    /// Phase that each instance last reported for each server; an expired lease
+    /// counts as [`ServerPhase::Left`].
+    reported_phases: Vec<BTreeMap<String, ServerPhase>>,
+    /// Servers whose leases each instance renewed on behalf of their lease trackers.
+    renewed_names: Vec<HashSet<String>>,
 }
 
 fn address(node: usize) -> SocketAddr {
     SocketAddr::from(([127, 1, (node / 250) as u8, (node % 250) as u8 + 1], 7403))
 }
 
-fn own(node: usize, incarnation: u64) -> MemberState {
+/// Returns the initial state of the member with this number.
+fn member(node: usize, incarnation: u64) -> MemberState {
     MemberState {
         name: format!("n{node}"),
         address: address(node),
@@ -42,6 +51,7 @@
     }
 }
 
+/// Returns an announcement of a server.
 fn server(name: &str, sequence: u64, phase: ServerPhase) -> ServerNews {
     ServerNews {
         name: name.into(),
@@ -59,32 +69,35 @@
     }
 }
 
-impl Net {
-    /// Starts `count` instances; all but the first know the first as seed.
-    fn new(count: usize, loss: f64, seed: u64) -> Net {
-        let mut net = Net {
+impl SimulatedNetwork {
+    /// Starts `count` instances. All others know the first one as their seed, and
+    /// the first one knows the second.
+    fn new(count: usize, loss_rate: f64, seed: u64) -> SimulatedNetwork {
+        let mut network = SimulatedNetwork {
             machines: (0..count).map(|_| None).collect(),
-            wire: Vec::new(),
+            in_transit: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
-            loss,
+            loss_rate,
             now: Duration::ZERO,
-            cut: HashSet::new(),
-            sent: 0,
-            told: vec![BTreeMap::new(); count],
-            vouched: vec![HashSet::new(); count],
+            minority: HashSet::new(),
+            sent_count: 0,
+            reported_phases: vec![BTreeMap::new(); count],
+            renewed_names: vec![HashSet::new(); count],
         };
-        (0..count).for_each(|node| net.start(node, 1));
-        net
+        (0..count).for_each(|node| network.start(node, 1));
+        network
     }
 
     fn start(&mut self, node: usize, incarnation: u64) {
         let seeds = vec![address(usize::from(node == 0)), address(0)];
         let seeds = seeds.into_iter().filter(|seed| *seed != address(node));
         let seed = self.rng.random();
-        let machine = GossipMachine::new(own(node, incarnation), seeds.collect(), seed, self.now);
+        let machine =
+            GossipMachine::new(member(node, incarnation), seeds.collect(), seed, self.now);
         self.machines[node] = Some(machine);
     }
 
+    /// Passes an input to an instance and carries out the resulting actions.
     fn input(&mut self, node: usize, input: GossipInput) {
         let Some(machine) = &mut self.machines[node] else {
             return;
@@ -94,74 +107,85 @@
         for action in out {
             match action {
                 GossipAction::Send { to, message } => {
-                    self.sent += 1;
-                    if !self.rng.random_bool(self.loss) {
-                        self.wire.push((node, to, message));
+                    self.sent_count += 1;
+                    if !self.rng.random_bool(self.loss_rate) {
+                        self.in_transit.push((node, to, message));
                     }
                 }
                 GossipAction::ServerAnnounced(news) => {
-                    self.told[node].insert(news.name.to_string(), news.phase);
+                    self.reported_phases[node].insert(news.name.to_string(), news.phase);
                 }
                 GossipAction::Expired(name) => {
-                    self.told[node].insert(name, ServerPhase::Left);
+                    self.reported_phases[node].insert(name, ServerPhase::Left);
                 }
-                GossipAction::Vouch(names) => self.vouched[node].extend(names),
+                GossipAction::Vouch(names) => self.renewed_names[node].extend(names),
                 GossipAction::MemberChanged(_) => {}
             }
         }
     }
 
+    /// Advances the clock by one step: delivers messages and runs due timers.
     fn tick(&mut self) {
         self.now += TICK;
-        for (from, to, message) in std::mem::take(&mut self.wire) {
+        for (from, to, message) in std::mem::take(&mut self.in_transit) {
             let to = (0..self.machines.len()).find(|node| address(*node) == to);
             let Some(to) = to else { continue };
-            if self.cut.contains(&from) == self.cut.contains(&to) {
+            if self.minority.contains(&from) == self.minority.contains(&to) {
                 self.input(to, GossipInput::Message(message));
             }
         }
         for node in 0..self.machines.len() {
-            let due = self.machines[node]
+            let is_due = self.machines[node]
                 .as_ref()
                 .is_some_and(|machine| machine.next_wake() <= self.now);
-            if due {
+            if is_due {
                 self.input(node, GossipInput::Wake);
             }
         }
     }
 
     fn run(&mut self, time: Duration) {
-        let until = self.now + time;
-        while self.now < until {
+        let end = self.now + time;
+        while self.now < end {
             self.tick();
         }
     }
 
-    /// Runs until `done`, at most `time`; returns the time it took.
-    fn run_until(&mut self, time: Duration, done: impl Fn(&Net) -> bool) -> Option<Duration> {
-        let begin = self.now;
-        while self.now < begin + time {
+    /// Runs until `done` returns true, and returns the time that this took, or `None`
+    /// if it took longer than `time`.
+    fn run_until(
+        &mut self,
+        time: Duration,
+        done: impl Fn(&SimulatedNetwork) -> bool,
+    ) -> Option<Duration> {
+        let start = self.now;
+        while self.now < start + time {
             self.tick();
             if done(self) {
-                return Some(self.now - begin);
+                return Some(self.now - start);
             }
         }
         None
     }
 
-    fn there(&self, node: usize) -> usize {
+    /// Returns the number of other members that an instance considers active.
+    fn active_peer_count(&self, node: usize) -> usize {
         let machine = self.machines[node].as_ref();
         machine.map_or(0, |machine| machine.others().count())
     }
 
-    fn all_know(&self, count: usize) -> bool {
+    /// Returns whether every running instance sees exactly `count` active peers.
+    fn all_see_peers(&self, count: usize) -> bool {
         let running = (0..self.machines.len()).filter(|node| self.machines[*node].is_some());
-        running.into_iter().all(|node| self.there(node) == count)
+        running
+            .into_iter()
+            .all(|node| self.active_peer_count(node) == count)
     }
 
-    fn all_told(&self, name: &str, phase: ServerPhase) -> bool {
-        let mut told = self.told.iter();
-        told.all(|told| told.get(name) == Some(&phase))
+    /// Returns whether every instance last reported this phase for the server.
+    fn all_report_phase(&self, name: &str, phase: ServerPhase) -> bool {
+        let mut all_phases = self.reported_phases.iter();
+        all_phases.all(|phases| phases.get(name) == Some(&phase))
     }
 }
 
@@ -170,18 +194,18 @@
 }
 
 #[test]
-fn all_members_find_each_other_and_none_is_taken_for_dead() {
+fn all_members_find_each_other_and_none_is_declared_dead() {
     for seed in 0..20 {
-        let mut net = Net::new(7, 0.2, seed);
-        let took = net.run_until(seconds(10), |net| net.all_know(6));
+        let mut network = SimulatedNetwork::new(7, 0.2, seed);
+        let took = network.run_until(seconds(10), |network| network.all_see_peers(6));
         assert!(took.is_some(), "seed {seed}");
-        net.run(seconds(60));
-        assert!(net.all_know(6), "seed {seed}");
+        network.run(seconds(60));
+        assert!(network.all_see_peers(6), "seed {seed}");
     }
 }
 
 #[test]
-fn a_drain_announced_at_one_instance_is_known_to_all_within_three_seconds() {
+fn a_drain_announced_to_one_instance_reaches_all_within_three_seconds() {
     struct DrainCase {
         members: usize,
         seeds: u64,
@@ -198,176 +222,201 @@
     ];
     for case in cases {
         for seed in 0..case.seeds {
-            let mut net = Net::new(case.members, 0.2, seed);
-            net.run_until(seconds(30), |net| net.all_know(case.members - 1));
+            let mut network = SimulatedNetwork::new(case.members, 0.2, seed);
+            network.run_until(seconds(30), |network| {
+                network.all_see_peers(case.members - 1)
+            });
             let serving = server("s", 1, ServerPhase::Serving);
-            net.input(1, GossipInput::Announced(serving));
-            // Within its lease, which is not renewed here.
-            let took = net.run_until(seconds(2), |net| net.all_told("s", ServerPhase::Serving));
+            network.input(1, GossipInput::Announced(serving));
+            // The lease is not renewed here, so all instances must report the
+            // server before the lease expires.
+            let took = network.run_until(seconds(2), |network| {
+                network.all_report_phase("s", ServerPhase::Serving)
+            });
             assert!(took.is_some(), "{} members, seed {seed}", case.members);
             let draining = server("s", 2, ServerPhase::Draining);
-            net.input(2, GossipInput::Announced(draining));
-            let took = net.run_until(seconds(3), |net| net.all_told("s", ServerPhase::Draining));
+            network.input(2, GossipInput::Announced(draining));
+            let took = network.run_until(seconds(3), |network| {
+                network.all_report_phase("s", ServerPhase::Draining)
+            });
             assert!(took.is_some(), "{} members, seed {seed}", case.members);
         }
     }
 }
 
 #[test]
-fn a_server_that_is_not_renewed_is_given_up_by_all_and_vouched_for_before() {
-    let mut net = Net::new(7, 0.1, 3);
-    net.run_until(seconds(10), |net| net.all_know(6));
+fn a_lease_that_is_not_renewed_expires_at_all_members() {
+    let mut network = SimulatedNetwork::new(7, 0.1, 3);
+    network.run_until(seconds(10), |network| network.all_see_peers(6));
     for sequence in 1..20 {
         let news = server("s", sequence, ServerPhase::Serving);
-        net.input(4, GossipInput::Announced(news));
-        net.run(Duration::from_millis(500));
+        network.input(4, GossipInput::Announced(news));
+        network.run(Duration::from_millis(500));
     }
-    let vouching = net.vouched.iter().filter(|names| names.contains("s"));
-    assert_eq!(vouching.count(), 7 - LEASE_TRACKER_COUNT);
-    assert!(net.all_told("s", ServerPhase::Serving));
-    let took = net.run_until(seconds(6), |net| net.all_told("s", ServerPhase::Left));
+    let renewing = network
+        .renewed_names
+        .iter()
+        .filter(|names| names.contains("s"));
+    assert_eq!(renewing.count(), 7 - LEASE_TRACKER_COUNT);
+    assert!(network.all_report_phase("s", ServerPhase::Serving));
+    let took = network.run_until(seconds(6), |network| {
+        network.all_report_phase("s", ServerPhase::Left)
+    });
     assert!(took.is_some());
 }
 
 #[test]
-fn a_change_of_members_ends_no_lease() {
+fn membership_changes_expire_no_lease() {
     for seed in 0..10 {
-        let mut net = Net::new(7, 0.1, seed);
-        net.run_until(seconds(10), |net| net.all_know(6));
-        let mut left = 0;
+        let mut network = SimulatedNetwork::new(7, 0.1, seed);
+        network.run_until(seconds(10), |network| network.all_see_peers(6));
+        let mut expired_count = 0;
         for sequence in 1..80 {
             match sequence {
-                20 => net.machines[2] = None,
-                40 => net.machines[5] = None,
+                20 => network.machines[2] = None,
+                40 => network.machines[5] = None,
                 _ => {}
             }
             for name in ["s", "t", "u", "v", "w"] {
                 let news = server(name, sequence, ServerPhase::Serving);
-                net.input(4, GossipInput::Announced(news));
+                network.input(4, GossipInput::Announced(news));
             }
-            net.run(Duration::from_millis(500));
-            for told in [&net.told[0], &net.told[4], &net.told[6]] {
-                let gone = told.values().filter(|phase| **phase == ServerPhase::Left);
-                left += gone.count();
+            network.run(Duration::from_millis(500));
+            for phases in [
+                &network.reported_phases[0],
+                &network.reported_phases[4],
+                &network.reported_phases[6],
+            ] {
+                let gone = phases.values().filter(|phase| **phase == ServerPhase::Left);
+                expired_count += gone.count();
             }
         }
-        assert_eq!(left, 0, "seed {seed}");
+        assert_eq!(expired_count, 0, "seed {seed}");
     }
 }
 
 #[test]
-fn a_lost_member_is_noticed_and_comes_back_with_a_new_incarnation() {
+fn a_lost_member_is_detected_and_rejoins_with_a_new_incarnation() {
     for seed in 0..10 {
-        let mut net = Net::new(7, 0.2, seed);
-        net.run_until(seconds(10), |net| net.all_know(6));
-        net.machines[3] = None;
-        let took = net.run_until(seconds(20), |net| net.all_know(5));
+        let mut network = SimulatedNetwork::new(7, 0.2, seed);
+        network.run_until(seconds(10), |network| network.all_see_peers(6));
+        network.machines[3] = None;
+        let took = network.run_until(seconds(20), |network| network.all_see_peers(5));
         assert!(took.is_some(), "seed {seed}");
-        net.start(3, 2);
-        let took = net.run_until(seconds(20), |net| net.all_know(6));
+        network.start(3, 2);
+        let took = network.run_until(seconds(20), |network| network.all_see_peers(6));
         assert!(took.is_some(), "seed {seed}");
     }
 }
 
 #[test]
-fn a_member_that_leaves_is_gone_at_once() {
-    let mut net = Net::new(7, 0.0, 1);
-    net.run_until(seconds(10), |net| net.all_know(6));
-    net.input(5, GossipInput::Leave);
-    net.tick();
-    net.machines[5] = None;
-    assert!(net.all_know(5));
+fn a_leaving_member_is_removed_at_once() {
+    let mut network = SimulatedNetwork::new(7, 0.0, 1);
+    network.run_until(seconds(10), |network| network.all_see_peers(6));
+    network.input(5, GossipInput::Leave);
+    network.tick();
+    network.machines[5] = None;
+    assert!(network.all_see_peers(5));
 }
 
 #[test]
-fn a_cut_off_part_goes_on_alone_and_finds_the_others_again() {
+fn a_partitioned_group_merges_again() {
     for seed in 0..10 {
-        let mut net = Net::new(7, 0.1, seed);
-        net.run_until(seconds(10), |net| net.all_know(6));
-        net.cut = HashSet::from([4, 5, 6]);
-        net.run(seconds(20));
+        let mut network = SimulatedNetwork::new(7, 0.1, seed);
+        network.run_until(seconds(10), |network| network.all_see_peers(6));
+        network.minority = HashSet::from([4, 5, 6]);
+        network.run(seconds(20));
         for node in 0..7 {
             let expected = if node < 4 { 3 } else { 2 };
-            assert_eq!(net.there(node), expected, "seed {seed}, n{node}");
+            assert_eq!(
+                network.active_peer_count(node),
+                expected,
+                "seed {seed}, n{node}"
+            );
         }
-        // Each part takes up servers of its own meanwhile.
-        net.input(
+        // Each side of the partition receives the announcement of a server that the
+        // other side does not see.
+        network.input(
             1,
             GossipInput::Announced(server("a", 1, ServerPhase::Draining)),
         );
-        net.input(
+        network.input(
             5,
             GossipInput::Announced(server("b", 1, ServerPhase::Draining)),
         );
-        net.run(seconds(3));
-        net.cut.clear();
-        let took = net.run_until(seconds(30), |net| {
-            net.all_know(6)
-                && net.all_told("a", ServerPhase::Draining)
-                && net.all_told("b", ServerPhase::Draining)
+        network.run(seconds(3));
+        network.minority.clear();
+        let took = network.run_until(seconds(30), |network| {
+            network.all_see_peers(6)
+                && network.all_report_phase("a", ServerPhase::Draining)
+                && network.all_report_phase("b", ServerPhase::Draining)
         });
         assert!(took.is_some(), "seed {seed}");
     }
 }
 
 #[test]
-fn idle_messages_do_not_grow_with_the_members() {
+fn idle_message_rate_does_not_grow_with_the_group() {
     for count in [7, 50, 150] {
-        let mut net = Net::new(count, 0.0, 1);
-        net.run_until(seconds(60), |net| net.all_know(count - 1));
-        net.run(seconds(20));
-        net.sent = 0;
-        net.run(seconds(20));
-        let rate = net.sent as f64 / 20.0 / count as f64;
-        // Two probes a second with their answers, a digest to a member and
-        // one to a seed.
+        let mut network = SimulatedNetwork::new(count, 0.0, 1);
+        network.run_until(seconds(60), |network| network.all_see_peers(count - 1));
+        network.run(seconds(20));
+        network.sent_count = 0;
+        network.run(seconds(20));
+        let rate = network.sent_count as f64 / 20.0 / count as f64;
+        // Per second: two probes with their acknowledgements, a digest to a member
+        // and a digest to a seed.
         assert!(rate <= 6.5, "{count} members: {rate} messages a second");
-        let member_count = net.machines[0].as_ref().map(GossipMachine::member_count);
+        let member_count = network.machines[0]
+            .as_ref()
+            .map(GossipMachine::member_count);
         assert_eq!(member_count, Some(count - 1));
     }
 }
 
 #[test]
-fn a_member_that_goes_moves_only_its_own_servers() {
+fn a_removed_member_changes_only_its_own_lease_trackers() {
     let names: Vec<String> = (0..20).map(|node| format!("n{node}")).collect();
-    let all = |without: &str| -> Vec<Vec<String>> {
+    let trackers_without = |without: &str| -> Vec<Vec<String>> {
         let members: Vec<&str> = names
             .iter()
             .map(String::as_str)
             .filter(|name| *name != without)
             .collect();
         let servers = (0..500).map(|server| {
-            let lease_tracker =
-                select_lease_trackers(&format!("s{server}"), members.iter().copied());
-            lease_tracker.into_iter().map(str::to_string).collect()
+            let trackers = select_lease_trackers(&format!("s{server}"), members.iter().copied());
+            trackers.into_iter().map(str::to_string).collect()
         });
         servers.collect()
     };
-    let (before, after) = (all(""), all("n7"));
+    let (before, after) = (trackers_without(""), trackers_without("n7"));
     for (before, after) in before.iter().zip(&after) {
-        let kept = before.iter().filter(|home| after.contains(home)).count();
-        let had = usize::from(before.contains(&"n7".to_string()));
-        assert_eq!(kept, LEASE_TRACKER_COUNT - had);
+        let kept_count = before
+            .iter()
+            .filter(|tracker| after.contains(tracker))
+            .count();
+        let had_member = usize::from(before.contains(&"n7".to_string()));
+        assert_eq!(kept_count, LEASE_TRACKER_COUNT - had_member);
     }
 }
 
 #[test]
-fn what_does_not_change_is_not_told_again() {
-    let mut net = Net::new(7, 0.0, 1);
-    net.run_until(seconds(10), |net| net.all_know(6));
-    let quiet = |net: &Net| {
-        let mut machines = net.machines.iter().flatten();
+fn plain_renewals_are_not_disseminated() {
+    let mut network = SimulatedNetwork::new(7, 0.0, 1);
+    network.run_until(seconds(10), |network| network.all_see_peers(6));
+    let are_queues_empty = |network: &SimulatedNetwork| {
+        let mut machines = network.machines.iter().flatten();
         machines.all(GossipMachine::is_queue_empty)
     };
-    let mut calm = 0;
+    let mut empty_rounds = 0;
     for sequence in 1..60 {
         for number in 0..20 {
             let news = server(&format!("s{number}"), sequence, ServerPhase::Serving);
-            let node = net.rng.random_range(0..7);
-            net.input(node, GossipInput::Announced(news));
+            let node = network.rng.random_range(0..7);
+            network.input(node, GossipInput::Announced(news));
         }
-        net.run(seconds(1));
-        calm += usize::from(quiet(&net));
+        network.run(seconds(1));
+        empty_rounds += usize::from(are_queues_empty(&network));
     }
-    assert!(calm > 40, "{calm}");
+    assert!(empty_rounds > 40, "{empty_rounds}");
 }
--- a/crates/core/tests/table.rs
+++ b/crates/core/tests/table.rs
@@ -1,7 +1,9 @@
-//! Reading the service table: findings with row, column and hint.
+//! Tests of parsing, formatting and comparing service tables, and of the findings with
+//! row, column and hint.
 
 use wheelmast_core::prelude::*;
 
+/// A CSV text with the expected findings.
 struct TableCase {
     name: &'static str,
     text: &'static str,
@@ -9,7 +11,7 @@
 }
 
 #[test]
-fn findings_are_reported_together() {
+fn parsing_reports_all_findings_together() {
     let cases = [
         TableCase {
             name: "good",
@@ -81,24 +83,25 @@
 }
 
 #[test]
-fn a_written_table_reads_the_same() {
+fn a_formatted_table_parses_to_the_same_table() {
     for text in [
         include_str!("../../../examples/kivela.csv"),
         include_str!("../../../examples/lonestar.csv"),
     ] {
         let table = ServiceTable::parse(text, 3).expect("the example has no findings");
-        let again = ServiceTable::parse(&table.to_csv(), 3).expect("what was written is good");
-        assert_eq!(table, again);
-        assert!(table.diff(&again).is_empty());
+        let reparsed =
+            ServiceTable::parse(&table.to_csv(), 3).expect("the formatted table is valid");
+        assert_eq!(table, reparsed);
+        assert!(table.diff(&reparsed).is_empty());
     }
 }
 
 #[test]
-fn a_diff_names_cells() {
+fn a_diff_lists_changed_cells() {
     let old = "service,kind,weight\nkiln,query,3\nparts,query,1\n";
     let new = "service,kind,weight\nkiln,query,4\nparts,query,1\n";
-    let old = ServiceTable::parse(old, 1).expect("good");
-    let new = ServiceTable::parse(new, 2).expect("good");
+    let old = ServiceTable::parse(old, 1).expect("the old table is valid");
+    let new = ServiceTable::parse(new, 2).expect("the new table is valid");
     let changes = old.diff(&new);
     assert_eq!(changes.len(), 1);
     assert_eq!(
@@ -115,13 +118,13 @@
         ..Default::default()
     })]
 
-    /// Whatever an operator sends, the reader does not panic, and what it
-    /// takes it can write and read again.
+    /// Parsing does not panic on any text, and a table that it accepts can be
+    /// formatted and parsed again with the same result.
     #[test]
-    fn any_text_is_read_or_refused(text in "(service|kind|weight|query|kiln|[0-9]{1,3}|[,\n\"#. ]){0,40}") {
+    fn any_text_parses_or_yields_findings(text in "(service|kind|weight|query|kiln|[0-9]{1,3}|[,\n\"#. ]){0,40}") {
         if let Ok(table) = ServiceTable::parse(&text, 1) {
-            let again = ServiceTable::parse(&table.to_csv(), 1);
-            proptest::prop_assert_eq!(again, Ok(table));
+            let reparsed = ServiceTable::parse(&table.to_csv(), 1);
+            proptest::prop_assert_eq!(reparsed, Ok(table));
         }
     }
 }
--- a/crates/core/tests/workspaces.rs
+++ b/crates/core/tests/workspaces.rs
@@ -1,10 +1,12 @@
-//! Workspaces of a route table: what is refused, and that keys stay secret.
+//! Tests of the workspaces of a route table: invalid definitions yield findings, keys
+//! find their workspaces, and no text or debug output reveals a key.
 
 use wheelmast_core::version::route_table::{CallerLimits, RouteDraft, RouteTable};
 use wheelmast_core::version::workspace::{
     CallerKey, KeyDigest, UsageCap, WorkspaceRule, MAX_KEY_BYTES,
 };
 
+/// Returns a workspace with these keys, without rank, cap or allowed regions.
 fn workspace(name: &str, keys: &[&str]) -> WorkspaceRule {
     WorkspaceRule {
         name: name.to_string(),
@@ -15,6 +17,7 @@
     }
 }
 
+/// Returns a route table draft with nothing but these workspaces.
 fn draft(workspaces: Vec<WorkspaceRule>) -> RouteDraft {
     RouteDraft {
         version: 1,
@@ -25,20 +28,21 @@
     }
 }
 
-struct BadCase {
+/// Invalid workspaces with the expected finding.
+struct InvalidCase {
     name: &'static str,
     workspaces: Vec<WorkspaceRule>,
     finding: &'static str,
 }
 
-fn bad_cases() -> Vec<BadCase> {
-    let case = |name, workspaces, finding| BadCase {
+fn invalid_cases() -> Vec<InvalidCase> {
+    let case = |name, workspaces, finding| InvalidCase {
         name,
         workspaces,
         finding,
     };
-    let long = "k".repeat(MAX_KEY_BYTES + 1);
-    let negative = WorkspaceRule {
+    let overlong_key = "k".repeat(MAX_KEY_BYTES + 1);
+    let negative_cap = WorkspaceRule {
         cap: Some(UsageCap {
             per_s: -1.0,
             burst: 0.0,
@@ -66,7 +70,7 @@
         ),
         case(
             "an overlong key",
-            vec![workspace("north", &[&long])],
+            vec![workspace("north", &[&overlong_key])],
             "row 1, workspaces.keys: a key must have at most 512 bytes (workspace north)",
         ),
         case(
@@ -86,32 +90,32 @@
         ),
         case(
             "a negative cap",
-            vec![negative],
+            vec![negative_cap],
             "row 1, workspaces.cap: must not be negative",
         ),
     ]
 }
 
 #[test]
-fn bad_workspaces_are_refused_with_one_finding_that_names_no_key() {
-    for case in bad_cases() {
-        let refused = RouteTable::check(draft(case.workspaces)).expect_err(case.name);
-        let text = refused.to_string();
+fn invalid_workspaces_yield_one_finding_without_any_key() {
+    for case in invalid_cases() {
+        let findings = RouteTable::check(draft(case.workspaces)).expect_err(case.name);
+        let text = findings.to_string();
         assert_eq!(text.trim(), case.finding, "{}", case.name);
         assert!(!text.contains("secret"), "{}: {text}", case.name);
     }
 }
 
 #[test]
-fn a_key_finds_its_workspace_and_is_never_displayed() {
+fn a_key_finds_its_workspace_and_is_not_in_debug_output() {
     let draft = draft(vec![
         workspace("north", &["first-secret", "second-secret"]),
         workspace("south", &["third-secret"]),
     ]);
     assert!(!format!("{draft:?}").contains("secret"));
-    let table = RouteTable::check(draft).expect("it is good");
+    let table = RouteTable::check(draft).expect("the draft is valid");
     assert!(!format!("{table:?}").contains("secret"));
-    let book = table.workspaces().expect("it has workspaces");
+    let registry = table.workspaces().expect("the table has workspaces");
     let cases = [
         ("first-secret", Some("north")),
         ("second-secret", Some("north")),
@@ -121,23 +125,23 @@
         ("", None),
     ];
     for (key, name) in cases {
-        let caller_workspace = book.caller_workspace(KeyDigest::of(key.as_bytes()));
+        let caller_workspace = registry.caller_workspace(KeyDigest::of(key.as_bytes()));
         let caller_workspace =
-            caller_workspace.map(|caller_workspace| &*book.rule(caller_workspace).name);
+            caller_workspace.map(|caller_workspace| &*registry.rule(caller_workspace).name);
         assert_eq!(caller_workspace, name, "{key}");
     }
 }
 
 #[test]
-fn ten_thousand_workspaces_are_taken() {
-    let many = (0..10_000).map(|number| {
+fn a_table_accepts_ten_thousand_workspaces() {
+    let workspaces = (0..10_000).map(|number| {
         let name = format!("w{number}");
         workspace(&name, &[&format!("a{number}"), &format!("b{number}")])
     });
-    let table = RouteTable::check(draft(many.collect())).expect("it is good");
-    let book = table.workspaces().expect("it has workspaces");
-    let caller_workspace = book
+    let table = RouteTable::check(draft(workspaces.collect())).expect("the draft is valid");
+    let registry = table.workspaces().expect("the table has workspaces");
+    let caller_workspace = registry
         .caller_workspace(KeyDigest::of(b"b9999"))
-        .expect("it is held");
-    assert_eq!(book.rule(caller_workspace).name, "w9999");
+        .expect("the key is held by a workspace");
+    assert_eq!(registry.rule(caller_workspace).name, "w9999");
 }
