--- a/crates/core/src/process/forward/access.rs
+++ b/crates/core/src/process/forward/access.rs
@@ -9,7 +9,7 @@
 use crate::process::forward::input::ForwardCall;
 use crate::process::forward::machine::ForwardMachine;
 use crate::version::route_table::{RouteRule, RouteTable};
-use crate::version::workspace::WorkspaceKey;
+use crate::version::workspace::WorkspaceIndex;
 
 /// Returns the workspace of a request. Returns `None` if the table defines no
 /// workspaces, or if the route is public and no workspace was found.
@@ -23,7 +23,7 @@
     table: &RouteTable,
     route: &RouteRule,
     call: &ForwardCall,
-) -> Result<Option<WorkspaceKey>, ForwardFailure> {
+) -> Result<Option<WorkspaceIndex>, ForwardFailure> {
     let Some(workspaces) = table.workspaces() else {
         return Ok(None);
     };
@@ -31,13 +31,13 @@
         Some(order) => {
             let name = order.workspace.as_deref();
             (
-                name.and_then(|name| workspaces.named(name)),
+                name.and_then(|name| workspaces.find_by_name(name)),
                 ForwardFailure::NoTable,
             )
         }
         None => {
-            let holder = call.key.and_then(|key| workspaces.holder(key));
-            (holder, ForwardFailure::NoKey)
+            let caller_workspace = call.key.and_then(|key| workspaces.caller_workspace(key));
+            (caller_workspace, ForwardFailure::NoKey)
         }
     };
     match found {
@@ -97,9 +97,10 @@
     let Some(workspaces) = table.workspaces() else {
         return true;
     };
-    let holder = match state.key {
-        Some(key) => workspaces.holder(key),
-        None => workspaces.named(name),
+    let caller_workspace = match state.key {
+        Some(key) => workspaces.caller_workspace(key),
+        None => workspaces.find_by_name(name),
     };
-    holder.is_some_and(|holder| *workspaces.rule(holder).name == **name)
+    caller_workspace
+        .is_some_and(|caller_workspace| *workspaces.rule(caller_workspace).name == **name)
 }
--- a/crates/core/src/process/scatter.rs
+++ b/crates/core/src/process/scatter.rs
@@ -18,7 +18,7 @@
 use crate::request::answer::{MissingReason, RefusalReason};
 use crate::request::decision::{RouteDecision, SendCause};
 use crate::request::query::{QueryState, ShardState};
-use crate::version::row::{FirstAim, RequestKind};
+use crate::version::row::{AnswerPriority, RequestKind};
 
 /// Estimated number of decisions that a traced query (one whose decisions are recorded)
 /// records, besides one for each shard.
@@ -116,7 +116,7 @@
         };
         let delay = self.hedge_delay(upstream, &state.row);
         self.timers.set(now + delay, TimerPurpose::Sweep(query));
-        let answers_early = state.row.first == FirstAim::Time && self.policy.answers_early();
+        let answers_early = state.row.first == AnswerPriority::Time && self.policy.answers_early();
         if answers_early && !state.restarted {
             let partial = state.arrived + state.row.partial_after;
             self.timers.set(partial, TimerPurpose::Partial(query));
--- a/crates/core/tests/forward/keys.rs
+++ b/crates/core/tests/forward/keys.rs
@@ -25,7 +25,7 @@
         keys: vec![CallerKey::new(*key)],
         rank: None,
         cap: None,
-        homes: if *name == "tied" {
+        allowed_regions: if *name == "tied" {
             vec!["east".to_string()]
         } else {
             Vec::new()
@@ -240,14 +240,14 @@
         ("tied", &["west"], None),
         ("free", &["west"], Some(LOCAL_DOMAIN)),
     ];
-    for (workspace, homes, expected) in cases {
+    for (workspace, allowed_regions, expected) in cases {
         let mut harness = Harness::with_options(ForwardOptions {
             domain: LOCAL_DOMAIN.into(),
             regions: RegionMap::new(regions.clone()),
             ..ForwardOptions::default()
         });
         let rule = RouteRule {
-            homes: homes.iter().map(ToString::to_string).collect(),
+            allowed_regions: allowed_regions.iter().map(ToString::to_string).collect(),
             ..route("q", RouteTarget::Service("desk".into()))
         };
         harness.set_table(keyed(3, vec![rule], &[(workspace, KEY)]));
@@ -258,7 +258,7 @@
         assert_eq!(
             sent,
             expected.map(|domain| format!("desk-{domain}")),
-            "{workspace} {homes:?}"
+            "{workspace} {allowed_regions:?}"
         );
     }
 }
