--- a/crates/cli/src/cmd/demo.rs
+++ b/crates/cli/src/cmd/demo.rs
@@ -5,7 +5,9 @@
 
 use anyhow::Context;
 use clap::{Arg, ArgAction, ArgMatches, Command};
-use wheelmast_core::prelude::{GuardSet, LeastOutstanding, RandomChoice, TablePolicy, TwoChoices};
+use wheelmast_core::prelude::{
+    EntrySafetyChecks, LeastOutstanding, LowestCostPolicy, RandomChoice, TwoChoices,
+};
 use wheelmast_fake::deployment::{by_name, DEPLOYMENT_NAMES};
 use wheelmast_fake::fault::{fault_by_name, FaultKind, FAULTS};
 
@@ -131,7 +133,7 @@
                 rate_factor: rate,
                 kills: false,
                 explains: matches.get_flag("explain"),
-                guards: GuardSet::default(),
+                safety_checks: EntrySafetyChecks::default(),
                 prints: !json,
             },
             policy: text("policy")?.clone(),
@@ -153,7 +155,7 @@
         if self.policy != POLICIES[0] {
             runtime.block_on(self.warm_up())?;
         }
-        let run = runtime.block_on(run_plan(&self.plan, TablePolicy::default(), "table"))?;
+        let run = runtime.block_on(run_plan(&self.plan, LowestCostPolicy::default(), "table"))?;
         // A runtime of its own for each run: the first one's servers end.
         drop(runtime);
         let baseline = self.run_baseline()?;
@@ -183,7 +185,7 @@
             explains: false,
             ..self.plan.clone()
         };
-        run_plan(&plan, TablePolicy::default(), "warm-up").await?;
+        run_plan(&plan, LowestCostPolicy::default(), "warm-up").await?;
         Ok(())
     }
 
@@ -203,16 +205,16 @@
                 "least-outstanding" => run_plan(plan, LeastOutstanding, name).await,
                 "two-choices" => run_plan(plan, TwoChoices, name).await,
                 "no-hedge" => {
-                    let policy = TablePolicy {
-                        no_hedge: true,
-                        ..TablePolicy::default()
+                    let policy = LowestCostPolicy {
+                        disable_hedging: true,
+                        ..LowestCostPolicy::default()
                     };
                     run_plan(plan, policy, name).await
                 }
                 "no-eject" => {
-                    let policy = TablePolicy {
-                        no_eject: true,
-                        ..TablePolicy::default()
+                    let policy = LowestCostPolicy {
+                        disable_ejection: true,
+                        ..LowestCostPolicy::default()
                     };
                     run_plan(plan, policy, name).await
                 }
--- a/crates/cli/src/demo/run.rs
+++ b/crates/cli/src/demo/run.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use anyhow::Context;
-use wheelmast_core::prelude::{GuardSet, RoutePolicy, ServiceTable};
+use wheelmast_core::prelude::{EntrySafetyChecks, RoutePolicy, ServiceTable};
 use wheelmast_fake::announcer::AnnounceTarget;
 use wheelmast_fake::checker::check_once;
 use wheelmast_fake::deployment::FakeDeployment;
@@ -25,7 +25,7 @@
 use crate::measure::cpu::thread_times_ms;
 
 /// Time the instances get to learn of all servers.
-const LEARN_TIME: Duration = Duration::from_secs(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time between two looks whether they have.
 const LEARN_INTERVAL: Duration = Duration::from_millis(50);
 /// Time between a crash and the start after it.
@@ -45,7 +45,7 @@
     /// Factor on the rates of the deployment.
     pub rate_factor: f64,
     /// Guards of the instances; all on but in tests.
-    pub guards: GuardSet,
+    pub safety_checks: EntrySafetyChecks,
     /// Whether the restart of an instance is abrupt; only in tests.
     pub kills: bool,
     /// Whether the story of the slowest request is told.
@@ -77,7 +77,7 @@
     settings: Vec<InstanceSettings>,
     table: ServiceTable,
     policy: P,
-    guards: GuardSet,
+    safety_checks: EntrySafetyChecks,
     context: Arc<TrafficContext>,
     probe: tokio::task::JoinHandle<()>,
 }
@@ -94,7 +94,7 @@
                 settings: settings.clone(),
                 table: Some(table.clone()),
                 policy: policy.clone(),
-                guards: plan.guards,
+                safety_checks: plan.safety_checks,
             })?;
             settings.callers = instance.callers;
             settings.operators = instance.operators;
@@ -124,7 +124,7 @@
             settings: all_settings,
             table,
             policy,
-            guards: plan.guards,
+            safety_checks: plan.safety_checks,
             context,
             probe,
         })
@@ -132,7 +132,7 @@
 
     /// Waits until every instance knows every server.
     async fn wait_learned(&self) -> anyhow::Result<()> {
-        let until = Instant::now() + LEARN_TIME;
+        let until = Instant::now() + READY_TIMEOUT;
         for instance in &self.instances {
             loop {
                 let status = read_status(&self.context.client, instance.operators).await?;
@@ -140,7 +140,7 @@
                     break;
                 }
                 if Instant::now() > until {
-                    anyhow::bail!("could not learn of all servers within {LEARN_TIME:?}");
+                    anyhow::bail!("could not learn of all servers within {READY_TIMEOUT:?}");
                 }
                 tokio::time::sleep(LEARN_INTERVAL).await;
             }
@@ -205,7 +205,7 @@
             settings: self.settings[0].clone(),
             table: Some(self.table.clone()),
             policy: self.policy.clone(),
-            guards: self.guards,
+            safety_checks: self.safety_checks,
         })?;
         self.instances.insert(0, instance);
         Ok(())
--- a/crates/cli/src/measure/capacity.rs
+++ b/crates/cli/src/measure/capacity.rs
@@ -181,9 +181,9 @@
 }
 
 /// Returns a machine that knows `servers` servers in groups of two.
-fn machine(servers: u32) -> EntryMachine<TablePolicy> {
+fn machine(servers: u32) -> EntryMachine<LowestCostPolicy> {
     let options = EntryOptions::builder().decisions_per_second(0).build();
-    let mut machine = EntryMachine::new(options, TablePolicy::default());
+    let mut machine = EntryMachine::new(options, LowestCostPolicy::default());
     let mut out = Vec::new();
     let text = "service,kind,deadline_ms\nsearch,query,1000\n";
     if let Ok(table) = ServiceTable::parse(text, 1) {
@@ -197,8 +197,8 @@
     machine
 }
 
-fn server_news(index: u32, shards: u32) -> ServerNews {
-    ServerNews {
+fn server_news(index: u32, shards: u32) -> UpstreamAnnouncement {
+    UpstreamAnnouncement {
         name: format!("search-{index}").into(),
         upstream: "search".into(),
         domain: format!("d{}", index % 6).into(),
@@ -249,7 +249,7 @@
                 let now = now + Duration::from_millis(4);
                 machine.step(
                     now,
-                    EntryInput::Reply(AttemptReply::found_nothing(&order)),
+                    EntryInput::Reply(AttemptReply::with_no_hits(&order)),
                     &mut ends,
                 );
             }
--- a/crates/cli/src/measure/control.rs
+++ b/crates/cli/src/measure/control.rs
@@ -8,7 +8,7 @@
 
 use anyhow::{bail, Context};
 use hdrhistogram::Histogram;
-use wheelmast_core::prelude::{GuardSet, TablePolicy};
+use wheelmast_core::prelude::{EntrySafetyChecks, LowestCostPolicy};
 use wheelmast_core::process::control::log::LogEntry;
 use wheelmast_core::process::control::message::ReplicaAction;
 use wheelmast_core::process::control::state::ControlCommand;
@@ -109,8 +109,8 @@
         self.running[node] = Some(InstanceHandle::start(InstanceSetup {
             settings: settings_of(&self.folder, node),
             table: None,
-            policy: TablePolicy::default(),
-            guards: GuardSet::default(),
+            policy: LowestCostPolicy::default(),
+            safety_checks: EntrySafetyChecks::default(),
         })?);
         Ok(())
     }
--- a/crates/cli/src/measure/gossip.rs
+++ b/crates/cli/src/measure/gossip.rs
@@ -6,7 +6,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use wheelmast_core::prelude::{HeldSnapshot, ServerNews, ServerPhase, SnapshotId};
+use wheelmast_core::prelude::{HeldSnapshot, ServerPhase, SnapshotId, UpstreamAnnouncement};
 use wheelmast_core::process::gossip::machine::{GossipAction, GossipInput, GossipMachine};
 use wheelmast_core::process::gossip::member::{MemberNews, MemberStanding};
 use wheelmast_core::process::gossip::message::GossipMessage;
@@ -47,8 +47,8 @@
     SocketAddr::from(([127, 1, (node / 250) as u8, (node % 250) as u8 + 1], 7403))
 }
 
-fn news(server: usize, sequence: u64) -> ServerNews {
-    ServerNews {
+fn news(server: usize, sequence: u64) -> UpstreamAnnouncement {
+    UpstreamAnnouncement {
         name: format!("kiln-watch-{server}").into(),
         upstream: "kiln-watch".into(),
         domain: format!("domain-{}", server % 6).into(),
--- a/crates/cli/tests/demo.rs
+++ b/crates/cli/tests/demo.rs
@@ -4,7 +4,7 @@
 
 use wheelmast_cli::demo::report::RunReport;
 use wheelmast_cli::demo::run::{run_plan, RunPlan};
-use wheelmast_core::prelude::{GuardSet, TablePolicy};
+use wheelmast_core::prelude::{EntrySafetyChecks, LowestCostPolicy};
 use wheelmast_fake::checker::ViolationCounts;
 use wheelmast_fake::deployment::{kivela, lonestar, FakeDeployment};
 use wheelmast_fake::fault::{FaultKind, FAULTS};
@@ -14,7 +14,7 @@
     deployment: fn() -> FakeDeployment,
     seconds: u64,
     faults: Vec<FaultKind>,
-    off: fn(&mut GuardSet),
+    off: fn(&mut EntrySafetyChecks),
     rate_factor: f64,
     kills: bool,
     check: fn(&ViolationCounts) -> bool,
@@ -36,14 +36,14 @@
 }
 
 fn run_case(case: &DemoCase) -> RunReport {
-    let mut guards = GuardSet::default();
-    (case.off)(&mut guards);
+    let mut safety_checks = EntrySafetyChecks::default();
+    (case.off)(&mut safety_checks);
     let plan = RunPlan {
         deployment: (case.deployment)(),
         length: Duration::from_secs(case.seconds),
         faults: case.faults.clone(),
         rate_factor: case.rate_factor,
-        guards,
+        safety_checks,
         kills: case.kills,
         explains: false,
         prints: false,
@@ -53,7 +53,7 @@
         .enable_all()
         .build()
         .expect("a runtime");
-    let report = runtime.block_on(run_plan(&plan, TablePolicy::default(), "table"));
+    let report = runtime.block_on(run_plan(&plan, LowestCostPolicy::default(), "table"));
     report.expect(case.name)
 }
 
@@ -103,21 +103,21 @@
         DemoCase {
             name: "snapshot",
             faults: vec![FaultKind::WrongSnapshot],
-            off: |guards| guards.snapshot = false,
+            off: |safety_checks| safety_checks.snapshot = false,
             check: |counts| counts.mixed_snapshot > 0,
             ..DemoCase::default()
         },
         DemoCase {
             name: "shard",
             faults: vec![FaultKind::WrongShard],
-            off: |guards| guards.shard = false,
+            off: |safety_checks| safety_checks.shard = false,
             check: |counts| counts.false_coverage > 0,
             ..DemoCase::default()
         },
         DemoCase {
             name: "identity",
             faults: vec![FaultKind::Crossed],
-            off: |guards| guards.identity = false,
+            off: |safety_checks| safety_checks.reply_identity = false,
             check: |counts| counts.foreign_answer > 0,
             ..DemoCase::default()
         },
@@ -126,7 +126,7 @@
             seconds: 6,
             rate_factor: 4.0,
             faults: vec![FaultKind::Broken],
-            off: |guards| guards.once = false,
+            off: |safety_checks| safety_checks.single_run = false,
             check: |counts| counts.double_run > 0,
             ..DemoCase::default()
         },
@@ -135,7 +135,7 @@
             seconds: 6,
             rate_factor: 4.0,
             faults: vec![FaultKind::Broken],
-            off: |guards| guards.refusal = false,
+            off: |safety_checks| safety_checks.not_run_claim = false,
             check: |counts| counts.false_not_run > 0,
             ..DemoCase::default()
         },
@@ -159,7 +159,7 @@
         name: "drain",
         seconds: 12,
         faults: vec![FaultKind::Drain],
-        off: |guards| guards.drain = false,
+        off: |safety_checks| safety_checks.drain = false,
         check: |counts| counts.work_after_leaving > 0,
         ..DemoCase::default()
     }]);
--- a/crates/core/benches/entry.rs
+++ b/crates/core/benches/entry.rs
@@ -22,7 +22,7 @@
     let mut out = Vec::new();
     machine.step(Duration::ZERO, EntryInput::Table(table), &mut out);
     for index in 0..shards * 2 {
-        let news = ServerNews {
+        let announcement = UpstreamAnnouncement {
             name: format!("s{index}").into(),
             upstream: "search".into(),
             domain: format!("d{}", index % 3).into(),
@@ -40,7 +40,7 @@
             load: 0.0,
             lease: Duration::from_secs(1_000_000),
         };
-        machine.step(Duration::ZERO, EntryInput::Announce(news), &mut out);
+        machine.step(Duration::ZERO, EntryInput::Announce(announcement), &mut out);
     }
     machine
 }
@@ -59,7 +59,7 @@
 }
 
 fn reply(order: &SendOrder) -> EntryInput {
-    EntryInput::Reply(AttemptReply::found_nothing(order))
+    EntryInput::Reply(AttemptReply::with_no_hits(order))
 }
 
 /// Runs one query to its end and returns the number of actions.
@@ -80,7 +80,7 @@
     let mut group = criterion.benchmark_group("plan");
     for shards in [20, 60, 120, 240] {
         group.bench_function(BenchmarkId::new("table", shards), |bencher| {
-            bench_plan(bencher, shards, TablePolicy::default());
+            bench_plan(bencher, shards, LowestCostPolicy::default());
         });
         group.bench_function(BenchmarkId::new("random", shards), |bencher| {
             bench_plan(bencher, shards, RandomChoice);
@@ -124,7 +124,7 @@
     for shards in [20, 60, 120, 240] {
         group.throughput(Throughput::Elements(1));
         group.bench_function(BenchmarkId::from_parameter(shards), |bencher| {
-            let mut machine = machine(shards, TablePolicy::default());
+            let mut machine = machine(shards, LowestCostPolicy::default());
             let mut call = 0;
             bencher.iter(|| {
                 call += 1;
--- a/crates/core/src/finding.rs
+++ b/crates/core/src/finding.rs
@@ -23,7 +23,7 @@
         column: String,
     },
     /// The input as a whole.
-    Whole,
+    WholeInput,
 }
 
 impl fmt::Display for FindingPlace {
@@ -31,14 +31,14 @@
         match self {
             FindingPlace::Text { line, column } => write!(f, "{line}:{column}"),
             FindingPlace::Cell { row, column } => write!(f, "row {row}, {column}"),
-            FindingPlace::Whole => write!(f, "whole"),
+            FindingPlace::WholeInput => write!(f, "whole"),
         }
     }
 }
 
 /// One thing that is wrong with an input.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TableFinding {
+pub struct InputFinding {
     /// Where it was found.
     pub place: FindingPlace,
     /// What is wrong and what is allowed.
@@ -47,7 +47,7 @@
     pub hint: Option<String>,
 }
 
-impl fmt::Display for TableFinding {
+impl fmt::Display for InputFinding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.place, self.message)?;
         match &self.hint {
@@ -60,13 +60,13 @@
 /// All findings of one input.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct FindingList {
-    items: Vec<TableFinding>,
+    items: Vec<InputFinding>,
 }
 
 impl FindingList {
     /// Adds a finding.
     pub fn add(&mut self, place: FindingPlace, message: impl Into<String>) {
-        self.items.push(TableFinding {
+        self.items.push(InputFinding {
             place,
             message: message.into(),
             hint: None,
@@ -74,13 +74,13 @@
     }
 
     /// Adds a finding with a hint.
-    pub fn add_hint(
+    pub fn add_with_hint(
         &mut self,
         place: FindingPlace,
         message: impl Into<String>,
         hint: Option<String>,
     ) {
-        self.items.push(TableFinding {
+        self.items.push(InputFinding {
             place,
             message: message.into(),
             hint,
@@ -93,7 +93,7 @@
     }
 
     /// Returns the findings in the order of their discovery.
-    pub fn items(&self) -> &[TableFinding] {
+    pub fn items(&self) -> &[InputFinding] {
         &self.items
     }
 }
@@ -113,7 +113,7 @@
 const HINT_SIMILARITY: f64 = 0.72;
 
 /// Offers the known name that is nearest to `name`, if any is near.
-pub fn did_you_mean<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<String> {
+pub fn suggest_name<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<String> {
     let mut best: Option<(&str, f64)> = None;
     for candidate in known {
         let similarity = strsim::jaro_winkler(name, candidate);
--- a/crates/core/src/prelude.rs
+++ b/crates/core/src/prelude.rs
@@ -1,16 +1,16 @@
 //! The common types, for a single `use`.
 
 pub use crate::arena::{KeyArena, ServerKey, SlotArena, SlotKey, UpstreamKey};
-pub use crate::finding::{FindingList, FindingPlace, TableFinding};
+pub use crate::finding::{FindingList, FindingPlace, InputFinding};
 pub use crate::process::action::{EntryAction, SendOrder};
-pub use crate::process::entry::{EntryMachine, EntryOptions, GuardSet};
+pub use crate::process::entry::{EntryMachine, EntryOptions, EntrySafetyChecks};
 pub use crate::process::input::{
     AttemptReply, CallTag, ConnectionChange, EntryInput, QueryRequest, ReplyBody, ReplyStatus,
     RequestBody,
 };
-pub use crate::process::news::{HeldSnapshot, ServerNews, ServerPhase};
+pub use crate::process::news::{HeldSnapshot, ServerPhase, UpstreamAnnouncement};
 pub use crate::process::policy::{
-    LeastOutstanding, RandomChoice, RoutePolicy, TablePolicy, TwoChoices,
+    LeastOutstanding, LowestCostPolicy, RandomChoice, RoutePolicy, TwoChoices,
 };
 pub use crate::request::answer::{
     CoverageReport, MissingReason, MissingShard, QueryAnswer, QueryOutcome, QueryRefusal,
--- a/crates/core/src/process/admission.rs
+++ b/crates/core/src/process/admission.rs
@@ -68,7 +68,7 @@
 
     /// Starts waiting requests while there is room.
     pub(super) fn start_waiting(&mut self, now: Duration, out: &mut Vec<EntryAction>) {
-        while let Some(query) = self.gates.take_next() {
+        while let Some(query) = self.gates.pop_next() {
             if self.queries.get(query).is_some() {
                 self.start(query, now, out);
             }
@@ -79,7 +79,7 @@
         &self,
         request: &QueryRequest,
     ) -> Result<(GateKey, Arc<ServiceRow>), RefusalReason> {
-        if self.leaving {
+        if self.is_leaving {
             return Err(RefusalReason::Leaving);
         }
         let gate = self.gates.find(&request.service);
@@ -103,8 +103,8 @@
     ) -> Result<(), (RefusalReason, Duration)> {
         let state = self.gates.gate(gate);
         let waiting = state.queue.len();
-        let parallel = self.gates.parallel(gate);
-        let wait = state.expected_wait(waiting + 1, parallel);
+        let parallelism = self.gates.parallelism(gate);
+        let wait = state.expected_wait(waiting + 1, parallelism);
         if waiting >= row.queue as usize {
             return Err((RefusalReason::QueueFull, wait));
         }
@@ -123,8 +123,8 @@
         deadline: Duration,
         now: Duration,
     ) -> SlotKey {
-        let traced = self.take_trace(now);
-        let shards = self.spare_shards();
+        let traced = self.try_start_trace(now);
+        let shards = self.take_spare_shards();
         let query = self.queries.insert(QueryState {
             call: request.call,
             request: id,
@@ -160,7 +160,7 @@
         out: &mut Vec<EntryAction>,
     ) {
         self.gates.gate_mut(gate).queue.push_back(query);
-        self.decide_query(query, now, out, |machine| {
+        self.record_query_decision(query, now, out, |machine| {
             let gate = machine.gates.gate(gate);
             RouteDecision::Queue {
                 service: gate
@@ -183,10 +183,10 @@
         out: &mut Vec<EntryAction>,
     ) {
         self.counters.not_run += 1;
-        if self.take_trace(now) {
-            self.charge_trace(1);
+        if self.try_start_trace(now) {
+            self.charge_trace_budget(1);
             let decision = RouteDecision::Refuse { reason };
-            self.decide(Some(request), decision, now, out);
+            self.record_decision(Some(request), decision, now, out);
         }
         let refusal = QueryRefusal {
             request,
--- a/crates/core/src/process/budget.rs
+++ b/crates/core/src/process/budget.rs
@@ -31,7 +31,7 @@
 
 impl ExtraBudget {
     /// Adds what one first send earns.
-    pub fn earn(&mut self, extra_load: f64) {
+    pub fn add_send_credit(&mut self, extra_load: f64) {
         self.tokens = (self.tokens + extra_load).min(BUDGET_BURST);
     }
 
@@ -46,7 +46,7 @@
     }
 
     /// Takes one token for an extra send, if there is one.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_spend(&mut self) -> bool {
         if !self.allows_retry() {
             return false;
         }
--- a/crates/core/src/process/cap/lease.rs
+++ b/crates/core/src/process/cap/lease.rs
@@ -2,25 +2,25 @@
 
 use std::time::Duration;
 
-use crate::process::cap::{CapAsk, CapGrant};
+use crate::process::cap::{TokenGrant, TokenRequest};
 
 /// Time for which tokens are asked for in advance, by the requests of late.
-const AHEAD_TIME: Duration = Duration::from_millis(400);
+const PREFETCH_TIME: Duration = Duration::from_millis(400);
 /// Time after which tokens that were not used are dropped.
-const TOKEN_LIFE: Duration = Duration::from_secs(1);
+const TOKEN_LIFETIME: Duration = Duration::from_secs(1);
 /// Least time for which requests are refused after the owner refused one: each
 /// of them would be a question.
-const LEAST_PAUSE: Duration = Duration::from_millis(60);
+const MIN_REFUSAL_TIME: Duration = Duration::from_millis(60);
 /// Longest such time: the others may have come back less often than told.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+const MAX_REFUSAL_TIME: Duration = Duration::from_secs(1);
 
 /// What becomes of a request that needs a token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CapStep {
+pub enum AdmissionStep {
     /// It has one.
-    Take,
+    Admit,
     /// It waits, and the source is to be asked.
-    Ask,
+    RequestTokens,
     /// It waits for the answer to a question that was asked.
     Wait,
     /// The cap is reached; it may come back after this time.
@@ -30,7 +30,7 @@
 /// What becomes of the requests that wait, oldest first, once the source has
 /// answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CapTurn {
+pub struct GrantOutcome {
     /// Requests that have a token.
     pub served: u32,
     /// Requests after these that are refused.
@@ -57,49 +57,49 @@
 
 impl CapLease {
     /// Takes a request in.
-    pub fn request(&mut self, now: Duration) -> CapStep {
+    pub fn admit_request(&mut self, now: Duration) -> AdmissionStep {
         self.count(now);
         if now >= self.tokens_until {
             self.tokens = 0;
         }
         if self.waiting == 0 && self.tokens > 0 {
             self.tokens -= 1;
-            return CapStep::Take;
+            return AdmissionStep::Admit;
         }
         if now < self.refused_until {
-            return CapStep::Refuse(self.refused_until - now);
+            return AdmissionStep::Refuse(self.refused_until - now);
         }
         self.waiting += 1;
         if self.asked > 0 {
-            CapStep::Wait
+            AdmissionStep::Wait
         } else {
-            CapStep::Ask
+            AdmissionStep::RequestTokens
         }
     }
 
     /// Returns the question to the source for all that wait.
-    pub fn ask(&mut self, workspace: &str) -> CapAsk {
+    pub fn token_request(&mut self, workspace: &str) -> TokenRequest {
         self.asked = self.waiting;
-        CapAsk {
+        TokenRequest {
             workspace: workspace.into(),
             waiting: self.waiting,
-            ahead: (self.rate * AHEAD_TIME.as_secs_f64()) as u32,
+            ahead: (self.rate * PREFETCH_TIME.as_secs_f64()) as u32,
         }
     }
 
     /// Takes the source's answer.
-    pub fn told(&mut self, grant: CapGrant, now: Duration) -> CapTurn {
+    pub fn handle_grant(&mut self, grant: TokenGrant, now: Duration) -> GrantOutcome {
         let served = grant.tokens.min(self.waiting);
         let asked = std::mem::take(&mut self.asked).min(self.waiting);
         let refused = asked.saturating_sub(served);
         self.waiting -= served + refused;
         self.tokens += grant.tokens - served;
-        self.tokens_until = now + TOKEN_LIFE;
-        let retry_after = Duration::from_millis(u64::from(grant.retry_ms)).max(LEAST_PAUSE);
+        self.tokens_until = now + TOKEN_LIFETIME;
+        let retry_after = Duration::from_millis(u64::from(grant.retry_ms)).max(MIN_REFUSAL_TIME);
         if refused > 0 {
-            self.refused_until = now + retry_after.min(LONGEST_PAUSE);
+            self.refused_until = now + retry_after.min(MAX_REFUSAL_TIME);
         }
-        CapTurn {
+        GrantOutcome {
             served,
             refused,
             retry_after,
@@ -109,15 +109,15 @@
 
     /// Takes note that the source did not answer; returns how many requests
     /// have waited in vain.
-    pub fn unheard(&mut self) -> u32 {
+    pub fn clear_waiting(&mut self) -> u32 {
         self.asked = 0;
         std::mem::take(&mut self.waiting)
     }
 
     /// Takes a token back whose request was not sent.
-    pub fn give_back(&mut self, now: Duration) {
+    pub fn return_token(&mut self, now: Duration) {
         self.tokens += 1;
-        self.tokens_until = self.tokens_until.max(now + TOKEN_LIFE);
+        self.tokens_until = self.tokens_until.max(now + TOKEN_LIFETIME);
     }
 
     fn count(&mut self, now: Duration) {
--- a/crates/core/src/process/cap/mod.rs
+++ b/crates/core/src/process/cap/mod.rs
@@ -21,11 +21,11 @@
 /// Part of the excess by which the owner's bucket is larger than the cap. The
 /// order in which requests reach the owner is not that in which callers sent
 /// them.
-const OWNER_PART: f64 = 0.4;
+const OWNER_FRACTION: f64 = 0.4;
 /// Part of the excess that lies unused at control instances.
-const STOCK_PART: f64 = 0.3;
+const STOCK_FRACTION: f64 = 0.3;
 /// Part of the excess that control instances give out without the leader.
-const FLOOR_PART: f64 = 0.2;
+const LEADERLESS_FRACTION: f64 = 0.2;
 
 /// How far the requests of a workspace may exceed its cap in any window, all
 /// entries taken together.
@@ -51,36 +51,36 @@
 
 impl CapBound {
     /// Returns the requests beyond the cap that a window may have.
-    fn surplus(&self, cap: UsageCap) -> f64 {
+    fn max_excess(&self, cap: UsageCap) -> f64 {
         let allowed = cap.per_s * self.window.as_secs_f64() + cap.burst;
         allowed * self.excess + self.slack
     }
 
     /// Returns the cap that the owner keeps to.
-    fn widened(&self, cap: UsageCap) -> UsageCap {
-        let times = 1.0 + self.excess * OWNER_PART;
+    fn owner_cap(&self, cap: UsageCap) -> UsageCap {
+        let times = 1.0 + self.excess * OWNER_FRACTION;
         UsageCap {
             per_s: cap.per_s * times,
-            burst: cap.burst * times + self.slack * OWNER_PART,
+            burst: cap.burst * times + self.slack * OWNER_FRACTION,
         }
     }
 
     /// Returns the most tokens that one of `instances` control instances holds.
-    fn most_stock(&self, cap: UsageCap, instances: u32) -> u32 {
-        let part = self.surplus(cap) * STOCK_PART;
+    fn max_stock(&self, cap: UsageCap, instances: u32) -> u32 {
+        let part = self.max_excess(cap) * STOCK_FRACTION;
         (part / f64::from(instances.max(1))) as u32
     }
 
     /// Returns what one of `instances` control instances gives out in a window
     /// without the leader.
     fn floor(&self, cap: UsageCap, instances: u32) -> f64 {
-        self.surplus(cap) * FLOOR_PART / f64::from(instances.max(1))
+        self.max_excess(cap) * LEADERLESS_FRACTION / f64::from(instances.max(1))
     }
 }
 
 /// What is asked of whoever holds tokens.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CapAsk {
+pub struct TokenRequest {
     /// The workspace.
     pub workspace: Box<str>,
     /// Requests that wait for a token.
@@ -89,9 +89,9 @@
     pub ahead: u32,
 }
 
-/// The answer to a [`CapAsk`].
+/// The answer to a [`TokenRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct CapGrant {
+pub struct TokenGrant {
     /// Tokens granted.
     pub tokens: u32,
     /// Time until there is another one, in milliseconds, if fewer were granted
--- a/crates/core/src/process/cap/owner.rs
+++ b/crates/core/src/process/cap/owner.rs
@@ -3,16 +3,16 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::process::cap::{CapAsk, CapBound, CapGrant};
+use crate::process::cap::{CapBound, TokenGrant, TokenRequest};
 use crate::version::workspace::UsageCap;
 
 /// Part of its burst that a bucket keeps for requests that wait, before it
 /// gives tokens out in advance.
-const KEPT_PART: f64 = 0.5;
+const RESERVED_FRACTION: f64 = 0.5;
 /// Longest time after which a refused caller is told to come back.
-const LONGEST_RETRY: Duration = Duration::from_secs(2);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 /// Milliseconds in a second.
-const SECOND_MS: f64 = 1000.0;
+const MS_PER_SECOND: f64 = 1000.0;
 
 #[derive(Debug, Clone, Copy)]
 struct CapBucket {
@@ -34,14 +34,14 @@
     /// Returns the time until those refused of late could all be served, in
     /// milliseconds.
     fn retry_after(&self) -> u32 {
-        let longest = LONGEST_RETRY.as_secs_f64();
+        let longest = MAX_RETRY_AFTER.as_secs_f64();
         let missing = (self.refused - self.level).max(0.0);
         let wait = if self.cap.per_s > 0.0 {
             (missing / self.cap.per_s).min(longest)
         } else {
             longest
         };
-        (wait * SECOND_MS).ceil().max(1.0) as u32
+        (wait * MS_PER_SECOND).ceil().max(1.0) as u32
     }
 }
 
@@ -62,7 +62,7 @@
     ) {
         let mut former = std::mem::take(&mut self.buckets);
         for (workspace, cap) in caps {
-            let cap = bound.widened(cap);
+            let cap = bound.owner_cap(cap);
             let bucket = match former.remove(&workspace) {
                 Some(mut bucket) => {
                     bucket.refill(now);
@@ -88,7 +88,7 @@
 
     /// Begins with empty buckets: what a former leader granted a moment ago is
     /// not known here.
-    pub fn begin_empty(&mut self, now: Duration) {
+    pub fn empty_buckets(&mut self, now: Duration) {
         for bucket in self.buckets.values_mut() {
             bucket.level = 0.0;
             bucket.filled_at = now;
@@ -96,27 +96,27 @@
     }
 
     /// Grants tokens: first to requests that wait, then in advance.
-    pub fn grant(&mut self, ask: &CapAsk, now: Duration) -> CapGrant {
-        let Some(bucket) = self.buckets.get_mut(&ask.workspace) else {
+    pub fn grant(&mut self, request: &TokenRequest, now: Duration) -> TokenGrant {
+        let Some(bucket) = self.buckets.get_mut(&request.workspace) else {
             // It has no cap in the table that is in force here.
-            return CapGrant {
-                tokens: ask.waiting,
+            return TokenGrant {
+                tokens: request.waiting,
                 retry_ms: 0,
             };
         };
         bucket.refill(now);
-        let served = (bucket.level.max(0.0) as u32).min(ask.waiting);
+        let served = (bucket.level.max(0.0) as u32).min(request.waiting);
         bucket.level -= f64::from(served);
-        let spare = bucket.level - bucket.cap.burst * KEPT_PART;
-        let ahead = (spare.max(0.0) as u32).min(ask.ahead);
+        let spare = bucket.level - bucket.cap.burst * RESERVED_FRACTION;
+        let ahead = (spare.max(0.0) as u32).min(request.ahead);
         bucket.level -= f64::from(ahead);
-        let retry_ms = if served < ask.waiting {
-            bucket.refused += f64::from(ask.waiting - served);
+        let retry_ms = if served < request.waiting {
+            bucket.refused += f64::from(request.waiting - served);
             bucket.retry_after()
         } else {
             0
         };
-        CapGrant {
+        TokenGrant {
             tokens: served + ahead,
             retry_ms,
         }
--- a/crates/core/src/process/cap/stock.rs
+++ b/crates/core/src/process/cap/stock.rs
@@ -7,11 +7,11 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::process::cap::{CapAsk, CapBound};
+use crate::process::cap::{CapBound, TokenRequest};
 use crate::version::workspace::UsageCap;
 
 /// Time after its last request in which a workspace is kept in stock.
-const ACTIVE_TIME: Duration = Duration::from_secs(5);
+const ACTIVE_PERIOD: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Clone, Copy)]
 struct WorkspaceStock {
@@ -49,7 +49,7 @@
         let mut former = std::mem::take(&mut self.workspaces);
         for (workspace, cap) in caps {
             let known = former.remove(&workspace);
-            let most = self.bound.most_stock(cap, instances);
+            let most = self.bound.max_stock(cap, instances);
             let stock = WorkspaceStock {
                 cap,
                 tokens: known.map_or(0, |known| known.tokens.min(most)),
@@ -80,26 +80,26 @@
     }
 
     /// Returns what is lacking of each workspace that is asked for.
-    pub fn lacks(&self, instances: u32, now: Duration) -> Vec<CapAsk> {
+    pub fn shortages(&self, instances: u32, now: Duration) -> Vec<TokenRequest> {
         let active = self.workspaces.iter().filter(|(_, stock)| {
             let used_at = stock.used_at;
-            used_at.is_some_and(|used_at| now < used_at + ACTIVE_TIME)
+            used_at.is_some_and(|used_at| now < used_at + ACTIVE_PERIOD)
         });
-        let lacks = active.filter_map(|(workspace, stock)| {
-            let most = self.bound.most_stock(stock.cap, instances);
+        let shortages = active.filter_map(|(workspace, stock)| {
+            let most = self.bound.max_stock(stock.cap, instances);
             let ahead = most.saturating_sub(stock.tokens);
-            (ahead > 0).then(|| CapAsk {
+            (ahead > 0).then(|| TokenRequest {
                 workspace: workspace.clone(),
                 waiting: 0,
                 ahead,
             })
         });
-        lacks.collect()
+        shortages.collect()
     }
 
     /// Takes tokens that this instance may give out while it can't reach the
     /// leader.
-    pub fn take_floor(
+    pub fn take_leaderless(
         &mut self,
         workspace: &str,
         waiting: u32,
--- a/crates/core/src/process/domain.rs
+++ b/crates/core/src/process/domain.rs
@@ -12,7 +12,7 @@
 use crate::arena::{ArenaKey, ServerKey};
 
 /// Servers that must have timed out before a domain is suspected.
-pub const SILENT_SERVERS: usize = 3;
+pub const TIMED_OUT_SERVERS_TO_SUSPECT: usize = 3;
 /// Time for which a suspected domain is avoided.
 pub const SUSPECT_PERIOD: Duration = Duration::from_secs(1);
 
@@ -37,8 +37,8 @@
     pub name: Box<str>,
     /// Its servers.
     pub servers: Vec<ServerKey>,
-    last_reply: Duration,
-    silent: ArrayVec<ServerKey, SILENT_SERVERS>,
+    last_reply_at: Duration,
+    timed_out_servers: ArrayVec<ServerKey, TIMED_OUT_SERVERS_TO_SUSPECT>,
 }
 
 impl DomainRecord {
@@ -47,29 +47,29 @@
         DomainRecord {
             name: name.into(),
             servers: Vec::new(),
-            last_reply: Duration::ZERO,
-            silent: ArrayVec::new(),
+            last_reply_at: Duration::ZERO,
+            timed_out_servers: ArrayVec::new(),
         }
     }
 
     /// Takes note that something was heard from a server of the domain.
-    pub fn heard(&mut self, now: Duration) {
-        self.last_reply = now;
-        self.silent.clear();
+    pub fn record_reply(&mut self, now: Duration) {
+        self.last_reply_at = now;
+        self.timed_out_servers.clear();
     }
 
     /// Takes a timeout of an attempt sent at `sent_at`. Returns true if the
     /// domain is to be suspected.
-    pub fn timed_out(&mut self, server: ServerKey, sent_at: Duration) -> bool {
-        if sent_at < self.last_reply || self.silent.contains(&server) {
+    pub fn record_timeout(&mut self, server: ServerKey, sent_at: Duration) -> bool {
+        if sent_at < self.last_reply_at || self.timed_out_servers.contains(&server) {
             return false;
         }
         // Cannot be full: it is emptied as soon as it is.
-        let _ = self.silent.try_push(server);
-        let is_silent = self.silent.is_full();
-        if is_silent {
-            self.silent.clear();
+        let _ = self.timed_out_servers.try_push(server);
+        let is_suspected = self.timed_out_servers.is_full();
+        if is_suspected {
+            self.timed_out_servers.clear();
         }
-        is_silent
+        is_suspected
     }
 }
--- a/crates/core/src/process/entry.rs
+++ b/crates/core/src/process/entry.rs
@@ -12,11 +12,11 @@
 use crate::arena::{SlotArena, SlotKey};
 use crate::process::action::EntryAction;
 use crate::process::counters::EntryCounters;
-use crate::process::gate::GateKeeper;
+use crate::process::gate::AdmissionGates;
 use crate::process::input::{CallTag, EntryInput};
-use crate::process::news::ServerNews;
+use crate::process::news::UpstreamAnnouncement;
 use crate::process::policy::RoutePolicy;
-use crate::process::roster::{NewsEffect, UpstreamRoster};
+use crate::process::roster::{RosterChange, UpstreamRoster};
 use crate::process::timer::{TimerHeap, TimerPurpose};
 use crate::request::decision::{DecisionEvent, RouteDecision};
 use crate::request::identity::RequestId;
@@ -28,9 +28,9 @@
 /// All are on in a running instance. A test switches one off to show that the
 /// broken promise would be noticed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct GuardSet {
+pub struct EntrySafetyChecks {
     /// A reply must name its attempt and request.
-    pub identity: bool,
+    pub reply_identity: bool,
     /// A reply must name its shard.
     pub shard: bool,
     /// A reply must come from the query's snapshot.
@@ -39,20 +39,20 @@
     pub drain: bool,
     /// A request that may not be repeated is sent again only if it is known
     /// not to have run.
-    pub once: bool,
+    pub single_run: bool,
     /// "Not run" is said only if it is known.
-    pub refusal: bool,
+    pub not_run_claim: bool,
 }
 
-impl Default for GuardSet {
+impl Default for EntrySafetyChecks {
     fn default() -> Self {
-        GuardSet {
-            identity: true,
+        EntrySafetyChecks {
+            reply_identity: true,
             shard: true,
             snapshot: true,
             drain: true,
-            once: true,
-            refusal: true,
+            single_run: true,
+            not_run_claim: true,
         }
     }
 }
@@ -65,7 +65,7 @@
     pub(super) instances: u32,
     pub(super) in_flight: u32,
     pub(super) decisions_per_second: u32,
-    pub(super) guards: GuardSet,
+    pub(super) safety_checks: EntrySafetyChecks,
 }
 
 impl EntryOptions {
@@ -78,7 +78,7 @@
                 instances: 1,
                 in_flight: 512,
                 decisions_per_second: 2000,
-                guards: GuardSet::default(),
+                safety_checks: EntrySafetyChecks::default(),
             },
         }
     }
@@ -122,8 +122,8 @@
     }
 
     /// Sets the guards; for tests.
-    pub fn guards(mut self, guards: GuardSet) -> Self {
-        self.options.guards = guards;
+    pub fn safety_checks(mut self, safety_checks: EntrySafetyChecks) -> Self {
+        self.options.safety_checks = safety_checks;
         self
     }
 
@@ -134,9 +134,9 @@
 }
 
 /// Time after which an instance serves with what it has learned.
-pub const LEARN_TIME: Duration = Duration::from_secs(3);
+pub const READY_TIMEOUT: Duration = Duration::from_secs(3);
 /// Most shard lists kept for reuse.
-const SPARE_LISTS: usize = 256;
+const MAX_SPARE_LISTS: usize = 256;
 
 /// Decides for all requests of one instance.
 #[derive(Debug)]
@@ -145,7 +145,7 @@
     pub(super) options: EntryOptions,
     pub(super) rng: SmallRng,
     pub(super) roster: UpstreamRoster,
-    pub(super) gates: GateKeeper,
+    pub(super) gates: AdmissionGates,
     pub(super) queries: SlotArena<QueryState>,
     pub(super) calls: HashMap<CallTag, SlotKey>,
     pub(super) attempts: SlotArena<AttemptState>,
@@ -154,8 +154,8 @@
     pub(super) table_version: u64,
     pub(super) requests: u64,
     pub(super) attempt_count: u64,
-    pub(super) leaving: bool,
-    left: bool,
+    pub(super) is_leaving: bool,
+    has_left: bool,
     trace_tokens: f64,
     trace_at: Duration,
     spare: Vec<Vec<ShardState>>,
@@ -168,7 +168,7 @@
             policy,
             rng: SmallRng::seed_from_u64(options.seed),
             roster: UpstreamRoster::new(options.instances),
-            gates: GateKeeper::new(options.in_flight),
+            gates: AdmissionGates::new(options.in_flight),
             queries: SlotArena::default(),
             calls: HashMap::new(),
             attempts: SlotArena::default(),
@@ -177,8 +177,8 @@
             table_version: 0,
             requests: 0,
             attempt_count: 0,
-            leaving: false,
-            left: false,
+            is_leaving: false,
+            has_left: false,
             trace_tokens: f64::from(options.decisions_per_second),
             trace_at: Duration::ZERO,
             spare: Vec::new(),
@@ -190,24 +190,24 @@
     /// what is to be done to `out`.
     pub fn step(&mut self, now: Duration, input: EntryInput, out: &mut Vec<EntryAction>) {
         match input {
-            EntryInput::Announce(news) => self.announce(news, now, out),
-            EntryInput::Expired(name) => self.roster.expire(&name, now),
-            EntryInput::Vouch(names) => self.roster.vouch(&names, now),
-            EntryInput::Instances(count) => self.roster.divide(count),
+            EntryInput::Announce(announcement) => self.handle_announcement(announcement, now, out),
+            EntryInput::Expired(name) => self.roster.end_lease(&name, now),
+            EntryInput::Vouch(names) => self.roster.renew_leases(&names, now),
+            EntryInput::InstanceCount(count) => self.roster.set_instance_count(count),
             EntryInput::Submit(request) => self.submit(request, now, out),
             EntryInput::CallerLeft(call) => self.caller_left(call, now, out),
             EntryInput::Reply(reply) => self.reply(reply, now, out),
             EntryInput::Connection(change) => {
                 self.roster.server_mut(change.server).idle = change.idle;
             }
-            EntryInput::Table(table) => self.adopt(table, now, out),
+            EntryInput::Table(table) => self.apply_table(table, now, out),
             EntryInput::Wake => {}
-            EntryInput::Leave => self.leaving = true,
+            EntryInput::Leave => self.is_leaving = true,
         }
         self.run_timers(now, out);
         self.start_waiting(now, out);
-        if self.leaving && !self.left && self.queries.is_empty() {
-            self.left = true;
+        if self.is_leaving && !self.has_left && self.queries.is_empty() {
+            self.has_left = true;
             out.push(EntryAction::Left);
         }
     }
@@ -228,7 +228,7 @@
     }
 
     /// Returns the gates of the services.
-    pub fn gates(&self) -> &GateKeeper {
+    pub fn gates(&self) -> &AdmissionGates {
         &self.gates
     }
 
@@ -245,11 +245,11 @@
     /// Tells whether the instance knows enough to serve: a table is in
     /// force, and every upstream in it has a whole snapshot or time enough to
     /// learn has passed.
-    pub fn is_learned(&self, now: Duration) -> bool {
+    pub fn is_ready(&self, now: Duration) -> bool {
         if self.table_version == 0 {
             return false;
         }
-        if now >= LEARN_TIME {
+        if now >= READY_TIMEOUT {
             return true;
         }
         let is_whole = |upstream: &str| {
@@ -263,32 +263,37 @@
         rows.all(|row| is_whole(&row.upstream))
     }
 
-    fn adopt(&mut self, table: ServiceTable, now: Duration, out: &mut Vec<EntryAction>) {
+    fn apply_table(&mut self, table: ServiceTable, now: Duration, out: &mut Vec<EntryAction>) {
         if table.version() <= self.table_version {
             return;
         }
         self.table_version = table.version();
-        self.gates.adopt(&table);
+        self.gates.apply_table(&table);
         let decision = RouteDecision::Table {
             version: table.version(),
             services: table.rows().count(),
         };
-        self.decide(None, decision, now, out);
+        self.record_decision(None, decision, now, out);
     }
 
-    fn announce(&mut self, news: ServerNews, now: Duration, out: &mut Vec<EntryAction>) {
-        let effect = self.roster.apply(news, now);
+    fn handle_announcement(
+        &mut self,
+        announcement: UpstreamAnnouncement,
+        now: Duration,
+        out: &mut Vec<EntryAction>,
+    ) {
+        let effect = self.roster.apply_announcement(announcement, now);
         let server = match effect {
-            NewsEffect::Stale | NewsEffect::Refused => {
+            RosterChange::Stale | RosterChange::Refused => {
                 self.counters.stale_announcements += 1;
                 return;
             }
-            NewsEffect::Renewed(server) => {
+            RosterChange::Renewed(server) => {
                 self.counters.announcements += 1;
                 self.serve_waiters(server, now, out);
                 return;
             }
-            NewsEffect::Changed(server) => server,
+            RosterChange::Changed(server) => server,
         };
         self.counters.announcements += 1;
         let record = self.roster.server(server);
@@ -297,7 +302,7 @@
             phase: record.phase,
             snapshots: record.held.len(),
         };
-        self.decide(None, decision, now, out);
+        self.record_decision(None, decision, now, out);
         self.serve_waiters(server, now, out);
     }
 
@@ -312,7 +317,7 @@
     }
 
     /// Records a decision.
-    pub(super) fn decide(
+    pub(super) fn record_decision(
         &mut self,
         request: Option<RequestId>,
         decision: RouteDecision,
@@ -328,7 +333,7 @@
 
     /// Records a decision of a query, if its decisions are recorded. The
     /// decision is made up only then.
-    pub(super) fn decide_query(
+    pub(super) fn record_query_decision(
         &mut self,
         query: SlotKey,
         now: Duration,
@@ -343,12 +348,12 @@
         }
         let request = state.request;
         let decision = decision(self);
-        self.decide(Some(request), decision, now, out);
+        self.record_decision(Some(request), decision, now, out);
     }
 
     /// Tells whether a query's decisions are to be recorded. Sampling is by
     /// whole queries, so that a recorded story is complete.
-    pub(super) fn take_trace(&mut self, now: Duration) -> bool {
+    pub(super) fn try_start_trace(&mut self, now: Duration) -> bool {
         let rate = f64::from(self.options.decisions_per_second);
         let elapsed = now.saturating_sub(self.trace_at).as_secs_f64();
         self.trace_at = now;
@@ -357,19 +362,19 @@
     }
 
     /// Charges a traced query's decisions to the sampling rate.
-    pub(super) fn charge_trace(&mut self, decisions: usize) {
+    pub(super) fn charge_trace_budget(&mut self, decisions: usize) {
         self.trace_tokens -= decisions as f64;
     }
 
     /// Returns an empty shard list, a used one if there is one.
-    pub(super) fn spare_shards(&mut self) -> Vec<ShardState> {
+    pub(super) fn take_spare_shards(&mut self) -> Vec<ShardState> {
         self.spare.pop().unwrap_or_default()
     }
 
     /// Keeps a shard list for reuse.
-    pub(super) fn keep_shards(&mut self, mut shards: Vec<ShardState>) {
+    pub(super) fn recycle_shards(&mut self, mut shards: Vec<ShardState>) {
         shards.clear();
-        if self.spare.len() < SPARE_LISTS {
+        if self.spare.len() < MAX_SPARE_LISTS {
             self.spare.push(shards);
         }
     }
--- a/crates/core/src/process/finish.rs
+++ b/crates/core/src/process/finish.rs
@@ -53,7 +53,7 @@
         shard.status = ShardStatus::Missing(reason);
         state.missing += 1;
         let shard = shard.number;
-        self.decide_query(query, now, out, |_| RouteDecision::GiveUp { shard, reason });
+        self.record_query_decision(query, now, out, |_| RouteDecision::GiveUp { shard, reason });
     }
 
     /// Ends a query as soon as its outcome is certain.
@@ -130,7 +130,7 @@
                 asked: coverage.asked,
                 took: now - state.arrived,
             };
-            self.decide(Some(state.request), decision, now, out);
+            self.record_decision(Some(state.request), decision, now, out);
         }
         let row = &state.row;
         let hits = state
@@ -152,7 +152,7 @@
             call: state.call,
             outcome: QueryOutcome::Answer(answer),
         });
-        self.keep_shards(state.shards);
+        self.recycle_shards(state.shards);
     }
 
     /// Ends a request, queued or running, without an answer.
@@ -175,7 +175,7 @@
         let Some(state) = self.take_query(query, now) else {
             return;
         };
-        let run = if state.maybe_ran == 0 || !self.options.guards.refusal {
+        let run = if state.maybe_ran == 0 || !self.options.safety_checks.not_run_claim {
             self.counters.not_run += 1;
             RunState::NotRun
         } else {
@@ -184,7 +184,7 @@
         };
         if state.traced {
             let decision = RouteDecision::Refuse { reason };
-            self.decide(Some(state.request), decision, now, out);
+            self.record_decision(Some(state.request), decision, now, out);
         }
         out.push(EntryAction::Finish {
             call: state.call,
@@ -197,7 +197,7 @@
                 coverage: state.coverage(),
             }),
         });
-        self.keep_shards(state.shards);
+        self.recycle_shards(state.shards);
     }
 
     /// Takes a query out of the machine and frees its place at the gate.
@@ -207,7 +207,7 @@
         if state.is_running {
             self.gates.end(state.gate);
             let took = now - state.started;
-            self.gates.gate_mut(state.gate).learn(took);
+            self.gates.gate_mut(state.gate).record_service_time(took);
         } else {
             let gate = self.gates.gate_mut(state.gate);
             gate.queue.retain(|waiting| *waiting != query);
--- a/crates/core/src/process/gate.rs
+++ b/crates/core/src/process/gate.rs
@@ -45,13 +45,13 @@
 
 impl ServiceGate {
     /// Returns how long a request would wait behind `ahead` others.
-    pub fn expected_wait(&self, ahead: usize, parallel: u32) -> Duration {
-        let rounds = ahead as f64 / f64::from(parallel.max(1));
+    pub fn expected_wait(&self, ahead: usize, parallelism: u32) -> Duration {
+        let rounds = ahead as f64 / f64::from(parallelism.max(1));
         self.service_time.mul_f64(rounds)
     }
 
     /// Takes the time a request was at work.
-    pub fn learn(&mut self, took: Duration) {
+    pub fn record_service_time(&mut self, took: Duration) {
         if self.service_time.is_zero() {
             self.service_time = took;
             return;
@@ -60,7 +60,7 @@
         self.service_time = old + took.mul_f64(SERVICE_GAIN);
     }
 
-    fn has_room(&self) -> bool {
+    fn has_capacity(&self) -> bool {
         self.row
             .as_ref()
             .is_none_or(|row| self.running < row.in_flight)
@@ -73,7 +73,7 @@
 
 /// The gates of all services, and the instance's own limit over them.
 #[derive(Debug)]
-pub struct GateKeeper {
+pub struct AdmissionGates {
     gates: KeyArena<GateKey, ServiceGate>,
     names: HashMap<Box<str>, GateKey>,
     running: u32,
@@ -81,10 +81,10 @@
     virtual_now: f64,
 }
 
-impl GateKeeper {
+impl AdmissionGates {
     /// Returns a keeper that lets in `limit` requests at a time in all.
-    pub fn new(limit: u32) -> GateKeeper {
-        GateKeeper {
+    pub fn new(limit: u32) -> AdmissionGates {
+        AdmissionGates {
             gates: KeyArena::default(),
             names: HashMap::new(),
             running: 0,
@@ -94,7 +94,7 @@
     }
 
     /// Puts a table in force.
-    pub fn adopt(&mut self, table: &ServiceTable) {
+    pub fn apply_table(&mut self, table: &ServiceTable) {
         for gate in self.names.values() {
             self.gates[*gate].row = None;
         }
@@ -127,12 +127,12 @@
     /// Tells whether a request of this service may start now.
     pub fn may_start(&self, gate: GateKey) -> bool {
         let gate = &self.gates[gate];
-        self.running < self.limit && gate.has_room() && gate.queue.is_empty()
+        self.running < self.limit && gate.has_capacity() && gate.queue.is_empty()
     }
 
     /// Returns how many requests of this service are at work together when the
     /// instance is full: its weight's part of the limit, within its own.
-    pub fn parallel(&self, gate: GateKey) -> u32 {
+    pub fn parallelism(&self, gate: GateKey) -> u32 {
         let busy = |gate: &ServiceGate| gate.running > 0 || !gate.queue.is_empty();
         let weights: f64 = self
             .gates
@@ -164,11 +164,11 @@
     ///
     /// Among the services that may start one, the service goes first that has
     /// had the least work for its weight.
-    pub fn take_next(&mut self) -> Option<SlotKey> {
+    pub fn pop_next(&mut self) -> Option<SlotKey> {
         if self.running >= self.limit {
             return None;
         }
-        let ready = |gate: &ServiceGate| !gate.queue.is_empty() && gate.has_room();
+        let ready = |gate: &ServiceGate| !gate.queue.is_empty() && gate.has_capacity();
         let next = self
             .gates
             .iter()
--- a/crates/core/src/process/gossip/machine.rs
+++ b/crates/core/src/process/gossip/machine.rs
@@ -10,7 +10,7 @@
 
 use crate::process::gossip::member::{MemberNews, MemberRecord, MemberStanding};
 use crate::process::gossip::message::{GossipMessage, GossipPurpose, ServerUpdate};
-use crate::process::news::ServerNews;
+use crate::process::news::UpstreamAnnouncement;
 
 /// Time between two probes.
 pub const PROBE_INTERVAL: Duration = Duration::from_millis(500);
@@ -38,7 +38,7 @@
     /// A message of another member.
     Message(GossipMessage),
     /// A server announced itself here.
-    Announced(ServerNews),
+    Announced(UpstreamAnnouncement),
     /// The instance leaves.
     Leave,
 }
@@ -54,7 +54,7 @@
         message: GossipMessage,
     },
     /// Something was learned of a server: hand it to the entry.
-    Server(ServerNews),
+    Server(UpstreamAnnouncement),
     /// A server's lease ran out at a home: it gets no new work.
     Expired(String),
     /// The homes vouch for these servers: renew their leases.
--- a/crates/core/src/process/gossip/message.rs
+++ b/crates/core/src/process/gossip/message.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::process::gossip::member::MemberNews;
-use crate::process::news::ServerNews;
+use crate::process::news::UpstreamAnnouncement;
 
 /// Order of a server's news: incarnation, sequence, and whether it is the
 /// word of a home that the lease ran out.
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServerUpdate {
     /// What the server announced.
-    pub news: ServerNews,
+    pub news: UpstreamAnnouncement,
     /// Whether its lease ran out since, at a home.
     pub expired: bool,
 }
@@ -50,7 +50,7 @@
     /// Only carries updates.
     Updates,
     /// A renewal of a server, for its homes.
-    Renewal(Box<ServerNews>),
+    Renewal(Box<UpstreamAnnouncement>),
     /// What the sender knows, as a digest of each bucket.
     Digest {
         /// Digest of the members.
--- a/crates/core/src/process/gossip/spread.rs
+++ b/crates/core/src/process/gossip/spread.rs
@@ -9,8 +9,8 @@
 use crate::process::gossip::homes::homes_of;
 use crate::process::gossip::machine::{GossipAction, GossipMachine, QueuedUpdate, ServerHold};
 use crate::process::gossip::message::{GossipPurpose, ServerOrder, ServerUpdate};
-use crate::process::news::ServerNews;
-use crate::process::roster::ROSTER_SERVERS;
+use crate::process::news::UpstreamAnnouncement;
+use crate::process::roster::MAX_ROSTER_SERVERS;
 
 /// Buckets of the digest of servers.
 const BUCKETS: u64 = 64;
@@ -22,7 +22,7 @@
     /// it changes something, everybody does.
     pub(super) fn announced(
         &mut self,
-        news: ServerNews,
+        news: UpstreamAnnouncement,
         now: Duration,
         out: &mut Vec<GossipAction>,
     ) {
@@ -42,7 +42,12 @@
     }
 
     /// Takes a renewal: of a server here, or handed on by another member.
-    pub(super) fn renewed(&mut self, news: ServerNews, now: Duration, out: &mut Vec<GossipAction>) {
+    pub(super) fn renewed(
+        &mut self,
+        news: UpstreamAnnouncement,
+        now: Duration,
+        out: &mut Vec<GossipAction>,
+    ) {
         let update = ServerUpdate {
             news,
             expired: false,
@@ -69,7 +74,7 @@
         out: &mut Vec<GossipAction>,
     ) {
         let name = update.news.name.to_string();
-        let is_full = self.servers.len() >= ROSTER_SERVERS;
+        let is_full = self.servers.len() >= MAX_ROSTER_SERVERS;
         match self.servers.get_mut(&name) {
             Some(hold) if update.order() <= hold.update.order() => {
                 // Others took as a change what was none here; from now on the
--- a/crates/core/src/process/input.rs
+++ b/crates/core/src/process/input.rs
@@ -5,7 +5,7 @@
 
 use crate::arena::{ServerKey, SlotKey};
 use crate::process::action::SendOrder;
-use crate::process::news::{HeldSnapshot, ServerNews};
+use crate::process::news::{HeldSnapshot, UpstreamAnnouncement};
 use crate::request::identity::{AttemptId, RequestId};
 use crate::request::merge::ScoredHit;
 use crate::version::row::RequestKind;
@@ -68,7 +68,7 @@
     },
     /// The server says that it did not run it, because it does not hold the
     /// snapshot; it tells what it holds.
-    Gone {
+    SnapshotNotHeld {
         /// Snapshots the server holds now.
         held: Vec<HeldSnapshot>,
     },
@@ -91,7 +91,7 @@
 
 impl AttemptReply {
     /// Returns the answer of a server that found nothing to an order.
-    pub fn found_nothing(order: &SendOrder) -> AttemptReply {
+    pub fn with_no_hits(order: &SendOrder) -> AttemptReply {
         AttemptReply {
             attempt: order.attempt,
             status: ReplyStatus::Body(ReplyBody {
@@ -119,13 +119,13 @@
 #[derive(Debug, Clone)]
 pub enum EntryInput {
     /// A server announced itself.
-    Announce(ServerNews),
+    Announce(UpstreamAnnouncement),
     /// A server's lease ran out, by the word of a home.
     Expired(String),
     /// The homes of these servers vouch for them.
     Vouch(Vec<String>),
     /// The servers' limits are to be divided by this many instances.
-    Instances(u32),
+    InstanceCount(u32),
     /// A caller made a request.
     Submit(QueryRequest),
     /// A caller left before its answer.
--- a/crates/core/src/process/news.rs
+++ b/crates/core/src/process/news.rs
@@ -55,7 +55,7 @@
 /// Announcements are ordered by `(incarnation, sequence)`: an older one never
 /// undoes a newer one, in whatever order they arrive.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ServerNews {
+pub struct UpstreamAnnouncement {
     /// Name of the server, unique over all upstreams.
     pub name: Box<str>,
     /// Name of the upstream it serves.
--- a/crates/core/src/process/policy.rs
+++ b/crates/core/src/process/policy.rs
@@ -22,40 +22,40 @@
     fn choose(&mut self, candidates: &[RouteCandidate], rng: &mut SmallRng) -> usize;
 
     /// Whether any defence is on; each can be switched off by itself as well.
-    fn defends(&self) -> bool {
+    fn uses_defenses(&self) -> bool {
         true
     }
 
     /// Whether slow attempts are hedged.
     fn hedges(&self) -> bool {
-        self.defends()
+        self.uses_defenses()
     }
 
     /// Whether failing and slow servers are ejected.
     fn ejects(&self) -> bool {
-        self.defends()
+        self.uses_defenses()
     }
 
     /// Whether a partial answer may go out before the deadline.
     fn answers_early(&self) -> bool {
-        self.defends()
+        self.uses_defenses()
     }
 }
 
 /// The lowest expected cost, with a little chance among near equals, so that
 /// instances that know the same do not all choose the same.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct TablePolicy {
+pub struct LowestCostPolicy {
     /// Switches hedging off, to measure what it brings.
-    pub no_hedge: bool,
+    pub disable_hedging: bool,
     /// Switches ejection off, to measure what it brings.
-    pub no_eject: bool,
+    pub disable_ejection: bool,
 }
 
 /// Largest part by which chance changes a cost.
 const COST_JITTER: f32 = 0.2;
 
-impl RoutePolicy for TablePolicy {
+impl RoutePolicy for LowestCostPolicy {
     fn choose(&mut self, candidates: &[RouteCandidate], rng: &mut SmallRng) -> usize {
         let mut best = (0, f32::INFINITY);
         for (index, candidate) in candidates.iter().enumerate() {
@@ -68,11 +68,11 @@
     }
 
     fn hedges(&self) -> bool {
-        !self.no_hedge
+        !self.disable_hedging
     }
 
     fn ejects(&self) -> bool {
-        !self.no_eject
+        !self.disable_ejection
     }
 }
 
@@ -85,7 +85,7 @@
         rng.random_range(0..candidates.len())
     }
 
-    fn defends(&self) -> bool {
+    fn uses_defenses(&self) -> bool {
         false
     }
 }
@@ -103,7 +103,7 @@
             .unwrap_or(0)
     }
 
-    fn defends(&self) -> bool {
+    fn uses_defenses(&self) -> bool {
         false
     }
 }
@@ -123,7 +123,7 @@
         }
     }
 
-    fn defends(&self) -> bool {
+    fn uses_defenses(&self) -> bool {
         false
     }
 }
--- a/crates/core/src/process/replies.rs
+++ b/crates/core/src/process/replies.rs
@@ -39,7 +39,7 @@
         record.outstanding -= 1;
         let domain = record.domain;
         if !matches!(reply.status, ReplyStatus::NeverSent) {
-            self.roster.domain_mut(domain).heard(now);
+            self.roster.domain_mut(domain).record_reply(now);
         }
         self.detach(&attempt, reply.attempt);
         let latency = (now - attempt.sent_at).saturating_sub(reply.connect.unwrap_or_default());
@@ -48,12 +48,12 @@
             ReplyStatus::Shed { retry_after } => {
                 self.counters.sheds += 1;
                 let health = &mut self.roster.server_mut(attempt.server).health;
-                health.shed(retry_after, now);
+                health.record_shed(retry_after, now);
                 self.known_not_run(&attempt);
                 self.attempt_failed(&attempt, MissingReason::Failed, now, out);
             }
-            ReplyStatus::Gone { held } => {
-                self.roster.correct_held(attempt.server, held);
+            ReplyStatus::SnapshotNotHeld { held } => {
+                self.roster.replace_held_snapshots(attempt.server, held);
                 self.known_not_run(&attempt);
                 self.attempt_failed(&attempt, MissingReason::SnapshotRetired, now, out);
             }
@@ -104,19 +104,19 @@
 
     /// Returns in what a reply differs from what was asked for.
     fn mismatch(&self, attempt: &AttemptState, body: &ReplyBody) -> Option<DropReason> {
-        let guards = self.options.guards;
+        let safety_checks = self.options.safety_checks;
         let Some(state) = self.queries.get(attempt.query) else {
             return (body.attempt != attempt.id).then_some(DropReason::Foreign);
         };
         let same = body.attempt == attempt.id && body.request == state.request;
-        if guards.identity && !same {
+        if safety_checks.reply_identity && !same {
             return Some(DropReason::Foreign);
         }
         let shard = state.shards.get(attempt.index as usize);
-        if guards.shard && shard.is_none_or(|shard| shard.number != body.shard) {
+        if safety_checks.shard && shard.is_none_or(|shard| shard.number != body.shard) {
             return Some(DropReason::WrongShard);
         }
-        if guards.snapshot && state.snapshot != body.snapshot {
+        if safety_checks.snapshot && state.snapshot != body.snapshot {
             return Some(DropReason::WrongSnapshot);
         }
         None
@@ -136,7 +136,7 @@
             DropReason::WrongSnapshot => self.counters.drops_snapshot += 1,
         }
         let server = self.roster.server(attempt.server).name.clone();
-        self.decide_query(attempt.query, now, out, |_| RouteDecision::Drop {
+        self.record_query_decision(attempt.query, now, out, |_| RouteDecision::Drop {
             server,
             reason,
         });
@@ -161,7 +161,7 @@
         let Some(state) = self.queries.get(attempt.query) else {
             return;
         };
-        if !is_repeatable(state.row.kind) && self.options.guards.once {
+        if !is_repeatable(state.row.kind) && self.options.safety_checks.single_run {
             let reason = RefusalReason::OutcomeUnknown;
             return self.end_refused(attempt.query, reason, None, now, out);
         }
@@ -217,8 +217,11 @@
     ) {
         let upstream = self.roster.server(server).upstream;
         self.roster.upstream_mut(upstream).latency.add(latency);
-        self.roster.server_mut(server).health.succeed(latency, now);
-        self.judge(server, now, out);
+        self.roster
+            .server_mut(server)
+            .health
+            .record_success(latency, now);
+        self.eject_if_unhealthy(server, now, out);
     }
 
     pub(super) fn server_failed(
@@ -228,19 +231,24 @@
         out: &mut Vec<EntryAction>,
     ) {
         self.counters.failures += 1;
-        self.roster.server_mut(server).health.fail(now);
-        self.judge(server, now, out);
+        self.roster.server_mut(server).health.record_failure(now);
+        self.eject_if_unhealthy(server, now, out);
     }
 
     /// Ejects a server if what was seen of it calls for that.
-    pub(super) fn judge(&mut self, server: ServerKey, now: Duration, out: &mut Vec<EntryAction>) {
+    pub(super) fn eject_if_unhealthy(
+        &mut self,
+        server: ServerKey,
+        now: Duration,
+        out: &mut Vec<EntryAction>,
+    ) {
         if !self.policy.ejects() {
             return;
         }
         let upstream = self.roster.server(server).upstream;
         let typical = self.roster.upstream_record(upstream).latency.median();
         let record = self.roster.server_mut(server);
-        let Some((cause, period)) = record.health.judge(typical, now) else {
+        let Some((cause, period)) = record.health.eject_if_unhealthy(typical, now) else {
             return;
         };
         self.counters.ejections += 1;
@@ -249,7 +257,7 @@
             cause,
             period,
         };
-        self.decide(None, decision, now, out);
+        self.record_decision(None, decision, now, out);
         if cause == EjectCause::Failures {
             self.rescue(&[server], now, out);
         }
@@ -300,7 +308,7 @@
         let record = self.roster.server_mut(attempt.server);
         record.outstanding -= 1;
         if cause != CancelCause::Unwanted {
-            record.health.censor(elapsed, now);
+            record.health.record_censored_latency(elapsed, now);
         }
         let name = record.name.clone();
         let upstream = record.upstream;
@@ -313,11 +321,11 @@
             attempt: key,
             server: attempt.server,
         });
-        self.decide_query(attempt.query, now, out, |_| RouteDecision::Cancel {
+        self.record_query_decision(attempt.query, now, out, |_| RouteDecision::Cancel {
             attempt: attempt.id,
             server: name,
         });
-        self.judge(attempt.server, now, out);
+        self.eject_if_unhealthy(attempt.server, now, out);
         self.serve_waiters(attempt.server, now, out);
     }
 
--- a/crates/core/src/process/rescue.rs
+++ b/crates/core/src/process/rescue.rs
@@ -28,7 +28,11 @@
         out: &mut Vec<EntryAction>,
     ) {
         let domain = self.roster.server(server).domain;
-        if !self.roster.domain_mut(domain).timed_out(server, sent_at) {
+        if !self
+            .roster
+            .domain_mut(domain)
+            .record_timeout(server, sent_at)
+        {
             return;
         }
         self.counters.suspicions += 1;
@@ -37,13 +41,13 @@
         let servers = record.servers.clone();
         for server in &servers {
             let health = &mut self.roster.server_mut(*server).health;
-            health.suspect(SUSPECT_PERIOD, now);
+            health.eject_for_domain(SUSPECT_PERIOD, now);
         }
         let decision = RouteDecision::Suspect {
             domain: name,
             period: SUSPECT_PERIOD,
         };
-        self.decide(None, decision, now, out);
+        self.record_decision(None, decision, now, out);
         self.rescue(&servers, now, out);
     }
 
--- a/crates/core/src/process/roster.rs
+++ b/crates/core/src/process/roster.rs
@@ -12,19 +12,19 @@
 use crate::process::domain::{DomainKey, DomainRecord};
 use crate::process::health::ServerHealth;
 use crate::process::latency::LatencyWindow;
-use crate::process::news::{HeldSnapshot, ServerNews, ServerPhase};
+use crate::process::news::{HeldSnapshot, ServerPhase, UpstreamAnnouncement};
 use crate::version::snapshot::SnapshotId;
 
 /// Most servers an instance remembers; announcements of more are refused.
-pub const ROSTER_SERVERS: usize = 20_000;
+pub const MAX_ROSTER_SERVERS: usize = 20_000;
 /// Most shards a snapshot may claim to have.
-pub const SNAPSHOT_SHARDS: u32 = 4_096;
+pub const MAX_SNAPSHOT_SHARDS: u32 = 4_096;
 /// Most snapshots a server may hold.
-pub const SERVER_SNAPSHOTS: usize = 16;
+pub const MAX_SERVER_SNAPSHOTS: usize = 16;
 
 /// A shard of a query that waits for a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ShardTicket {
+pub struct QueuedShard {
     /// The query.
     pub query: SlotKey,
     /// Index of the shard in the query.
@@ -45,7 +45,7 @@
     /// Its phase.
     pub phase: ServerPhase,
     /// When its lease runs out.
-    pub lease_until: Duration,
+    pub lease_expires_at: Duration,
     /// Time by which a renewal moves that.
     pub lease: Duration,
     /// Snapshots it holds.
@@ -63,18 +63,18 @@
     /// Idle connections this instance has to it.
     pub idle: u32,
     /// Shards that wait for it.
-    pub waiters: VecDeque<ShardTicket>,
-    order: (u64, u64),
+    pub queued_shards: VecDeque<QueuedShard>,
+    announcement_order: (u64, u64),
 }
 
 impl ServerRecord {
     /// Tells whether the server may get new work, by its phase and lease.
     pub fn is_live(&self, now: Duration) -> bool {
-        self.phase.takes_work() && now < self.lease_until
+        self.phase.takes_work() && now < self.lease_expires_at
     }
 
     /// Tells whether this instance has a connection and a slot left there.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.outstanding < self.share.outstanding
     }
 }
@@ -94,7 +94,7 @@
 
 /// What an announcement changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NewsEffect {
+pub enum RosterChange {
     /// The server's phase or snapshots changed, or it is new.
     Changed(ServerKey),
     /// Only its lease and load were renewed.
@@ -127,38 +127,42 @@
     }
 
     /// Takes an announcement.
-    pub fn apply(&mut self, news: ServerNews, now: Duration) -> NewsEffect {
-        if !is_acceptable(&news) {
-            return NewsEffect::Refused;
+    pub fn apply_announcement(
+        &mut self,
+        announcement: UpstreamAnnouncement,
+        now: Duration,
+    ) -> RosterChange {
+        if !is_valid_announcement(&announcement) {
+            return RosterChange::Refused;
         }
-        match self.server_names.get(&*news.name) {
-            Some(server) => self.renew(*server, news, now),
-            None if self.servers.len() >= ROSTER_SERVERS => NewsEffect::Refused,
-            None => self.add(news, now),
+        match self.server_names.get(&*announcement.name) {
+            Some(server) => self.update_server(*server, announcement, now),
+            None if self.servers.len() >= MAX_ROSTER_SERVERS => RosterChange::Refused,
+            None => self.add_server(announcement, now),
         }
     }
 
     /// Ends the lease of a server.
-    pub fn expire(&mut self, name: &str, now: Duration) {
+    pub fn end_lease(&mut self, name: &str, now: Duration) {
         if let Some(server) = self.server_names.get(name) {
             let record = &mut self.servers[*server];
-            record.lease_until = record.lease_until.min(now);
+            record.lease_expires_at = record.lease_expires_at.min(now);
         }
     }
 
     /// Renews the leases of servers that their homes vouch for.
-    pub fn vouch(&mut self, names: &[String], now: Duration) {
+    pub fn renew_leases(&mut self, names: &[String], now: Duration) {
         for name in names {
             let Some(server) = self.server_names.get(name.as_str()) else {
                 continue;
             };
             let record = &mut self.servers[*server];
-            record.lease_until = record.lease_until.max(now + record.lease);
+            record.lease_expires_at = record.lease_expires_at.max(now + record.lease);
         }
     }
 
     /// Divides the servers' limits by another number of instances.
-    pub fn divide(&mut self, instances: u32) {
+    pub fn set_instance_count(&mut self, instances: u32) {
         self.instances = instances;
         for index in 0..self.servers.len() {
             let record = &mut self.servers[ServerKey::from_index(index)];
@@ -167,14 +171,14 @@
     }
 
     /// Takes a server's word for the snapshots it holds now.
-    pub fn correct_held(&mut self, server: ServerKey, held: Vec<HeldSnapshot>) {
-        if held.len() > SERVER_SNAPSHOTS || held.iter().any(is_absurd) {
+    pub fn replace_held_snapshots(&mut self, server: ServerKey, held: Vec<HeldSnapshot>) {
+        if held.len() > MAX_SERVER_SNAPSHOTS || held.iter().any(is_invalid_snapshot) {
             return;
         }
         let upstream = self.servers[server].upstream;
         if self.servers[server].held != held {
             self.servers[server].held = held;
-            self.rebuild(upstream);
+            self.rebuild_placements(upstream);
         }
     }
 
@@ -219,7 +223,12 @@
     }
 
     /// Returns the servers that hold a shard of a snapshot.
-    pub fn group(&self, upstream: UpstreamKey, snapshot: SnapshotId, shard: u32) -> &[ServerKey] {
+    pub fn shard_servers(
+        &self,
+        upstream: UpstreamKey,
+        snapshot: SnapshotId,
+        shard: u32,
+    ) -> &[ServerKey] {
         let covers = &self.upstreams[upstream].covers;
         let cover = covers.iter().find(|cover| cover.snapshot == snapshot);
         cover
@@ -235,7 +244,7 @@
     pub fn choose_snapshot(&self, upstream: UpstreamKey, now: Duration) -> Option<SnapshotChoice> {
         let mut best: Option<SnapshotChoice> = None;
         for cover in &self.upstreams[upstream].covers {
-            let live = self.live_shards(cover, now);
+            let live = self.count_live_shards(cover, now);
             let shards = cover.groups.len() as u32;
             let choice = SnapshotChoice {
                 snapshot: cover.snapshot,
@@ -252,76 +261,83 @@
         best.filter(|choice| choice.live > 0)
     }
 
-    fn live_shards(&self, cover: &SnapshotCover, now: Duration) -> u32 {
+    fn count_live_shards(&self, cover: &SnapshotCover, now: Duration) -> u32 {
         let is_live = |server: &ServerKey| self.servers[*server].is_live(now);
         let live = cover
             .groups
             .iter()
-            .filter(|group| group.iter().any(is_live));
+            .filter(|shard_servers| shard_servers.iter().any(is_live));
         live.count() as u32
     }
 
-    fn add(&mut self, news: ServerNews, now: Duration) -> NewsEffect {
-        let upstream = self.upstream_or_new(&news.upstream);
-        let domain = self.domain_or_new(&news.domain);
-        let name: Arc<str> = (&*news.name).into();
+    fn add_server(&mut self, announcement: UpstreamAnnouncement, now: Duration) -> RosterChange {
+        let upstream = self.find_or_add_upstream(&announcement.upstream);
+        let domain = self.find_or_add_domain(&announcement.domain);
+        let name: Arc<str> = (&*announcement.name).into();
         let server = self.servers.push(ServerRecord {
             name: name.clone(),
             upstream,
             domain,
-            address: news.address,
-            phase: news.phase,
-            lease_until: now + news.lease,
-            lease: news.lease,
-            held: news.held,
-            slots: news.slots,
-            connections: news.connections,
-            share: divide_server(news.slots, news.connections, self.instances),
+            address: announcement.address,
+            phase: announcement.phase,
+            lease_expires_at: now + announcement.lease,
+            lease: announcement.lease,
+            held: announcement.held,
+            slots: announcement.slots,
+            connections: announcement.connections,
+            share: divide_server(announcement.slots, announcement.connections, self.instances),
             health: ServerHealth::new(now),
             outstanding: 0,
             idle: 0,
-            waiters: VecDeque::new(),
-            order: (news.incarnation, news.sequence),
+            queued_shards: VecDeque::new(),
+            announcement_order: (announcement.incarnation, announcement.sequence),
         });
-        self.servers[server].health.report(news.load, now);
+        self.servers[server]
+            .health
+            .record_load_report(announcement.load, now);
         self.server_names.insert(name, server);
         self.upstreams[upstream].servers.push(server);
         self.domains[domain].servers.push(server);
-        self.rebuild(upstream);
-        NewsEffect::Changed(server)
+        self.rebuild_placements(upstream);
+        RosterChange::Changed(server)
     }
 
-    fn renew(&mut self, server: ServerKey, news: ServerNews, now: Duration) -> NewsEffect {
-        let order = (news.incarnation, news.sequence);
+    fn update_server(
+        &mut self,
+        server: ServerKey,
+        announcement: UpstreamAnnouncement,
+        now: Duration,
+    ) -> RosterChange {
+        let announcement_order = (announcement.incarnation, announcement.sequence);
         let record = &mut self.servers[server];
-        if order <= record.order {
-            return NewsEffect::Stale;
+        if announcement_order <= record.announcement_order {
+            return RosterChange::Stale;
         }
-        let is_restart = news.incarnation > record.order.0;
-        let is_back = now >= record.lease_until;
-        let changed = record.phase != news.phase || record.held != news.held;
-        record.order = order;
-        record.address = news.address;
-        record.phase = news.phase;
-        record.held = news.held;
-        record.slots = news.slots;
-        record.connections = news.connections;
-        record.lease = news.lease;
-        record.share = divide_server(news.slots, news.connections, self.instances);
-        record.lease_until = now + news.lease;
+        let is_restart = announcement.incarnation > record.announcement_order.0;
+        let is_back = now >= record.lease_expires_at;
+        let changed = record.phase != announcement.phase || record.held != announcement.held;
+        record.announcement_order = announcement_order;
+        record.address = announcement.address;
+        record.phase = announcement.phase;
+        record.held = announcement.held;
+        record.slots = announcement.slots;
+        record.connections = announcement.connections;
+        record.lease = announcement.lease;
+        record.share = divide_server(announcement.slots, announcement.connections, self.instances);
+        record.lease_expires_at = now + announcement.lease;
         if is_restart || is_back {
-            record.health.restart(now);
+            record.health.reset(now);
         }
-        record.health.report(news.load, now);
+        record.health.record_load_report(announcement.load, now);
         let upstream = record.upstream;
         if changed || is_restart || is_back {
-            self.rebuild(upstream);
-            return NewsEffect::Changed(server);
+            self.rebuild_placements(upstream);
+            return RosterChange::Changed(server);
         }
-        NewsEffect::Renewed(server)
+        RosterChange::Renewed(server)
     }
 
-    fn upstream_or_new(&mut self, name: &str) -> UpstreamKey {
+    fn find_or_add_upstream(&mut self, name: &str) -> UpstreamKey {
         if let Some(upstream) = self.upstream_names.get(name) {
             return *upstream;
         }
@@ -335,7 +351,7 @@
         upstream
     }
 
-    fn domain_or_new(&mut self, name: &str) -> DomainKey {
+    fn find_or_add_domain(&mut self, name: &str) -> DomainKey {
         if let Some(domain) = self.domain_names.get(name) {
             return *domain;
         }
@@ -345,7 +361,7 @@
     }
 
     /// Works out anew which servers hold which shard of which snapshot.
-    fn rebuild(&mut self, upstream: UpstreamKey) {
+    fn rebuild_placements(&mut self, upstream: UpstreamKey) {
         let mut covers: Vec<SnapshotCover> = Vec::new();
         for server in &self.upstreams[upstream].servers {
             for held in &self.servers[*server].held {
@@ -357,10 +373,11 @@
     }
 }
 
-fn is_absurd(held: &HeldSnapshot) -> bool {
-    held.shards > SNAPSHOT_SHARDS || held.shard >= held.shards
+fn is_invalid_snapshot(held: &HeldSnapshot) -> bool {
+    held.shards > MAX_SNAPSHOT_SHARDS || held.shard >= held.shards
 }
 
-fn is_acceptable(news: &ServerNews) -> bool {
-    news.held.len() <= SERVER_SNAPSHOTS && !news.held.iter().any(is_absurd)
+fn is_valid_announcement(announcement: &UpstreamAnnouncement) -> bool {
+    announcement.held.len() <= MAX_SERVER_SNAPSHOTS
+        && !announcement.held.iter().any(is_invalid_snapshot)
 }
--- a/crates/core/src/process/route.rs
+++ b/crates/core/src/process/route.rs
@@ -96,15 +96,17 @@
     ) -> RouteField {
         let mut field = RouteField::default();
         let shard = &state.shards[index];
-        let group = self.roster.group(upstream, state.snapshot, shard.number);
+        let shard_servers = self
+            .roster
+            .shard_servers(upstream, state.snapshot, shard.number);
         // A group larger than the lists is weighed from another place each
         // time, so that each of its servers gets its turn.
-        let start = if group.len() > CANDIDATES {
-            state.request.sequence as usize % group.len()
+        let start = if shard_servers.len() > CANDIDATES {
+            state.request.sequence as usize % shard_servers.len()
         } else {
             0
         };
-        for server in group[start..].iter().chain(&group[..start]) {
+        for server in shard_servers[start..].iter().chain(&shard_servers[..start]) {
             let record = self.roster.server(*server);
             let standing = self.standing(*server, record, shard, now);
             let is_good = !shard.tried.contains(server) && is_trusted(record, now);
@@ -136,11 +138,11 @@
         shard: &ShardState,
         now: Duration,
     ) -> OptionStanding {
-        if self.options.guards.drain {
+        if self.options.safety_checks.drain {
             if !record.phase.takes_work() {
                 return OptionStanding::Leaving;
             }
-            if now >= record.lease_until {
+            if now >= record.lease_expires_at {
                 return OptionStanding::Expired;
             }
         }
@@ -151,7 +153,7 @@
         if shard.attempts.iter().any(asked) {
             return OptionStanding::Asked;
         }
-        if !record.has_room() {
+        if !record.has_capacity() {
             return OptionStanding::Full;
         }
         if record.health.is_ejected(now) {
@@ -243,14 +245,14 @@
         match cause {
             SendCause::First => {
                 self.counters.sends += 1;
-                self.gates.gate_mut(gate).budget.earn(extra_load);
+                self.gates.gate_mut(gate).budget.add_send_credit(extra_load);
             }
             SendCause::Hedge => self.counters.hedges += 1,
             SendCause::Retry => self.counters.retries += 1,
             SendCause::Resend => self.counters.resends += 1,
             SendCause::Rescue => self.counters.rescues += 1,
         }
-        if cause.draws_budget() && self.gates.gate_mut(gate).budget.spend() {
+        if cause.draws_budget() && self.gates.gate_mut(gate).budget.try_spend() {
             self.counters.budget_spent += 1;
         }
         if let Some(options) = options {
@@ -260,7 +262,7 @@
                 attempt: id,
                 options,
             };
-            self.decide_query(query, now, out, |_| decision);
+            self.record_query_decision(query, now, out, |_| decision);
         }
     }
 
@@ -278,9 +280,11 @@
         }
         let upstream = state.upstream?;
         let shard = &state.shards[index];
-        let group = self.roster.group(upstream, state.snapshot, shard.number);
+        let shard_servers = self
+            .roster
+            .shard_servers(upstream, state.snapshot, shard.number);
         let mut options = ArrayVec::new();
-        for server in group.iter().take(OPTION_COUNT) {
+        for server in shard_servers.iter().take(OPTION_COUNT) {
             let record = self.roster.server(*server);
             let standing = if *server == chosen {
                 OptionStanding::Chosen
--- a/crates/core/src/process/scatter.rs
+++ b/crates/core/src/process/scatter.rs
@@ -30,7 +30,7 @@
         let gate = state.gate;
         let waited = now - state.arrived;
         self.gates.start(gate);
-        self.decide_query(query, now, out, |machine| RouteDecision::Admit {
+        self.record_query_decision(query, now, out, |machine| RouteDecision::Admit {
             service: machine.service_name(query),
             waited,
         });
@@ -43,7 +43,7 @@
             let reason = RefusalReason::NoServer;
             return self.end_refused(query, reason, None, now, out);
         };
-        self.decide_query(query, now, out, |_| RouteDecision::Snapshot {
+        self.record_query_decision(query, now, out, |_| RouteDecision::Snapshot {
             snapshot: choice.snapshot,
             live: choice.live,
             shards: choice.shards,
@@ -81,7 +81,7 @@
         }
         let count = state.shards.len();
         if state.traced {
-            self.charge_trace(count + TRACE_OVERHEAD);
+            self.charge_trace_budget(count + TRACE_OVERHEAD);
         }
         count
     }
@@ -136,7 +136,7 @@
             return false;
         }
         self.counters.restarts += 1;
-        self.decide_query(query, now, out, |_| RouteDecision::Restart { from });
+        self.record_query_decision(query, now, out, |_| RouteDecision::Restart { from });
         self.cancel_all(query, now, out);
         if let Some(state) = self.queries.get_mut(query) {
             state.restarted = true;
--- a/crates/core/src/process/sweep.rs
+++ b/crates/core/src/process/sweep.rs
@@ -91,7 +91,7 @@
         if shard.attempts.is_empty() {
             return ShardNeed::Send;
         }
-        if !is_repeatable(state.row.kind) && self.options.guards.once {
+        if !is_repeatable(state.row.kind) && self.options.safety_checks.single_run {
             return ShardNeed::Nothing;
         }
         if let Some(attempt) = self.timed_out(shard, delay, now) {
--- a/crates/core/src/process/wait.rs
+++ b/crates/core/src/process/wait.rs
@@ -6,7 +6,7 @@
 use crate::process::action::EntryAction;
 use crate::process::entry::EntryMachine;
 use crate::process::policy::RoutePolicy;
-use crate::process::roster::ShardTicket;
+use crate::process::roster::QueuedShard;
 use crate::request::decision::{RouteDecision, SendCause};
 use crate::request::query::ShardStatus;
 
@@ -34,24 +34,24 @@
         let (Some(upstream), snapshot) = (state.upstream, state.snapshot) else {
             return;
         };
-        let ticket = ShardTicket {
+        let ticket = QueuedShard {
             query,
             index: index as u32,
         };
-        for place in 0..self.roster.group(upstream, snapshot, number).len() {
-            let server = self.roster.group(upstream, snapshot, number)[place];
+        for place in 0..self.roster.shard_servers(upstream, snapshot, number).len() {
+            let server = self.roster.shard_servers(upstream, snapshot, number)[place];
             let queries = &self.queries;
             let record = self.roster.server_mut(server);
-            if record.waiters.len() >= TICKETS_SWEPT {
+            if record.queued_shards.len() >= TICKETS_SWEPT {
                 record
-                    .waiters
+                    .queued_shards
                     .retain(|ticket| queries.get(ticket.query).is_some());
             }
             if record.is_live(now) {
-                record.waiters.push_back(ticket);
+                record.queued_shards.push_back(ticket);
             }
         }
-        self.decide_query(query, now, out, |_| RouteDecision::Wait { shard: number });
+        self.record_query_decision(query, now, out, |_| RouteDecision::Wait { shard: number });
     }
 
     /// Gives a server's free room to the shards that wait for it.
@@ -63,10 +63,10 @@
     ) {
         loop {
             let record = self.roster.server_mut(server);
-            if !record.has_room() || !record.is_live(now) {
+            if !record.has_capacity() || !record.is_live(now) {
                 return;
             }
-            let Some(ticket) = record.waiters.pop_front() else {
+            let Some(ticket) = record.queued_shards.pop_front() else {
                 return;
             };
             let index = ticket.index as usize;
@@ -87,13 +87,13 @@
         }
     }
 
-    fn clear_wait(&mut self, ticket: ShardTicket) {
+    fn clear_wait(&mut self, ticket: QueuedShard) {
         if let Some(state) = self.queries.get_mut(ticket.query) {
             state.shards[ticket.index as usize].waits = false;
         }
     }
 
-    fn still_waits(&self, ticket: ShardTicket) -> bool {
+    fn still_waits(&self, ticket: QueuedShard) -> bool {
         let state = self.queries.get(ticket.query);
         let shard = state.and_then(|state| state.shards.get(ticket.index as usize));
         shard.is_some_and(|shard| {
--- a/crates/core/src/version/route_table.rs
+++ b/crates/core/src/version/route_table.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::finding::{did_you_mean, FindingList, FindingPlace};
+use crate::finding::{suggest_name, FindingList, FindingPlace};
 use crate::version::workspace::{WorkspaceBook, WorkspaceRule};
 
 /// A service with its weight in a split.
@@ -248,8 +248,8 @@
         let known = draft.services.iter().map(|service| service.name.as_str());
         if !known.clone().any(|service| service == name) {
             let message = format!("unknown service {name}");
-            let hint = did_you_mean(name, known);
-            findings.add_hint(route_place(index, "target"), message, hint);
+            let hint = suggest_name(name, known);
+            findings.add_with_hint(route_place(index, "target"), message, hint);
         }
     }
     match &route.target {
--- a/crates/core/src/version/table.rs
+++ b/crates/core/src/version/table.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::finding::{did_you_mean, FindingList, FindingPlace};
+use crate::finding::{suggest_name, FindingList, FindingPlace};
 use crate::request::merge::MergeRule;
 use crate::version::column::{default_row, CellProblem, TableColumn, TABLE_COLUMNS};
 use crate::version::row::{FirstAim, RequestKind, ServiceRow};
@@ -34,7 +34,10 @@
         let columns = match reader.headers() {
             Ok(header) => read_header(header, &mut findings),
             Err(error) => {
-                findings.add(FindingPlace::Whole, format!("not readable CSV: {error}"));
+                findings.add(
+                    FindingPlace::WholeInput,
+                    format!("not readable CSV: {error}"),
+                );
                 return Err(findings);
             }
         };
@@ -42,20 +45,21 @@
         for record in reader.records() {
             match record {
                 Ok(record) => read_row(&record, &columns, &mut rows, &mut findings),
-                Err(error) => {
-                    findings.add(FindingPlace::Whole, format!("not readable CSV: {error}"))
-                }
+                Err(error) => findings.add(
+                    FindingPlace::WholeInput,
+                    format!("not readable CSV: {error}"),
+                ),
             }
         }
         if rows.is_empty() && findings.is_empty() {
             findings.add(
-                FindingPlace::Whole,
+                FindingPlace::WholeInput,
                 "no service; a table needs a row or more",
             );
         }
         if rows.len() > TABLE_ROWS {
             findings.add(
-                FindingPlace::Whole,
+                FindingPlace::WholeInput,
                 format!("over {TABLE_ROWS} services; split the table"),
             );
         }
@@ -156,10 +160,10 @@
         };
         let column = TABLE_COLUMNS.iter().find(|column| column.name == name);
         if column.is_none() {
-            findings.add_hint(
+            findings.add_with_hint(
                 place.clone(),
                 "unknown column",
-                did_you_mean(name, column_names()),
+                suggest_name(name, column_names()),
             );
         }
         if header.iter().take(index).any(|earlier| earlier == name) {
@@ -226,8 +230,8 @@
 
 fn report_cell(place: FindingPlace, cell: &str, problem: CellProblem, findings: &mut FindingList) {
     let message = format!("\"{cell}\" is not {}", problem.allowed);
-    let hint = did_you_mean(cell, problem.words.iter().copied());
-    findings.add_hint(place, message, hint);
+    let hint = suggest_name(cell, problem.words.iter().copied());
+    findings.add_with_hint(place, message, hint);
 }
 
 /// Checks what no cell shows alone.
--- a/crates/core/tests/allocations.rs
+++ b/crates/core/tests/allocations.rs
@@ -6,7 +6,7 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-use support::{Rig, SHARDS};
+use support::{EntryHarness, SHARDS};
 use wheelmast_core::prelude::*;
 
 thread_local! {
@@ -41,7 +41,7 @@
 #[test]
 fn a_query_allocates_little() {
     // What is recorded of a sampled query is bounded by the sampling rate.
-    let mut rig = Rig::with_decisions(GuardSet::default(), 1, 0);
+    let mut harness = EntryHarness::with_decisions(EntrySafetyChecks::default(), 1, 0);
     let mut inside = 0;
     let queries = 200;
     let mut out = Vec::with_capacity(1024);
@@ -57,13 +57,13 @@
             }),
         };
         let now = Duration::from_millis(round * 10);
-        let mut spent = step(&mut rig, now, EntryInput::Submit(request), &mut out);
+        let mut spent = step(&mut harness, now, EntryInput::Submit(request), &mut out);
         let orders: Vec<SendOrder> = out.drain(..).filter_map(order_of).collect();
         assert_eq!(orders.len(), SHARDS as usize);
         for order in &orders {
-            let reply = AttemptReply::found_nothing(order);
+            let reply = AttemptReply::with_no_hits(order);
             let now = now + Duration::from_millis(1);
-            spent += step(&mut rig, now, EntryInput::Reply(reply), &mut out);
+            spent += step(&mut harness, now, EntryInput::Reply(reply), &mut out);
         }
         out.clear();
         // The first rounds grow the machine's lists.
@@ -83,8 +83,13 @@
 }
 
 /// Steps the machine and returns how often it allocated.
-fn step(rig: &mut Rig, now: Duration, input: EntryInput, out: &mut Vec<EntryAction>) -> u64 {
+fn step(
+    harness: &mut EntryHarness,
+    now: Duration,
+    input: EntryInput,
+    out: &mut Vec<EntryAction>,
+) -> u64 {
     let before = COUNT.with(Cell::get);
-    rig.machine.step(now, input, out);
+    harness.machine.step(now, input, out);
     COUNT.with(Cell::get) - before
 }
--- a/crates/core/tests/caps.rs
+++ b/crates/core/tests/caps.rs
@@ -9,23 +9,23 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use wheelmast_core::process::cap::lease::{CapLease, CapStep};
+use wheelmast_core::process::cap::lease::{AdmissionStep, CapLease};
 use wheelmast_core::process::cap::owner::CapOwner;
 use wheelmast_core::process::cap::stock::CapStock;
-use wheelmast_core::process::cap::{CapAsk, CapBound, CapGrant};
+use wheelmast_core::process::cap::{CapBound, TokenGrant, TokenRequest};
 use wheelmast_core::version::workspace::UsageCap;
 
-const NAME: &str = "north";
+const WORKSPACE: &str = "north";
 const BOUND: CapBound = CapBound {
     excess: 0.1,
     slack: 20.0,
     window: Duration::from_secs(5),
 };
-const LENGTH: Duration = Duration::from_secs(30);
-const TO_INSTANCE: Duration = Duration::from_millis(1);
-const TO_LEADER: Duration = Duration::from_millis(8);
+const SIMULATED_TIME: Duration = Duration::from_secs(30);
+const ENTRY_TO_INSTANCE: Duration = Duration::from_millis(1);
+const INSTANCE_TO_LEADER: Duration = Duration::from_millis(8);
 /// Time after which an instance gives out tokens without the leader.
-const LEADER_TIME: Duration = Duration::from_millis(120);
+const LEADER_TIMEOUT: Duration = Duration::from_millis(120);
 
 /// A span of seconds.
 type Span = (f64, f64);
@@ -38,18 +38,18 @@
     /// Requests a second of all entries, as a multiple of the cap's rate.
     load: f64,
     /// Whether all requests come to one entry.
-    at_one: bool,
+    is_at_one_entry: bool,
     /// Until when half of the instances can't reach the leader, and since when.
     cut: Option<Span>,
     /// Seconds at which another instance leads.
-    leaders: &'static [f64],
+    leader_changes: &'static [f64],
     /// When the cap becomes a third.
-    lowered: Option<f64>,
+    cap_lowered_at: Option<f64>,
     /// Least part of the owed requests that are served.
-    least_served: f64,
+    min_served: f64,
 }
 
-const CALM: CapCase = CapCase {
+const WITHIN_CAP: CapCase = CapCase {
     name: "within the cap, at all entries",
     entries: 65,
     instances: 6,
@@ -58,19 +58,19 @@
         burst: 17.0,
     },
     load: 0.8,
-    at_one: false,
+    is_at_one_entry: false,
     cut: None,
-    leaders: &[],
-    lowered: None,
-    least_served: 0.999,
+    leader_changes: &[],
+    cap_lowered_at: None,
+    min_served: 0.999,
 };
 
 const CASES: &[CapCase] = &[
-    CALM,
+    WITHIN_CAP,
     CapCase {
         name: "within the cap, at one entry",
-        at_one: true,
-        ..CALM
+        is_at_one_entry: true,
+        ..WITHIN_CAP
     },
     CapCase {
         name: "a small cap",
@@ -79,42 +79,42 @@
             burst: 2.0,
         },
         load: 0.5,
-        least_served: 0.98,
-        ..CALM
+        min_served: 0.98,
+        ..WITHIN_CAP
     },
     CapCase {
         name: "a hot workspace",
         load: 7.5,
-        least_served: 0.98,
-        ..CALM
+        min_served: 0.98,
+        ..WITHIN_CAP
     },
     CapCase {
         name: "a hot workspace at one entry",
         load: 7.5,
-        at_one: true,
-        least_served: 0.98,
-        ..CALM
+        is_at_one_entry: true,
+        min_served: 0.98,
+        ..WITHIN_CAP
     },
     CapCase {
         name: "a hot workspace beside a cut",
         load: 7.5,
         cut: Some((8.0, 16.0)),
-        least_served: 0.98,
-        ..CALM
+        min_served: 0.98,
+        ..WITHIN_CAP
     },
     CapCase {
         name: "leaders one after the other under a hot workspace",
         load: 7.5,
-        leaders: &[5.0, 7.0, 9.0, 11.0],
-        least_served: 0.85,
-        ..CALM
+        leader_changes: &[5.0, 7.0, 9.0, 11.0],
+        min_served: 0.85,
+        ..WITHIN_CAP
     },
     CapCase {
         name: "a lowered cap under a hot workspace",
         load: 7.5,
-        lowered: Some(10.0),
-        least_served: 0.95,
-        ..CALM
+        cap_lowered_at: Some(10.0),
+        min_served: 0.95,
+        ..WITHIN_CAP
     },
     CapCase {
         name: "a thousand entries",
@@ -124,8 +124,8 @@
             per_s: 200.0,
             burst: 100.0,
         },
-        least_served: 0.999,
-        ..CALM
+        min_served: 0.999,
+        ..WITHIN_CAP
     },
     CapCase {
         name: "a thousand entries and a hot workspace",
@@ -136,49 +136,49 @@
             burst: 100.0,
         },
         load: 5.0,
-        least_served: 0.98,
-        ..CALM
+        min_served: 0.98,
+        ..WITHIN_CAP
     },
 ];
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Request,
-    Lead,
-    Lower,
+    ChangeLeader,
+    LowerCap,
     /// A question of an entry, at its instance.
-    Asked(usize, u32, u32),
+    EntryRequest(usize, u32, u32),
     /// A question of an instance, at the leader, for an entry or for its stock.
-    Owed(usize, Option<usize>, u32, u32),
+    LeaderRequest(usize, Option<usize>, u32, u32),
     /// The leader's answer at an instance.
-    Granted(usize, Option<usize>, u32, u32),
+    LeaderReply(usize, Option<usize>, u32, u32),
     /// The instance's answer at an entry.
-    Told(usize, u32, u32),
+    EntryReply(usize, u32, u32),
 }
 
-struct World<'a> {
+struct CapSimulation<'a> {
     case: &'a CapCase,
     rng: SmallRng,
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
     number: u64,
     leases: Vec<CapLease>,
     stocks: Vec<CapStock>,
-    refills: HashMap<usize, bool>,
+    refill_pending: HashMap<usize, bool>,
     owner: CapOwner,
-    leader_up_at: Duration,
-    runs: Vec<Duration>,
-    came: Vec<Duration>,
+    leader_ready_at: Duration,
+    admitted: Vec<Duration>,
+    arrivals: Vec<Duration>,
     messages: u64,
 }
 
-impl World<'_> {
-    fn at(&mut self, when: Duration, event: Event) {
+impl CapSimulation<'_> {
+    fn schedule(&mut self, when: Duration, event: Event) {
         self.number += 1;
         self.events.push(Reverse((when, self.number, event)));
     }
 
     fn caps(cap: UsageCap) -> Vec<(Box<str>, UsageCap)> {
-        vec![(NAME.into(), cap)]
+        vec![(WORKSPACE.into(), cap)]
     }
 
     fn is_cut(&self, instance: usize, now: Duration) -> bool {
@@ -188,167 +188,182 @@
         is_off && span.is_some_and(|(from, to)| (from..to).contains(&seconds))
     }
 
-    fn ask(&mut self, entry: usize, now: Duration) {
-        let ask = self.leases[entry].ask(NAME);
+    fn request_tokens(&mut self, entry: usize, now: Duration) {
+        let token_request = self.leases[entry].token_request(WORKSPACE);
         self.messages += 1;
-        self.at(
-            now + TO_INSTANCE,
-            Event::Asked(entry, ask.waiting, ask.ahead),
+        self.schedule(
+            now + ENTRY_TO_INSTANCE,
+            Event::EntryRequest(entry, token_request.waiting, token_request.ahead),
         );
     }
 
     fn refill(&mut self, instance: usize, now: Duration) {
-        let lacks = self.stocks[instance].lacks(self.case.instances as u32, now);
-        let is_asked = self.refills.insert(instance, true) == Some(true);
-        match lacks.first() {
-            Some(lack) if !is_asked => {
-                self.at(now + TO_LEADER, Event::Owed(instance, None, 0, lack.ahead));
+        let shortages = self.stocks[instance].shortages(self.case.instances as u32, now);
+        let is_pending = self.refill_pending.insert(instance, true) == Some(true);
+        match shortages.first() {
+            Some(shortage) if !is_pending => {
+                self.schedule(
+                    now + INSTANCE_TO_LEADER,
+                    Event::LeaderRequest(instance, None, 0, shortage.ahead),
+                );
             }
             _ => {
-                self.refills.insert(instance, is_asked);
+                self.refill_pending.insert(instance, is_pending);
             }
         }
     }
 
-    fn take(&mut self, event: Event, now: Duration) {
+    fn handle_event(&mut self, event: Event, now: Duration) {
         let instances = self.case.instances;
         match event {
             Event::Request => {
                 let rate = self.case.cap.per_s * self.case.load;
-                let pause = -(1.0 - self.rng.random::<f64>()).ln() / rate;
-                self.at(now + Duration::from_secs_f64(pause), Event::Request);
-                let one = if self.case.at_one {
+                let gap = -(1.0 - self.rng.random::<f64>()).ln() / rate;
+                self.schedule(now + Duration::from_secs_f64(gap), Event::Request);
+                let one = if self.case.is_at_one_entry {
                     1
                 } else {
                     self.case.entries
                 };
                 let entry = self.rng.random_range(0..one);
-                self.came.push(now);
-                match self.leases[entry].request(now) {
-                    CapStep::Take => self.runs.push(now),
-                    CapStep::Ask => self.ask(entry, now),
-                    CapStep::Wait | CapStep::Refuse(_) => {}
+                self.arrivals.push(now);
+                match self.leases[entry].admit_request(now) {
+                    AdmissionStep::Admit => self.admitted.push(now),
+                    AdmissionStep::RequestTokens => self.request_tokens(entry, now),
+                    AdmissionStep::Wait | AdmissionStep::Refuse(_) => {}
                 }
             }
-            Event::Lead => {
-                self.leader_up_at = now + Duration::from_millis(700);
-                self.owner.begin_empty(self.leader_up_at);
+            Event::ChangeLeader => {
+                self.leader_ready_at = now + Duration::from_millis(700);
+                self.owner.empty_buckets(self.leader_ready_at);
             }
-            Event::Lower => {
+            Event::LowerCap => {
                 let cap = UsageCap {
                     per_s: self.case.cap.per_s / 3.0,
                     burst: self.case.cap.burst / 3.0,
                 };
-                self.owner.set_caps(World::caps(cap), &BOUND, now);
+                self.owner.set_caps(CapSimulation::caps(cap), &BOUND, now);
                 for stock in &mut self.stocks {
-                    stock.set_caps(World::caps(cap), instances as u32, now);
+                    stock.set_caps(CapSimulation::caps(cap), instances as u32, now);
                 }
             }
-            Event::Asked(entry, waiting, ahead) => {
+            Event::EntryRequest(entry, waiting, ahead) => {
                 let instance = entry % instances;
-                let taken = self.stocks[instance].take(NAME, waiting, now);
+                let taken = self.stocks[instance].take(WORKSPACE, waiting, now);
                 if taken == waiting {
-                    self.at(now + TO_INSTANCE, Event::Told(entry, taken, 0));
+                    self.schedule(now + ENTRY_TO_INSTANCE, Event::EntryReply(entry, taken, 0));
                 } else {
                     if taken > 0 {
-                        self.stocks[instance].add(NAME, taken);
+                        self.stocks[instance].add(WORKSPACE, taken);
                     }
-                    self.at(
-                        now + TO_LEADER,
-                        Event::Owed(instance, Some(entry), waiting, ahead),
+                    self.schedule(
+                        now + INSTANCE_TO_LEADER,
+                        Event::LeaderRequest(instance, Some(entry), waiting, ahead),
                     );
                 }
                 self.refill(instance, now);
             }
-            Event::Owed(instance, entry, waiting, ahead) => {
-                if self.is_cut(instance, now) || now < self.leader_up_at {
-                    let late = now + LEADER_TIME;
+            Event::LeaderRequest(instance, entry, waiting, ahead) => {
+                if self.is_cut(instance, now) || now < self.leader_ready_at {
+                    let late = now + LEADER_TIMEOUT;
                     let tokens = if entry.is_some() {
-                        self.stocks[instance].take_floor(NAME, waiting, instances as u32, late)
+                        self.stocks[instance].take_leaderless(
+                            WORKSPACE,
+                            waiting,
+                            instances as u32,
+                            late,
+                        )
                     } else {
                         0
                     };
-                    return self.at(late, Event::Granted(instance, entry, tokens, 300));
+                    return self.schedule(late, Event::LeaderReply(instance, entry, tokens, 300));
                 }
-                let ask = CapAsk {
-                    workspace: NAME.into(),
+                let token_request = TokenRequest {
+                    workspace: WORKSPACE.into(),
                     waiting,
                     ahead,
                 };
-                let grant = self.owner.grant(&ask, now);
-                let event = Event::Granted(instance, entry, grant.tokens, grant.retry_ms);
-                self.at(now + TO_LEADER, event);
+                let grant = self.owner.grant(&token_request, now);
+                let event = Event::LeaderReply(instance, entry, grant.tokens, grant.retry_ms);
+                self.schedule(now + INSTANCE_TO_LEADER, event);
             }
-            Event::Granted(instance, None, tokens, _) => {
-                self.refills.insert(instance, false);
-                self.stocks[instance].add(NAME, tokens);
+            Event::LeaderReply(instance, None, tokens, _) => {
+                self.refill_pending.insert(instance, false);
+                self.stocks[instance].add(WORKSPACE, tokens);
             }
-            Event::Granted(_, Some(entry), tokens, retry_ms) => {
-                self.at(now + TO_INSTANCE, Event::Told(entry, tokens, retry_ms));
+            Event::LeaderReply(_, Some(entry), tokens, retry_ms) => {
+                self.schedule(
+                    now + ENTRY_TO_INSTANCE,
+                    Event::EntryReply(entry, tokens, retry_ms),
+                );
             }
-            Event::Told(entry, tokens, retry_ms) => {
-                let turn = self.leases[entry].told(CapGrant { tokens, retry_ms }, now);
-                self.runs.extend((0..turn.served).map(|_| now));
-                if turn.asks {
-                    self.ask(entry, now);
+            Event::EntryReply(entry, tokens, retry_ms) => {
+                let outcome = self.leases[entry].handle_grant(TokenGrant { tokens, retry_ms }, now);
+                self.admitted.extend((0..outcome.served).map(|_| now));
+                if outcome.asks {
+                    self.request_tokens(entry, now);
                 }
             }
         }
     }
 }
 
-struct Played {
-    runs: Vec<Duration>,
-    came: Vec<Duration>,
+struct SimulationResult {
+    admitted: Vec<Duration>,
+    arrivals: Vec<Duration>,
     messages: u64,
 }
 
-fn play(case: &CapCase, seed: u64) -> Played {
-    let mut world = World {
+fn simulate(case: &CapCase, seed: u64) -> SimulationResult {
+    let mut simulation = CapSimulation {
         case,
         rng: SmallRng::seed_from_u64(seed),
         events: BinaryHeap::new(),
         number: 0,
         leases: vec![CapLease::default(); case.entries],
         stocks: vec![CapStock::new(BOUND); case.instances],
-        refills: HashMap::new(),
+        refill_pending: HashMap::new(),
         owner: CapOwner::default(),
-        leader_up_at: Duration::ZERO,
-        runs: Vec::new(),
-        came: Vec::new(),
+        leader_ready_at: Duration::ZERO,
+        admitted: Vec::new(),
+        arrivals: Vec::new(),
         messages: 0,
     };
-    world
+    simulation
         .owner
-        .set_caps(World::caps(case.cap), &BOUND, Duration::ZERO);
-    for stock in &mut world.stocks {
-        stock.set_caps(World::caps(case.cap), case.instances as u32, Duration::ZERO);
+        .set_caps(CapSimulation::caps(case.cap), &BOUND, Duration::ZERO);
+    for stock in &mut simulation.stocks {
+        stock.set_caps(
+            CapSimulation::caps(case.cap),
+            case.instances as u32,
+            Duration::ZERO,
+        );
     }
-    world.at(Duration::from_millis(5), Event::Request);
-    for leader in case.leaders {
-        world.at(Duration::from_secs_f64(*leader), Event::Lead);
+    simulation.schedule(Duration::from_millis(5), Event::Request);
+    for change in case.leader_changes {
+        simulation.schedule(Duration::from_secs_f64(*change), Event::ChangeLeader);
     }
-    if let Some(lowered) = case.lowered {
-        world.at(Duration::from_secs_f64(lowered), Event::Lower);
+    if let Some(cap_lowered_at) = case.cap_lowered_at {
+        simulation.schedule(Duration::from_secs_f64(cap_lowered_at), Event::LowerCap);
     }
-    while let Some(Reverse((now, _, event))) = world.events.pop() {
-        if now >= LENGTH {
+    while let Some(Reverse((now, _, event))) = simulation.events.pop() {
+        if now >= SIMULATED_TIME {
             break;
         }
-        world.take(event, now);
+        simulation.handle_event(event, now);
     }
-    Played {
-        runs: world.runs,
-        came: world.came,
-        messages: world.messages,
+    SimulationResult {
+        admitted: simulation.admitted,
+        arrivals: simulation.arrivals,
+        messages: simulation.messages,
     }
 }
 
 /// Returns the most runs in any window that begins in this span.
-fn most_in_window(runs: &[Duration], span: Span) -> usize {
+fn count_most_in_window(admitted: &[Duration], span: Span) -> usize {
     let mut window = VecDeque::new();
     let mut most = 0;
-    for run in runs {
+    for run in admitted {
         if run.as_secs_f64() < span.0 || run.as_secs_f64() > span.1 {
             continue;
         }
@@ -364,16 +379,16 @@
     most
 }
 
-fn allowed(cap: UsageCap) -> f64 {
+fn max_admitted(cap: UsageCap) -> f64 {
     (cap.per_s * BOUND.window.as_secs_f64() + cap.burst) * (1.0 + BOUND.excess) + BOUND.slack
 }
 
 /// Returns how many of the requests lie within the cap.
-fn owed(case: &CapCase, came: &[Duration]) -> f64 {
-    let (mut level, mut at, mut owed) = (case.cap.burst, Duration::ZERO, 0.0);
-    for request in came {
+fn count_within_cap(case: &CapCase, arrivals: &[Duration]) -> f64 {
+    let (mut level, mut at, mut within_cap) = (case.cap.burst, Duration::ZERO, 0.0);
+    for request in arrivals {
         let is_lowered = case
-            .lowered
+            .cap_lowered_at
             .is_some_and(|from| request.as_secs_f64() >= from);
         let times = if is_lowered { 1.0 / 3.0 } else { 1.0 };
         let passed = (*request - at).as_secs_f64();
@@ -381,45 +396,50 @@
         at = *request;
         if level >= 1.0 {
             level -= 1.0;
-            owed += 1.0;
+            within_cap += 1.0;
         }
     }
-    owed
+    within_cap
 }
 
 #[test]
 fn all_entries_together_keep_the_cap_and_what_lies_within_is_served() {
     for case in CASES {
         for seed in 0..8 {
-            let mut played = play(case, seed);
-            played.runs.sort();
-            let until = case.lowered.unwrap_or(LENGTH.as_secs_f64());
-            let most = most_in_window(&played.runs, (0.0, until));
-            let bound = allowed(case.cap);
+            let mut result = simulate(case, seed);
+            result.admitted.sort();
+            let until = case.cap_lowered_at.unwrap_or(SIMULATED_TIME.as_secs_f64());
+            let most = count_most_in_window(&result.admitted, (0.0, until));
+            let bound = max_admitted(case.cap);
             assert!(
                 most as f64 <= bound,
                 "{} {seed}: {most} of {bound}",
                 case.name
             );
-            if let Some(lowered) = case.lowered {
+            if let Some(cap_lowered_at) = case.cap_lowered_at {
                 let cap = UsageCap {
                     per_s: case.cap.per_s / 3.0,
                     burst: case.cap.burst / 3.0,
                 };
                 // Binds one window after the change.
-                let since = lowered + BOUND.window.as_secs_f64();
-                let most = most_in_window(&played.runs, (since, LENGTH.as_secs_f64()));
-                assert!(most as f64 <= allowed(cap), "{} {seed}: {most}", case.name);
+                let since = cap_lowered_at + BOUND.window.as_secs_f64();
+                let most =
+                    count_most_in_window(&result.admitted, (since, SIMULATED_TIME.as_secs_f64()));
+                assert!(
+                    most as f64 <= max_admitted(cap),
+                    "{} {seed}: {most}",
+                    case.name
+                );
             }
-            let owed = owed(case, &played.came);
-            let served = played.runs.len() as f64 / owed;
+            let within_cap = count_within_cap(case, &result.arrivals);
+            let served = result.admitted.len() as f64 / within_cap;
             assert!(
-                served >= case.least_served,
-                "{} {seed}: {served:.4} of {owed}",
+                served >= case.min_served,
+                "{} {seed}: {served:.4} of {within_cap}",
                 case.name
             );
-            let each = played.messages as f64 / LENGTH.as_secs_f64() / case.entries as f64;
-            let most_each = if case.at_one { 20.0 } else { 1.0 };
+            let each = result.messages as f64 / SIMULATED_TIME.as_secs_f64() / case.entries as f64;
+            let most_each = if case.is_at_one_entry { 20.0 } else { 1.0 };
             assert!(
                 each <= most_each,
                 "{} {seed}: {each:.2} questions a second",
@@ -430,36 +450,36 @@
 }
 
 /// Part of a cap that entries without demand have, in equal parts.
-const IDLE_PART: f64 = 0.05;
+const IDLE_FRACTION: f64 = 0.05;
 /// Time between two rounds in which shares are set.
-const ROUND: Duration = Duration::from_secs(1);
+const SHARE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Plays the other way: shares of the cap that follow what each entry was asked in
 /// the last second. Returns the requests that ran.
-fn play_shares(case: &CapCase, seed: u64) -> Played {
+fn simulate_shares(case: &CapCase, seed: u64) -> SimulationResult {
     let mut rng = SmallRng::seed_from_u64(seed);
     let entries = case.entries;
-    let part = IDLE_PART / entries as f64;
+    let part = IDLE_FRACTION / entries as f64;
     let mut shares = vec![1.0 / entries as f64; entries];
     let mut levels = vec![case.cap.burst / entries as f64; entries];
     let mut filled = vec![Duration::ZERO; entries];
     let mut demand = vec![0.0; entries];
-    let (mut runs, mut came, mut messages) = (Vec::new(), Vec::new(), 0);
-    let (mut now, mut round) = (Duration::ZERO, ROUND);
-    while now < LENGTH {
+    let (mut admitted, mut arrivals, mut messages) = (Vec::new(), Vec::new(), 0);
+    let (mut now, mut round) = (Duration::ZERO, SHARE_INTERVAL);
+    while now < SIMULATED_TIME {
         let rate = case.cap.per_s * case.load;
         now += Duration::from_secs_f64(-(1.0 - rng.random::<f64>()).ln() / rate);
         while now >= round {
             let all: f64 = demand.iter().sum();
             messages += 2 * demand.iter().filter(|asked| **asked > 0.0).count() as u64;
             for (share, asked) in shares.iter_mut().zip(&demand) {
-                *share = part + (1.0 - IDLE_PART) * asked / all.max(1.0);
+                *share = part + (1.0 - IDLE_FRACTION) * asked / all.max(1.0);
             }
             demand.fill(0.0);
-            round += ROUND;
+            round += SHARE_INTERVAL;
         }
-        let entry = rng.random_range(0..if case.at_one { 1 } else { entries });
-        came.push(now);
+        let entry = rng.random_range(0..if case.is_at_one_entry { 1 } else { entries });
+        arrivals.push(now);
         demand[entry] += 1.0;
         let passed = (now - filled[entry]).as_secs_f64();
         let most = (case.cap.burst * shares[entry]).max(1.0);
@@ -467,12 +487,12 @@
         filled[entry] = now;
         if levels[entry] >= 1.0 {
             levels[entry] -= 1.0;
-            runs.push(now);
+            admitted.push(now);
         }
     }
-    Played {
-        runs,
-        came,
+    SimulationResult {
+        admitted,
+        arrivals,
         messages,
     }
 }
@@ -481,22 +501,25 @@
 fn tokens_of_one_owner_serve_more_than_shares_that_follow_demand() {
     for case in CASES
         .iter()
-        .filter(|case| case.cut.is_none() && case.lowered.is_none())
+        .filter(|case| case.cut.is_none() && case.cap_lowered_at.is_none())
     {
         let (mut leased, mut shared, mut most, mut asked) = (0.0, 0.0, 0, (0, 0));
         for seed in 0..8 {
-            let tokens = play(case, seed);
-            let shares = play_shares(case, seed);
-            leased += tokens.runs.len() as f64 / owed(case, &tokens.came) / 8.0;
-            shared += shares.runs.len() as f64 / owed(case, &shares.came) / 8.0;
-            most = most.max(most_in_window(&shares.runs, (0.0, LENGTH.as_secs_f64())));
+            let tokens = simulate(case, seed);
+            let shares = simulate_shares(case, seed);
+            leased += tokens.admitted.len() as f64 / count_within_cap(case, &tokens.arrivals) / 8.0;
+            shared += shares.admitted.len() as f64 / count_within_cap(case, &shares.arrivals) / 8.0;
+            most = most.max(count_most_in_window(
+                &shares.admitted,
+                (0.0, SIMULATED_TIME.as_secs_f64()),
+            ));
             asked.0 += tokens.messages / 8;
             asked.1 += shares.messages / 8;
         }
         println!(
             "{}: served {leased:.3} with tokens, {shared:.3} with shares, which had {most} in a window of {:.0}; {} and {} messages",
             case.name,
-            allowed(case.cap),
+            max_admitted(case.cap),
             asked.0,
             asked.1,
         );
--- a/crates/core/tests/gossip.rs
+++ b/crates/core/tests/gossip.rs
@@ -42,8 +42,8 @@
     }
 }
 
-fn server(name: &str, sequence: u64, phase: ServerPhase) -> ServerNews {
-    ServerNews {
+fn server(name: &str, sequence: u64, phase: ServerPhase) -> UpstreamAnnouncement {
+    UpstreamAnnouncement {
         name: name.into(),
         upstream: "u".into(),
         domain: "d0".into(),
--- a/crates/core/tests/promises.rs
+++ b/crates/core/tests/promises.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRng, TestRunner};
-use support::{Broken, Rig, REPLICAS, SHARDS};
+use support::{EntryHarness, Violations, REPLICAS, SHARDS};
 use wheelmast_core::prelude::*;
 
 /// One thing that happens.
@@ -30,7 +30,7 @@
     Broke(u8),
     NeverSent(u8),
     Shed(u8),
-    Gone(u8),
+    SnapshotNotHeld(u8),
     NewVersion(u8),
     Drain(u8),
     Serve(u8),
@@ -50,7 +50,7 @@
         2 => any::<u8>().prop_map(Event::Broke),
         1 => any::<u8>().prop_map(Event::NeverSent),
         1 => any::<u8>().prop_map(Event::Shed),
-        1 => any::<u8>().prop_map(Event::Gone),
+        1 => any::<u8>().prop_map(Event::SnapshotNotHeld),
         2 => any::<u8>().prop_map(Event::NewVersion),
         1 => any::<u8>().prop_map(Event::Drain),
         1 => any::<u8>().prop_map(Event::Serve),
@@ -61,7 +61,7 @@
     u32::from(pick) % (SHARDS * REPLICAS)
 }
 
-fn play(rig: &mut Rig, event: &Event) {
+fn play(harness: &mut EntryHarness, event: &Event) {
     match event {
         Event::Submit(pick) => {
             let (service, kind) = match pick % 4 {
@@ -70,24 +70,24 @@
                 2 => ("order", RequestKind::NonRepeatable),
                 _ => ("record", RequestKind::Fetch),
             };
-            rig.submit(service, kind);
+            harness.submit(service, kind);
         }
-        Event::CallerLeft(pick) => rig.step(EntryInput::CallerLeft(CallTag(u64::from(*pick)))),
-        Event::Advance(millis) => rig.advance(Duration::from_millis(u64::from(*millis))),
+        Event::CallerLeft(pick) => harness.step(EntryInput::CallerLeft(CallTag(u64::from(*pick)))),
+        Event::Advance(millis) => harness.advance(Duration::from_millis(u64::from(*millis))),
         Event::Late(pick) => {
-            if let Some(order) = rig.done.get(usize::from(*pick)).cloned() {
-                let body = rig.run_late(&order);
-                rig.reply(&order, ReplyStatus::Body(body));
+            if let Some(order) = harness.done.get(usize::from(*pick)).cloned() {
+                let body = harness.build_late_reply(&order);
+                harness.reply(&order, ReplyStatus::Body(body));
             }
         }
-        Event::NewVersion(pick) => rig.add_version(server_of(*pick)),
-        Event::Drain(pick) => rig.announce(server_of(*pick), ServerPhase::Draining),
-        Event::Serve(pick) => rig.announce(server_of(*pick), ServerPhase::Serving),
-        reply => play_reply(rig, reply),
+        Event::NewVersion(pick) => harness.add_snapshot_version(server_of(*pick)),
+        Event::Drain(pick) => harness.announce(server_of(*pick), ServerPhase::Draining),
+        Event::Serve(pick) => harness.announce(server_of(*pick), ServerPhase::Serving),
+        reply => play_reply(harness, reply),
     }
 }
 
-fn play_reply(rig: &mut Rig, event: &Event) {
+fn play_reply(harness: &mut EntryHarness, event: &Event) {
     let (Event::Reply(pick)
     | Event::Duplicate(pick)
     | Event::Crossed(pick, _)
@@ -96,59 +96,59 @@
     | Event::Broke(pick)
     | Event::NeverSent(pick)
     | Event::Shed(pick)
-    | Event::Gone(pick)) = event
+    | Event::SnapshotNotHeld(pick)) = event
     else {
         return;
     };
-    let Some(order) = rig.take_order(usize::from(*pick)) else {
+    let Some(order) = harness.remove_order(usize::from(*pick)) else {
         return;
     };
     match event {
         Event::Reply(_) => {
-            let body = rig.run(&order);
-            rig.reply(&order, ReplyStatus::Body(body));
+            let body = harness.run(&order);
+            harness.reply(&order, ReplyStatus::Body(body));
         }
         Event::Duplicate(_) => {
-            let body = rig.run(&order);
-            rig.reply(&order, ReplyStatus::Body(body.clone()));
-            rig.reply(&order, ReplyStatus::Body(body));
+            let body = harness.run(&order);
+            harness.reply(&order, ReplyStatus::Body(body.clone()));
+            harness.reply(&order, ReplyStatus::Body(body));
         }
         Event::Crossed(_, other) => {
-            let own = rig.run(&order);
-            let other = rig.take_order(usize::from(*other));
+            let own = harness.run(&order);
+            let other = harness.remove_order(usize::from(*other));
             let Some(other) = other else {
-                return rig.reply(&order, ReplyStatus::Body(own));
+                return harness.reply(&order, ReplyStatus::Body(own));
             };
-            let foreign = rig.run(&other);
-            rig.reply(&order, ReplyStatus::Body(foreign));
-            rig.reply(&other, ReplyStatus::Body(own));
+            let foreign = harness.run(&other);
+            harness.reply(&order, ReplyStatus::Body(foreign));
+            harness.reply(&other, ReplyStatus::Body(own));
         }
         Event::WrongShard(_) => {
-            let body = rig.run_as(&order, (order.shard + 1) % SHARDS, order.snapshot);
-            rig.reply(&order, ReplyStatus::Body(body));
+            let body = harness.run_with(&order, (order.shard + 1) % SHARDS, order.snapshot);
+            harness.reply(&order, ReplyStatus::Body(body));
         }
         Event::WrongSnapshot(_) => {
             let mut snapshot = order.snapshot;
             snapshot.version += 1;
-            let body = rig.run_as(&order, order.shard, snapshot);
-            rig.reply(&order, ReplyStatus::Body(body));
+            let body = harness.run_with(&order, order.shard, snapshot);
+            harness.reply(&order, ReplyStatus::Body(body));
         }
         Event::Broke(_) => {
-            rig.run(&order);
-            rig.reply(&order, ReplyStatus::Failed);
+            harness.run(&order);
+            harness.reply(&order, ReplyStatus::Failed);
         }
-        Event::NeverSent(_) => rig.reply(&order, ReplyStatus::NeverSent),
-        Event::Shed(_) => rig.reply(&order, ReplyStatus::Shed { retry_after: None }),
-        _ => rig.reply(&order, ReplyStatus::Gone { held: Vec::new() }),
+        Event::NeverSent(_) => harness.reply(&order, ReplyStatus::NeverSent),
+        Event::Shed(_) => harness.reply(&order, ReplyStatus::Shed { retry_after: None }),
+        _ => harness.reply(&order, ReplyStatus::SnapshotNotHeld { held: Vec::new() }),
     }
 }
 
-fn run_case(events: &[Event], seed: u64, guards: GuardSet) -> Broken {
-    let mut rig = Rig::new(guards, seed);
+fn run_case(events: &[Event], seed: u64, safety_checks: EntrySafetyChecks) -> Violations {
+    let mut harness = EntryHarness::new(safety_checks, seed);
     for event in events {
-        play(&mut rig, event);
+        play(&mut harness, event);
     }
-    rig.close()
+    harness.finish_case()
 }
 
 /// Cases that the promise is tried on.
@@ -164,35 +164,35 @@
 
     #[test]
     fn promises_hold(events in prop::collection::vec(event(), 1..120), seed in any::<u64>()) {
-        prop_assert_eq!(run_case(&events, seed, GuardSet::default()), Broken::default());
+        prop_assert_eq!(run_case(&events, seed, EntrySafetyChecks::default()), Violations::default());
     }
 }
 
 /// Runs seeded cases without a guard and sums what broke.
-fn broken_without(guards: GuardSet) -> Broken {
+fn broken_without(safety_checks: EntrySafetyChecks) -> Violations {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[9; 32]);
     let mut runner = TestRunner::new_with_rng(Config::default(), rng);
     let strategy = prop::collection::vec(event(), 40..120);
-    let mut sum = Broken::default();
+    let mut sum = Violations::default();
     for seed in 0..400 {
         let tree = strategy
             .new_tree(&mut runner)
             .expect("the strategy rejects nothing");
-        let broken = run_case(&tree.current(), seed, guards);
-        sum.mixed_snapshot += broken.mixed_snapshot;
-        sum.false_coverage += broken.false_coverage;
-        sum.foreign_answer += broken.foreign_answer;
-        sum.double_run += broken.double_run;
-        sum.false_not_run += broken.false_not_run;
-        sum.work_after_leaving += broken.work_after_leaving;
+        let violations = run_case(&tree.current(), seed, safety_checks);
+        sum.mixed_snapshot += violations.mixed_snapshot;
+        sum.false_coverage += violations.false_coverage;
+        sum.foreign_answer += violations.foreign_answer;
+        sum.double_run += violations.double_run;
+        sum.false_not_run += violations.false_not_run;
+        sum.work_after_leaving += violations.work_after_leaving;
     }
     sum
 }
 
 struct GuardCase {
     name: &'static str,
-    off: fn(&mut GuardSet),
-    count: fn(&Broken) -> u32,
+    off: fn(&mut EntrySafetyChecks),
+    count: fn(&Violations) -> u32,
 }
 
 #[test]
@@ -200,40 +200,47 @@
     let cases = [
         GuardCase {
             name: "snapshot",
-            off: |guards| guards.snapshot = false,
-            count: |broken| broken.mixed_snapshot,
+            off: |safety_checks| safety_checks.snapshot = false,
+            count: |violations| violations.mixed_snapshot,
         },
         GuardCase {
             name: "shard",
-            off: |guards| guards.shard = false,
-            count: |broken| broken.false_coverage,
+            off: |safety_checks| safety_checks.shard = false,
+            count: |violations| violations.false_coverage,
         },
         GuardCase {
             name: "identity",
-            off: |guards| guards.identity = false,
-            count: |broken| broken.foreign_answer,
+            off: |safety_checks| safety_checks.reply_identity = false,
+            count: |violations| violations.foreign_answer,
         },
         GuardCase {
             name: "once",
-            off: |guards| guards.once = false,
-            count: |broken| broken.double_run,
+            off: |safety_checks| safety_checks.single_run = false,
+            count: |violations| violations.double_run,
         },
         GuardCase {
             name: "refusal",
-            off: |guards| guards.refusal = false,
-            count: |broken| broken.false_not_run,
+            off: |safety_checks| safety_checks.not_run_claim = false,
+            count: |violations| violations.false_not_run,
         },
         GuardCase {
             name: "drain",
-            off: |guards| guards.drain = false,
-            count: |broken| broken.work_after_leaving,
+            off: |safety_checks| safety_checks.drain = false,
+            count: |violations| violations.work_after_leaving,
         },
     ];
     for case in cases {
-        let mut guards = GuardSet::default();
-        (case.off)(&mut guards);
-        let broken = broken_without(guards);
-        assert!((case.count)(&broken) > 0, "{} off: {broken:?}", case.name);
+        let mut safety_checks = EntrySafetyChecks::default();
+        (case.off)(&mut safety_checks);
+        let violations = broken_without(safety_checks);
+        assert!(
+            (case.count)(&violations) > 0,
+            "{} off: {violations:?}",
+            case.name
+        );
     }
-    assert_eq!(broken_without(GuardSet::default()), Broken::default());
+    assert_eq!(
+        broken_without(EntrySafetyChecks::default()),
+        Violations::default()
+    );
 }
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -30,7 +30,7 @@
 
 /// What a caller asked for and what really happened to it.
 #[derive(Debug, Default)]
-pub struct CallTruth {
+pub struct CallRecord {
     pub service: String,
     pub outcomes: Vec<QueryOutcome>,
     pub runs: u32,
@@ -39,28 +39,28 @@
 
 /// Broken promises.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub struct Broken {
+pub struct Violations {
     pub mixed_snapshot: u32,
     pub false_coverage: u32,
     pub foreign_answer: u32,
     pub double_run: u32,
     pub false_not_run: u32,
     pub work_after_leaving: u32,
-    pub not_once: u32,
-    pub over_share: u32,
+    pub not_one_outcome: u32,
+    pub over_server_share: u32,
     pub over_budget: u32,
 }
 
 /// The machine with its fake servers.
-pub struct Rig {
-    pub machine: EntryMachine<TablePolicy>,
+pub struct EntryHarness {
+    pub machine: EntryMachine<LowestCostPolicy>,
     pub now: Duration,
     pub orders: Vec<SendOrder>,
     pub done: Vec<SendOrder>,
-    pub calls: HashMap<CallTag, CallTruth>,
+    pub calls: HashMap<CallTag, CallRecord>,
     pub held: Vec<Vec<HeldSnapshot>>,
     pub leaving: HashSet<String>,
-    pub broken: Broken,
+    pub violations: Violations,
     pub left: bool,
     outstanding: HashMap<ServerKey, u32>,
     sequences: HashMap<String, u64>,
@@ -71,53 +71,57 @@
     format!("s{index}")
 }
 
-impl Rig {
-    pub fn new(guards: GuardSet, seed: u64) -> Rig {
-        Rig::with_decisions(guards, seed, 2000)
+impl EntryHarness {
+    pub fn new(safety_checks: EntrySafetyChecks, seed: u64) -> EntryHarness {
+        EntryHarness::with_decisions(safety_checks, seed, 2000)
     }
 
     /// Returns a rig that records at most `decisions` a second.
-    pub fn with_decisions(guards: GuardSet, seed: u64, decisions: u32) -> Rig {
+    pub fn with_decisions(
+        safety_checks: EntrySafetyChecks,
+        seed: u64,
+        decisions: u32,
+    ) -> EntryHarness {
         let options = EntryOptions::builder()
             .incarnation(7)
             .seed(seed)
             .instances(INSTANCES)
             .in_flight(6)
             .decisions_per_second(decisions)
-            .guards(guards)
+            .safety_checks(safety_checks)
             .build();
-        let mut rig = Rig {
-            machine: EntryMachine::new(options, TablePolicy::default()),
+        let mut harness = EntryHarness {
+            machine: EntryMachine::new(options, LowestCostPolicy::default()),
             now: Duration::from_millis(1),
             orders: Vec::new(),
             done: Vec::new(),
             calls: HashMap::new(),
             held: Vec::new(),
             leaving: HashSet::new(),
-            broken: Broken::default(),
+            violations: Violations::default(),
             left: false,
             outstanding: HashMap::new(),
             sequences: HashMap::new(),
             next_call: 0,
         };
         let table = ServiceTable::parse(SERVICES, 1).expect("the test's table is good");
-        rig.step(EntryInput::Table(table));
+        harness.step(EntryInput::Table(table));
         for index in 0..SHARDS * REPLICAS {
-            rig.held.push(vec![HeldSnapshot {
+            harness.held.push(vec![HeldSnapshot {
                 snapshot: FIRST,
                 shard: index / REPLICAS,
                 shards: SHARDS,
             }]);
-            rig.announce(index, ServerPhase::Serving);
+            harness.announce(index, ServerPhase::Serving);
         }
-        rig
+        harness
     }
 
     pub fn announce(&mut self, index: u32, phase: ServerPhase) {
         let name = server_name(index);
         let sequence = self.sequences.entry(name.clone()).or_default();
         *sequence += 1;
-        let news = ServerNews {
+        let announcement = UpstreamAnnouncement {
             name: name.as_str().into(),
             upstream: "shards".into(),
             domain: format!("d{}", index % 3).into(),
@@ -136,7 +140,7 @@
         } else {
             self.leaving.insert(name);
         }
-        self.step(EntryInput::Announce(news));
+        self.step(EntryInput::Announce(announcement));
     }
 
     pub fn submit(&mut self, service: &str, kind: RequestKind) -> CallTag {
@@ -144,9 +148,9 @@
         let call = CallTag(self.next_call);
         self.calls.insert(
             call,
-            CallTruth {
+            CallRecord {
                 service: service.to_string(),
-                ..CallTruth::default()
+                ..CallRecord::default()
             },
         );
         let request = QueryRequest {
@@ -173,7 +177,7 @@
     }
 
     /// Removes an outstanding order, by any number.
-    pub fn take_order(&mut self, pick: usize) -> Option<SendOrder> {
+    pub fn remove_order(&mut self, pick: usize) -> Option<SendOrder> {
         if self.orders.is_empty() {
             return None;
         }
@@ -185,11 +189,11 @@
 
     /// Runs an order as a server would, and returns its true reply.
     pub fn run(&mut self, order: &SendOrder) -> ReplyBody {
-        self.run_as(order, order.shard, order.snapshot)
+        self.run_with(order, order.shard, order.snapshot)
     }
 
     /// Runs an order on another shard or snapshot than was asked for.
-    pub fn run_as(&mut self, order: &SendOrder, shard: u32, snapshot: SnapshotId) -> ReplyBody {
+    pub fn run_with(&mut self, order: &SendOrder, shard: u32, snapshot: SnapshotId) -> ReplyBody {
         let call = call_of(order);
         if let Some(truth) = self.calls.get_mut(&call) {
             truth.runs += 1;
@@ -219,28 +223,28 @@
         let mut out = Vec::new();
         self.machine.step(self.now, input, &mut out);
         for action in out {
-            self.act(action);
+            self.handle_action(action);
         }
         let counts = self.machine.counters();
         // Each of the four services has a budget of its own.
         let earned = 4.0 * BUDGET_BURST + 0.05 * counts.sends as f64;
         let drawn = counts.hedges + counts.retries;
         if drawn as f64 > earned || drawn != counts.budget_spent {
-            self.broken.over_budget += 1;
+            self.violations.over_budget += 1;
         }
     }
 
-    fn act(&mut self, action: EntryAction) {
+    fn handle_action(&mut self, action: EntryAction) {
         match action {
             EntryAction::Send(order) => {
                 let record = self.machine.roster().server(order.server);
                 let outstanding = self.outstanding.entry(order.server).or_default();
                 *outstanding += 1;
                 if *outstanding > record.share.outstanding {
-                    self.broken.over_share += 1;
+                    self.violations.over_server_share += 1;
                 }
                 if self.leaving.contains(&*record.name) {
-                    self.broken.work_after_leaving += 1;
+                    self.violations.work_after_leaving += 1;
                 }
                 self.orders.push(order);
             }
@@ -261,11 +265,11 @@
         let truth = self.calls.get_mut(&call).expect("the call was made");
         match &outcome {
             QueryOutcome::Answer(answer) => {
-                check_answer(call, truth, answer, &mut self.broken);
+                check_answer(call, truth, answer, &mut self.violations);
             }
             QueryOutcome::Refusal(refusal) => {
                 if refusal.run == RunState::NotRun && truth.runs > 0 {
-                    self.broken.false_not_run += 1;
+                    self.violations.false_not_run += 1;
                 }
             }
         }
@@ -274,17 +278,17 @@
 
     /// Ends the case: all time passes, then every call must have had one
     /// outcome, and what may not be repeated must have run at most once.
-    pub fn close(mut self) -> Broken {
+    pub fn finish_case(mut self) -> Violations {
         self.advance(Duration::from_secs(2));
         for truth in self.calls.values() {
             if truth.outcomes.len() != 1 {
-                self.broken.not_once += 1;
+                self.violations.not_one_outcome += 1;
             }
             if truth.service == "order" && truth.runs > 1 {
-                self.broken.double_run += 1;
+                self.violations.double_run += 1;
             }
         }
-        self.broken
+        self.violations
     }
 }
 
@@ -293,36 +297,41 @@
     CallTag(text.parse().expect("the test wrote it"))
 }
 
-fn check_answer(call: CallTag, truth: &CallTruth, answer: &QueryAnswer, broken: &mut Broken) {
+fn check_answer(
+    call: CallTag,
+    truth: &CallRecord,
+    answer: &QueryAnswer,
+    violations: &mut Violations,
+) {
     let missing: HashSet<u32> = answer.coverage.missing.iter().map(|m| m.shard).collect();
     for hit in &answer.hits {
         let parts: Vec<&str> = hit.document.split('/').collect();
         if parts[0] != call.0.to_string() {
-            broken.foreign_answer += 1;
+            violations.foreign_answer += 1;
         }
         if parts[2] != answer.snapshot.to_string() {
-            broken.mixed_snapshot += 1;
+            violations.mixed_snapshot += 1;
         }
         if missing.contains(&parts[1].parse().expect("the test wrote it")) {
-            broken.false_coverage += 1;
+            violations.false_coverage += 1;
         }
     }
     let coverage = &answer.coverage;
     if coverage.answered as usize + missing.len() != coverage.asked as usize {
-        broken.false_coverage += 1;
+        violations.false_coverage += 1;
     }
     if truth.service == "search" || truth.service == "whole" {
         for shard in (0..coverage.asked).filter(|shard| !missing.contains(shard)) {
             if !truth.searched.contains(&(shard, answer.snapshot)) {
-                broken.false_coverage += 1;
+                violations.false_coverage += 1;
             }
         }
     }
 }
 
-impl Rig {
+impl EntryHarness {
     /// Returns what a server would reply to an order that ended before.
-    pub fn run_late(&mut self, order: &SendOrder) -> ReplyBody {
+    pub fn build_late_reply(&mut self, order: &SendOrder) -> ReplyBody {
         let call = call_of(order);
         ReplyBody {
             attempt: order.id,
@@ -337,7 +346,7 @@
     }
 
     /// Gives a server one index version more; it keeps the last two.
-    pub fn add_version(&mut self, index: u32) {
+    pub fn add_snapshot_version(&mut self, index: u32) {
         let held = &mut self.held[index as usize];
         let mut next = held[0];
         next.snapshot.version += 1;
--- a/crates/node/src/connection/attempt.rs
+++ b/crates/node/src/connection/attempt.rs
@@ -126,7 +126,7 @@
     let reply = decode_reply(status, &body.to_bytes());
     let keep = match &reply {
         ReplyStatus::Body(body) => is_in_step(order, body),
-        ReplyStatus::Shed { .. } | ReplyStatus::Gone { .. } => true,
+        ReplyStatus::Shed { .. } | ReplyStatus::SnapshotNotHeld { .. } => true,
         ReplyStatus::NeverSent | ReplyStatus::Failed => false,
     };
     if keep {
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -7,7 +7,7 @@
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use tokio::signal::unix::{signal, SignalKind};
 use tracing_subscriber::EnvFilter;
-use wheelmast_core::prelude::{GuardSet, ServiceTable, TablePolicy};
+use wheelmast_core::prelude::{EntrySafetyChecks, LowestCostPolicy, ServiceTable};
 use wheelmast_node::prelude::{
     InstanceHandle, InstanceSettings, InstanceSetup, LogFormat, LogSettings,
 };
@@ -169,8 +169,8 @@
         let instance = InstanceHandle::start(InstanceSetup {
             settings,
             table,
-            policy: TablePolicy::default(),
-            guards: GuardSet::default(),
+            policy: LowestCostPolicy::default(),
+            safety_checks: EntrySafetyChecks::default(),
         })?;
         tokio::select! {
             _ = terminate.recv() => {}
--- a/crates/node/src/process/entry.rs
+++ b/crates/node/src/process/entry.rs
@@ -92,7 +92,7 @@
 
     fn look_learned(&self) {
         let known = self.learned.load(Ordering::Relaxed);
-        if !known && self.machine.is_learned(self.started.elapsed()) {
+        if !known && self.machine.is_ready(self.started.elapsed()) {
             self.learned.store(true, Ordering::Relaxed);
         }
     }
--- a/crates/node/src/process/forward/callers.rs
+++ b/crates/node/src/process/forward/callers.rs
@@ -261,7 +261,7 @@
     drop(guard);
     if let (Some(workspace), Ok(ForwardAnswer::Failure { failure, .. })) = (&capped, &answer) {
         if failure.is_known_unrun() {
-            entry.caps.give_back(workspace);
+            entry.caps.return_token(workspace);
         }
     }
     match answer {
--- a/crates/node/src/process/forward/cap_gate.rs
+++ b/crates/node/src/process/forward/cap_gate.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use tokio::sync::oneshot;
-use wheelmast_core::process::cap::lease::{CapLease, CapStep};
-use wheelmast_core::process::cap::{CapAsk, CapGrant};
+use wheelmast_core::process::cap::lease::{AdmissionStep, CapLease};
+use wheelmast_core::process::cap::{TokenGrant, TokenRequest};
 use wheelmast_wire::group::GroupMessage;
 
 use crate::process::clock::ProcessClock;
@@ -77,11 +77,11 @@
         let receiver = {
             let mut gates = self.gates.borrow_mut();
             let gate = gates.entry(workspace.clone()).or_default();
-            match gate.lease.request(now) {
-                CapStep::Take => return CapVerdict::Taken,
-                CapStep::Refuse(after) => return CapVerdict::Reached(after),
-                CapStep::Wait => {}
-                CapStep::Ask => self.ask(workspace, gate),
+            match gate.lease.admit_request(now) {
+                AdmissionStep::Admit => return CapVerdict::Taken,
+                AdmissionStep::Refuse(after) => return CapVerdict::Reached(after),
+                AdmissionStep::Wait => {}
+                AdmissionStep::RequestTokens => self.token_request(workspace, gate),
             }
             let (sender, receiver) = oneshot::channel();
             gate.queue.push_back(sender);
@@ -97,19 +97,19 @@
         }
     }
 
-    fn ask(&self, workspace: &Arc<str>, gate: &mut WorkspaceGate) {
+    fn token_request(&self, workspace: &Arc<str>, gate: &mut WorkspaceGate) {
         let tag = self.tags.get();
         self.tags.set(tag + 1);
-        let ask: CapAsk = gate.lease.ask(workspace);
+        let token_request: TokenRequest = gate.lease.token_request(workspace);
         gate.asked = Some(tag);
         self.open.borrow_mut().insert(tag, workspace.clone());
-        let asks = vec![ask];
+        let asks = vec![token_request];
         // A full ring: the connection stands still, and the request gives up.
         let _ = self.asks.offer(GroupMessage::AskCaps { tag, asks });
     }
 
     /// Takes the source's answer.
-    pub fn told(&self, tag: u64, grants: &[CapGrant]) {
+    pub fn handle_grant(&self, tag: u64, grants: &[TokenGrant]) {
         let Some(workspace) = self.open.borrow_mut().remove(&tag) else {
             return;
         };
@@ -122,12 +122,12 @@
             return;
         };
         gate.asked = None;
-        let turn = gate.lease.told(*grant, now);
+        let turn = gate.lease.handle_grant(*grant, now);
         for _ in 0..turn.served {
             let waiting = gate.queue.pop_front();
             let is_taken = waiting.is_some_and(|waiting| waiting.send(CapVerdict::Taken).is_ok());
             if !is_taken {
-                gate.lease.give_back(now);
+                gate.lease.return_token(now);
             }
         }
         for _ in 0..turn.refused {
@@ -140,7 +140,7 @@
             tracing::info!(target: "entry", workspace = &*workspace, refused = turn.refused, "cap: reached");
         }
         if turn.asks {
-            self.ask(&workspace, gate);
+            self.token_request(&workspace, gate);
         }
     }
 
@@ -153,16 +153,16 @@
         if let Some(tag) = gate.asked.take() {
             self.open.borrow_mut().remove(&tag);
         }
-        let waiting = gate.lease.unheard();
+        let waiting = gate.lease.clear_waiting();
         gate.queue.clear();
         tracing::warn!(target: "entry", workspace = &**workspace, waiting, "cap: the source did not answer");
     }
 
     /// Takes back the token of a request of which nothing was sent.
-    pub fn give_back(&self, workspace: &Arc<str>) {
+    pub fn return_token(&self, workspace: &Arc<str>) {
         let now = self.clock.elapsed();
         if let Some(gate) = self.gates.borrow_mut().get_mut(workspace) {
-            gate.lease.give_back(now);
+            gate.lease.return_token(now);
         }
     }
 }
--- a/crates/node/src/process/forward/feed.rs
+++ b/crates/node/src/process/forward/feed.rs
@@ -242,7 +242,7 @@
             }
             GroupMessage::Confirmed { version } => self.confirm(version),
             GroupMessage::Rollouts { revision, views } => self.take_rollouts(revision, views),
-            GroupMessage::Caps { tag, grants } => self.entry.caps.told(tag, &grants),
+            GroupMessage::Caps { tag, grants } => self.entry.caps.handle_grant(tag, &grants),
             GroupMessage::Members {
                 entries,
                 joined,
--- a/crates/node/src/process/gossip.rs
+++ b/crates/node/src/process/gossip.rs
@@ -150,7 +150,7 @@
         let there = self.machine.others().count() as u32 + 1;
         if let Some(count) = self.shares.update(there, self.started.elapsed()) {
             tracing::info!("share: servers' limits divided by {count} instances");
-            self.hand_on(EntryInput::Instances(count)).await;
+            self.hand_on(EntryInput::InstanceCount(count)).await;
         }
     }
 
--- a/crates/node/src/process/group/caps.rs
+++ b/crates/node/src/process/group/caps.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use wheelmast_core::process::cap::{CapAsk, CapGrant};
+use wheelmast_core::process::cap::{TokenGrant, TokenRequest};
 use wheelmast_core::version::workspace::UsageCap;
 use wheelmast_wire::group::{GroupAsk, GroupTell};
 
@@ -36,7 +36,7 @@
 
     /// Answers an entry: from the stock, else by the leader's word, else within
     /// what this instance may give out without it.
-    pub async fn grant_caps(self: &Rc<Self>, asks: Vec<CapAsk>) -> Vec<CapGrant> {
+    pub async fn grant_caps(self: &Rc<Self>, asks: Vec<TokenRequest>) -> Vec<TokenGrant> {
         let mut grants = Vec::with_capacity(asks.len());
         let mut lacking = Vec::new();
         {
@@ -44,7 +44,7 @@
             let mut state = self.state.borrow_mut();
             for (place, ask) in asks.iter().enumerate() {
                 let tokens = state.cap_stock.take(&ask.workspace, ask.waiting, now);
-                grants.push(CapGrant {
+                grants.push(TokenGrant {
                     tokens,
                     retry_ms: 0,
                 });
@@ -52,7 +52,7 @@
                 if waiting > 0 {
                     lacking.push((
                         place,
-                        CapAsk {
+                        TokenRequest {
                             waiting,
                             ..ask.clone()
                         },
@@ -77,19 +77,19 @@
         grants
     }
 
-    fn grant_floor(&self, ask: &CapAsk) -> CapGrant {
+    fn grant_floor(&self, ask: &TokenRequest) -> TokenGrant {
         let (now, instances) = (self.now(), self.control_instances());
         let stock = &mut self.state.borrow_mut().cap_stock;
-        let tokens = stock.take_floor(&ask.workspace, ask.waiting, instances, now);
+        let tokens = stock.take_leaderless(&ask.workspace, ask.waiting, instances, now);
         let workspace = &*ask.workspace;
         tracing::info!(target: "group", workspace, tokens, waiting = ask.waiting, "cap: granted without the leader");
-        CapGrant {
+        TokenGrant {
             tokens,
             retry_ms: COME_BACK_MS,
         }
     }
 
-    async fn ask_owner(self: &Rc<Self>, asks: Vec<CapAsk>) -> Option<Vec<CapGrant>> {
+    async fn ask_owner(self: &Rc<Self>, asks: Vec<TokenRequest>) -> Option<Vec<TokenGrant>> {
         let asked = self.ask_leader(GroupAsk::Caps(asks));
         match tokio::time::timeout(LEADER_TIME, asked).await {
             Ok(GroupTell::Caps(grants)) => Some(grants),
@@ -98,7 +98,7 @@
     }
 
     /// Grants tokens, if this instance leads.
-    pub fn grant_here(&self, asks: &[CapAsk]) -> GroupTell {
+    pub fn grant_here(&self, asks: &[TokenRequest]) -> GroupTell {
         if !self.leads() {
             return GroupTell::Unknown;
         }
@@ -113,18 +113,18 @@
     pub async fn keep_caps(self: Rc<Self>) {
         loop {
             self.caps_used.notified().await;
-            let lacks = {
+            let shortages = {
                 let (now, instances) = (self.now(), self.control_instances());
-                self.state.borrow().cap_stock.lacks(instances, now)
+                self.state.borrow().cap_stock.shortages(instances, now)
             };
-            if lacks.is_empty() {
+            if shortages.is_empty() {
                 continue;
             }
-            let Some(grants) = self.ask_owner(lacks.clone()).await else {
+            let Some(grants) = self.ask_owner(shortages.clone()).await else {
                 continue;
             };
             let stock = &mut self.state.borrow_mut().cap_stock;
-            for (ask, grant) in lacks.iter().zip(grants) {
+            for (ask, grant) in shortages.iter().zip(grants) {
                 stock.add(&ask.workspace, grant.tokens);
             }
         }
--- a/crates/node/src/process/group/replica.rs
+++ b/crates/node/src/process/group/replica.rs
@@ -135,7 +135,7 @@
                 tracing::info!(target: "group", term, leads, "replica: role changed");
                 if leads {
                     let now = self.now();
-                    self.state.borrow_mut().cap_owner.begin_empty(now);
+                    self.state.borrow_mut().cap_owner.empty_buckets(now);
                 }
             }
             ReplicaAction::KeepHard(_)
--- a/crates/node/src/process/instance.rs
+++ b/crates/node/src/process/instance.rs
@@ -9,7 +9,7 @@
 
 use tokio::sync::{oneshot, watch};
 use wheelmast_core::prelude::{
-    EntryInput, EntryMachine, EntryOptions, GuardSet, RoutePolicy, ServiceTable,
+    EntryInput, EntryMachine, EntryOptions, EntrySafetyChecks, RoutePolicy, ServiceTable,
 };
 use wheelmast_core::process::gossip::machine::{GossipInput, GossipMachine};
 use wheelmast_core::process::gossip::member::{MemberNews, MemberStanding};
@@ -60,7 +60,7 @@
     /// How it chooses servers.
     pub policy: P,
     /// The guards; all on but in tests.
-    pub guards: GuardSet,
+    pub safety_checks: EntrySafetyChecks,
 }
 
 /// A running instance.
@@ -113,7 +113,7 @@
             .instances(instance_count(&settings))
             .in_flight(settings.in_flight)
             .decisions_per_second(settings.decisions_per_second)
-            .guards(setup.guards)
+            .safety_checks(setup.safety_checks)
             .build();
         let clock = ProcessClock::start();
         let driver = EntryDriver {
--- a/crates/node/src/process/status.rs
+++ b/crates/node/src/process/status.rs
@@ -48,7 +48,7 @@
 }
 
 fn describe_server(record: &ServerRecord, domain: &str, now: Duration) -> ServerStatus {
-    let phase = if now >= record.lease_until {
+    let phase = if now >= record.lease_expires_at {
         "expired".to_string()
     } else {
         record.phase.to_string()
--- a/crates/node/src/settings/read.rs
+++ b/crates/node/src/settings/read.rs
@@ -85,7 +85,7 @@
             let reader = ObjectReader::new(text, object);
             read_instance(reader, &mut settings, &mut findings);
         }
-        None => findings.add(FindingPlace::Whole, "settings must be one object"),
+        None => findings.add(FindingPlace::WholeInput, "settings must be one object"),
     }
     if findings.is_empty() {
         Ok(settings)
--- a/crates/node/src/settings/reader.rs
+++ b/crates/node/src/settings/reader.rs
@@ -4,7 +4,7 @@
 
 use jsonc_parser::ast::{Object, ObjectProp, Value};
 use jsonc_parser::common::{Range, Ranged};
-use wheelmast_core::finding::{did_you_mean, FindingList, FindingPlace};
+use wheelmast_core::finding::{suggest_name, FindingList, FindingPlace};
 
 /// Reads the fields of one object and remembers which it was asked for, so
 /// that [`ObjectReader::finish`] can report the others.
@@ -144,8 +144,8 @@
         let found = words.iter().find(|word| text == Some(**word)).copied();
         if found.is_none() {
             let message = format!("{name}: must be one of {}", words.join(", "));
-            let hint = text.and_then(|text| did_you_mean(text, words.iter().copied()));
-            findings.add_hint(self.place(value), message, hint);
+            let hint = text.and_then(|text| suggest_name(text, words.iter().copied()));
+            findings.add_with_hint(self.place(value), message, hint);
         }
         found
     }
@@ -238,9 +238,9 @@
                 );
             }
             if !self.known.contains(name) {
-                let hint = did_you_mean(name, self.known.iter().copied());
+                let hint = suggest_name(name, self.known.iter().copied());
                 let message = format!("{name}: unknown key");
-                findings.add_hint(self.property_place(property), message, hint);
+                findings.add_with_hint(self.property_place(property), message, hint);
             }
         }
     }
--- a/crates/wire/src/group.rs
+++ b/crates/wire/src/group.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
-use wheelmast_core::process::cap::{CapAsk, CapGrant};
+use wheelmast_core::process::cap::{TokenGrant, TokenRequest};
 use wheelmast_core::process::control::log::ReplicaId;
 use wheelmast_core::process::control::message::ReplicaMessage;
 use wheelmast_core::process::control::state::{CommandOutcome, ControlCommand, MemberRecord};
@@ -188,14 +188,14 @@
         /// The sender's name for it.
         tag: u64,
         /// What it asks for.
-        asks: Vec<CapAsk>,
+        asks: Vec<TokenRequest>,
     },
     /// The answer to [`GroupMessage::AskCaps`].
     Caps {
         /// The asker's name for it.
         tag: u64,
         /// What is granted, in the order of the questions.
-        grants: Vec<CapGrant>,
+        grants: Vec<TokenGrant>,
     },
     /// A control instance asks another one for the notices of servers, by their ids.
     AskNotices(Vec<Box<str>>),
@@ -259,7 +259,7 @@
     /// What is in force for sure?
     Read,
     /// Which of these tokens are granted?
-    Caps(Vec<CapAsk>),
+    Caps(Vec<TokenRequest>),
 }
 
 /// The leader's answer.
@@ -272,5 +272,5 @@
     /// It cannot be said now.
     Unknown,
     /// What is granted, in the order of the questions.
-    Caps(Vec<CapGrant>),
+    Caps(Vec<TokenGrant>),
 }
--- a/crates/wire/src/upstream.rs
+++ b/crates/wire/src/upstream.rs
@@ -7,7 +7,7 @@
 use serde_json::value::RawValue;
 use wheelmast_core::prelude::{
     AttemptId, HeldSnapshot, ReplyBody, ReplyStatus, RequestId, RequestKind, ScoredHit, SendOrder,
-    ServerNews, ServerPhase, SnapshotId,
+    ServerPhase, SnapshotId, UpstreamAnnouncement,
 };
 
 /// Path of a subquery at an upstream server.
@@ -210,7 +210,7 @@
         return ReplyStatus::Failed;
     }
     if status == 410 {
-        return ReplyStatus::Gone {
+        return ReplyStatus::SnapshotNotHeld {
             held: refusal.held.into_iter().map(HeldSnapshot::from).collect(),
         };
     }
@@ -248,7 +248,7 @@
 /// # Errors
 ///
 /// Names what cannot be taken.
-pub fn read_announcement(body: AnnouncementBody) -> Result<ServerNews, MessageError> {
+pub fn read_announcement(body: AnnouncementBody) -> Result<UpstreamAnnouncement, MessageError> {
     let problem = |text: &str| Err(MessageError(text.to_string()));
     if body.server.is_empty() || body.upstream.is_empty() {
         return problem("server and upstream must be named");
@@ -266,7 +266,7 @@
         "left" => ServerPhase::Left,
         _ => return problem("phase must be starting, serving, draining or left"),
     };
-    Ok(ServerNews {
+    Ok(UpstreamAnnouncement {
         name: body.server.into(),
         upstream: body.upstream.into(),
         domain: body.domain.into(),
--- a/crates/wire/tests/decode.rs
+++ b/crates/wire/tests/decode.rs
@@ -69,7 +69,7 @@
             name: "gone",
             status: 410,
             body: r#"{"ran":false,"held":[{"epoch":1,"version":2,"shard":0,"shards":4}]}"#,
-            check: |status| matches!(status, ReplyStatus::Gone { held } if held.len() == 1),
+            check: |status| matches!(status, ReplyStatus::SnapshotNotHeld { held } if held.len() == 1),
         },
         ReplyCase {
             name: "another status",
