--- a/crates/core/tests/control.rs
+++ b/crates/core/tests/control.rs
@@ -194,14 +194,14 @@
             }
             Some(left) => {
                 node.crash_after = Some(left - 1);
-                node.disk.keep(action);
+                node.disk.persist_action(action);
                 true
             }
             None => {
                 // Sound disks sync; a lying one forgets entries now and then.
                 let forgets = node.lies && matches!(action, ReplicaAction::KeepEntry(_));
                 if !forgets {
-                    node.disk.keep(action);
+                    node.disk.persist_action(action);
                 }
                 true
             }
--- a/crates/core/tests/members/harness.rs
+++ b/crates/core/tests/members/harness.rs
@@ -240,7 +240,7 @@
                 self.nodes[node].held.extend(held);
                 return;
             }
-            self.nodes[node].disk.keep(&action);
+            self.nodes[node].disk.persist_action(&action);
             self.act(node, action);
         }
     }
--- a/crates/core/tests/support/disk.rs
+++ b/crates/core/tests/support/disk.rs
@@ -1,10 +1,11 @@
-//! What a replica's disk has kept.
+//! Simulated disk of a control-group replica for tests.
 
 use wheelmast_core::process::control::log::{HardState, LogEntry, LogPlace};
 use wheelmast_core::process::control::message::ReplicaAction;
 use wheelmast_core::process::control::state::ControlState;
 
-/// A disk that keeps what it is told.
+/// In-memory disk: holds the replica's persisted hard state, snapshot, log entries
+/// and commit index.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Disk {
     pub(crate) hard: HardState,
@@ -15,7 +16,8 @@
 }
 
 impl Disk {
-    pub(crate) fn keep(&mut self, action: &ReplicaAction) {
+    /// Stores what a persistence action of the replica writes; ignores other actions.
+    pub(crate) fn persist_action(&mut self, action: &ReplicaAction) {
         match action {
             ReplicaAction::KeepHard(hard) => self.hard = *hard,
             ReplicaAction::KeepCommit(commit) => self.commit = *commit,
@@ -30,8 +32,9 @@
             } => {
                 self.place = *place;
                 self.state = (**state).clone();
-                let all = *is_installed;
-                self.entries.retain(|kept| !all && kept.index > place.index);
+                let drops_all = *is_installed;
+                self.entries
+                    .retain(|kept| !drops_all && kept.index > place.index);
             }
             _ => {}
         }
--- a/crates/core/tests/trio/harness.rs
+++ b/crates/core/tests/trio/harness.rs
@@ -66,7 +66,7 @@
         let (machine, disk) = &mut self.replicas[place];
         machine.step(self.now, input, &mut out);
         let from = machine.id();
-        out.iter().for_each(|action| disk.keep(action));
+        out.iter().for_each(|action| disk.persist_action(action));
         for action in out {
             match action {
                 ReplicaAction::Send { to, message } => self.send(from, to, message),
