--- a/crates/core/benches/entry.rs
+++ b/crates/core/benches/entry.rs
@@ -1,4 +1,5 @@
-//! The entry machine's own cost: a plan, and a whole query, by shards.
+//! Benchmarks of the entry machine's CPU cost by number of shards: planning a
+//! query (`plan`), and a query from request to answer (`query`).
 
 #![allow(missing_docs)]
 
@@ -13,12 +14,12 @@
     version: 1,
 };
 
-/// Returns a machine that knows `shards` groups of two servers.
-fn machine<P: RoutePolicy>(shards: u32, policy: P) -> EntryMachine<P> {
+/// Creates a machine that knows `shards` shards with 2 servers each.
+fn build_machine<P: RoutePolicy>(shards: u32, policy: P) -> EntryMachine<P> {
     let options = EntryOptions::builder().decisions_per_second(0).build();
     let mut machine = EntryMachine::new(options, policy);
     let text = "service,kind,deadline_ms,merge\nsearch,query,1000,score\n";
-    let table = ServiceTable::parse(text, 1).expect("the bench's table is good");
+    let table = ServiceTable::parse(text, 1).expect("the table of the benchmark is valid");
     let mut out = Vec::new();
     machine.step(Duration::ZERO, EntryInput::Table(table), &mut out);
     for index in 0..shards * 2 {
@@ -45,7 +46,7 @@
     machine
 }
 
-fn request(call: u64) -> EntryInput {
+fn build_request(call: u64) -> EntryInput {
     EntryInput::Submit(QueryRequest {
         call: CallTag(call),
         service: "search".into(),
@@ -58,25 +59,29 @@
     })
 }
 
-fn reply(order: &SendOrder) -> EntryInput {
+fn build_reply(order: &SendOrder) -> EntryInput {
     EntryInput::Reply(AttemptReply::with_no_hits(order))
 }
 
-/// Runs one query to its end and returns the number of actions.
-fn whole_query<P: RoutePolicy>(machine: &mut EntryMachine<P>, call: u64) -> usize {
+/// Runs one query until its answer and returns the number of actions.
+fn run_query<P: RoutePolicy>(machine: &mut EntryMachine<P>, call: u64) -> usize {
     let now = Duration::from_micros(call * 10_000);
     let mut orders = Vec::new();
-    machine.step(now, request(call), &mut orders);
-    let mut ends = Vec::new();
+    machine.step(now, build_request(call), &mut orders);
+    let mut final_actions = Vec::new();
     for action in &orders {
         if let EntryAction::Send(order) = action {
-            machine.step(now + Duration::from_millis(4), reply(order), &mut ends);
+            machine.step(
+                now + Duration::from_millis(4),
+                build_reply(order),
+                &mut final_actions,
+            );
         }
     }
-    orders.len() + ends.len()
+    orders.len() + final_actions.len()
 }
 
-fn plans(criterion: &mut Criterion) {
+fn bench_plans(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("plan");
     for shards in [20, 60, 120, 240] {
         group.bench_function(BenchmarkId::new("table", shards), |bencher| {
@@ -89,14 +94,14 @@
     group.finish();
 }
 
-/// Measures admission, snapshot choice, plan and choice of upstreams; the
-/// replies that make room for the next plan are not measured.
+/// Measures admission, the choices of snapshot and servers, and the sends. The
+/// replies that free capacity for the next query are excluded from the measurement.
 fn bench_plan<P: RoutePolicy>(bencher: &mut criterion::Bencher<'_>, shards: u32, policy: P) {
-    let machine = std::cell::RefCell::new(machine(shards, policy));
+    let machine = std::cell::RefCell::new(build_machine(shards, policy));
     let mut call = 0;
     for _ in 0..100 {
         call += 1;
-        whole_query(&mut machine.borrow_mut(), call);
+        run_query(&mut machine.borrow_mut(), call);
     }
     let pending: std::cell::RefCell<Vec<EntryAction>> = std::cell::RefCell::default();
     bencher.iter_batched(
@@ -106,10 +111,16 @@
             let now = Duration::from_micros(call * 10_000);
             for action in pending.borrow_mut().drain(..) {
                 if let EntryAction::Send(order) = action {
-                    machine.borrow_mut().step(now, reply(&order), &mut out);
+                    machine
+                        .borrow_mut()
+                        .step(now, build_reply(&order), &mut out);
                 }
             }
-            (now, request(call), Vec::with_capacity(shards as usize))
+            (
+                now,
+                build_request(call),
+                Vec::with_capacity(shards as usize),
+            )
         },
         |(now, input, mut out)| {
             machine.borrow_mut().step(now, input, &mut out);
@@ -119,21 +130,21 @@
     );
 }
 
-fn queries(criterion: &mut Criterion) {
+fn bench_queries(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("query");
     for shards in [20, 60, 120, 240] {
         group.throughput(Throughput::Elements(1));
         group.bench_function(BenchmarkId::from_parameter(shards), |bencher| {
-            let mut machine = machine(shards, LowestCostPolicy::default());
+            let mut machine = build_machine(shards, LowestCostPolicy::default());
             let mut call = 0;
             bencher.iter(|| {
                 call += 1;
-                whole_query(&mut machine, call)
+                run_query(&mut machine, call)
             });
         });
     }
     group.finish();
 }
 
-criterion_group!(benches, plans, queries);
+criterion_group!(benches, bench_plans, bench_queries);
 criterion_main!(benches);
--- a/crates/core/src/arena.rs
+++ b/crates/core/src/arena.rs
@@ -1,16 +1,16 @@
-//! Arenas addressed by small `Copy` keys.
+//! Arenas: record storage addressed by small `Copy` keys instead of references.
 //!
-//! [`KeyArena`] only grows and suits records that live as long as the process.
-//! [`SlotArena`] reuses its slots; a generation in the key makes a stale key
-//! miss instead of reaching the slot's next tenant.
+//! [`KeyArena`] only grows, for records that live as long as the process.
+//! [`SlotArena`] reuses the slots of removed records. Each of its keys contains a
+//! generation, so a stale key finds nothing instead of the slot's next record.
 
 use std::marker::PhantomData;
 
-/// A key that is a plain index into a [`KeyArena`].
+/// Typed index into a [`KeyArena`].
 pub trait ArenaKey: Copy {
-    /// Makes the key of an index.
+    /// Converts an index into a key.
     fn from_index(index: usize) -> Self;
-    /// Returns the index of the key.
+    /// Converts the key into an index.
     fn index(self) -> usize;
 }
 
@@ -37,11 +37,11 @@
     ServerKey
 );
 arena_key!(
-    /// Key of an upstream: the servers that announce one service name.
+    /// Key of an upstream (all servers that announce the same service name).
     UpstreamKey
 );
 
-/// An arena that only grows.
+/// Arena that only grows; records are never removed.
 #[derive(Debug)]
 pub struct KeyArena<K, V> {
     items: Vec<V>,
@@ -58,23 +58,23 @@
 }
 
 impl<K: ArenaKey, V> KeyArena<K, V> {
-    /// Adds `value` and returns its key.
+    /// Appends `value` and returns its key.
     pub fn push(&mut self, value: V) -> K {
         self.items.push(value);
         K::from_index(self.items.len() - 1)
     }
 
-    /// Returns the number of records.
+    /// Returns the number of stored records.
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Tells whether the arena holds nothing.
+    /// Returns whether the arena holds no records.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// Iterates over keys and records.
+    /// Iterates over all keys and records.
     pub fn iter(&self) -> impl Iterator<Item = (K, &V)> {
         self.items
             .iter()
@@ -84,7 +84,7 @@
 }
 
 impl<K: ArenaKey, V> KeyArena<K, V> {
-    /// Iterates over keys and records, which may be changed.
+    /// Iterates over all keys and mutable records.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (K, &mut V)> {
         let items = self.items.iter_mut().enumerate();
         items.map(|(index, value)| (K::from_index(index), value))
@@ -105,7 +105,8 @@
     }
 }
 
-/// A key into a [`SlotArena`]: the slot and the generation of its tenant.
+/// Key into a [`SlotArena`]: a slot index, and the generation of the record in the
+/// slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SlotKey {
     index: u32,
@@ -118,7 +119,7 @@
     value: Option<V>,
 }
 
-/// An arena that reuses its slots.
+/// Arena that reuses the slots of removed records.
 #[derive(Debug)]
 pub struct SlotArena<V> {
     slots: Vec<Slot<V>>,
@@ -135,7 +136,7 @@
 }
 
 impl<V> SlotArena<V> {
-    /// Stores `value` and returns its key.
+    /// Stores `value` in a free or new slot and returns its key.
     pub fn insert(&mut self, value: V) -> SlotKey {
         if let Some(index) = self.free.pop() {
             let slot = &mut self.slots[index as usize];
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Returns the record of `key`, if it is still there.
+    /// Returns the record for `key`, or `None` if it was removed.
     pub fn get(&self, key: SlotKey) -> Option<&V> {
         let slot = self.slots.get(key.index as usize)?;
         if slot.generation != key.generation {
@@ -164,7 +165,7 @@
         slot.value.as_ref()
     }
 
-    /// Returns the record of `key` for change, if it is still there.
+    /// Returns the record for `key` mutably, or `None` if it was removed.
     pub fn get_mut(&mut self, key: SlotKey) -> Option<&mut V> {
         let slot = self.slots.get_mut(key.index as usize)?;
         if slot.generation != key.generation {
@@ -173,7 +174,7 @@
         slot.value.as_mut()
     }
 
-    /// Takes the record of `key` out and frees its slot.
+    /// Removes and returns the record for `key`, and frees its slot.
     pub fn remove(&mut self, key: SlotKey) -> Option<V> {
         let slot = self.slots.get_mut(key.index as usize)?;
         if slot.generation != key.generation {
@@ -185,20 +186,21 @@
         Some(value)
     }
 
-    /// Returns the number of records.
+    /// Returns the number of stored records.
     pub fn len(&self) -> usize {
         self.slots.len() - self.free.len()
     }
 
-    /// Tells whether the arena holds nothing.
+    /// Returns whether the arena holds no records.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Returns the keys of all records.
+    /// Returns the keys of all stored records, in slot order.
     pub fn keys(&self) -> Vec<SlotKey> {
-        let live = self.slots.iter().enumerate();
-        live.filter(|(_, slot)| slot.value.is_some())
+        let slots = self.slots.iter().enumerate();
+        slots
+            .filter(|(_, slot)| slot.value.is_some())
             .map(|(index, slot)| SlotKey {
                 index: index as u32,
                 generation: slot.generation,
--- a/crates/core/src/finding.rs
+++ b/crates/core/src/finding.rs
@@ -1,28 +1,29 @@
-//! Findings: what is wrong with an input, where, and what is allowed.
+//! Findings: validation errors in settings files and tables, with their location
+//! and what would be allowed.
 //!
-//! Readers of settings and tables collect findings and report them together,
-//! so that one run shows everything that has to be mended.
+//! The readers of settings and tables collect all findings of an input and report
+//! them together, so that one run shows every error.
 
 use std::fmt;
 
-/// Where a finding was made. Lines and columns count from 1.
+/// Location of a finding in its input. Lines and columns count from 1.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FindingPlace {
     /// A position in a text file.
     Text {
-        /// Line of the position.
+        /// Line number.
         line: usize,
-        /// Column of the position, in characters.
+        /// Column number, in characters.
         column: usize,
     },
     /// A cell of the service table.
     Cell {
-        /// Row in the file; the header is row 1.
+        /// Row number in the file; the header is row 1.
         row: usize,
         /// Name of the column.
         column: String,
     },
-    /// The input as a whole.
+    /// The whole input, for errors without a specific position.
     WholeInput,
 }
 
@@ -36,14 +37,14 @@
     }
 }
 
-/// One thing that is wrong with an input.
+/// One validation error in an input.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InputFinding {
-    /// Where it was found.
+    /// Location of the error.
     pub place: FindingPlace,
-    /// What is wrong and what is allowed.
+    /// Description of the error and of what is allowed.
     pub message: String,
-    /// What the author may have meant.
+    /// Suggestion of what the author may have meant.
     pub hint: Option<String>,
 }
 
@@ -57,14 +58,14 @@
     }
 }
 
-/// All findings of one input.
+/// All findings of one input, in order of discovery.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct FindingList {
     items: Vec<InputFinding>,
 }
 
 impl FindingList {
-    /// Adds a finding.
+    /// Adds a finding without a hint.
     pub fn add(&mut self, place: FindingPlace, message: impl Into<String>) {
         self.items.push(InputFinding {
             place,
@@ -73,7 +74,7 @@
         });
     }
 
-    /// Adds a finding with a hint.
+    /// Adds a finding with an optional hint.
     pub fn add_with_hint(
         &mut self,
         place: FindingPlace,
@@ -87,12 +88,12 @@
         });
     }
 
-    /// Tells whether nothing was found.
+    /// Returns whether there are no findings.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// Returns the findings in the order of their discovery.
+    /// Returns the findings in order of discovery.
     pub fn items(&self) -> &[InputFinding] {
         &self.items
     }
@@ -109,15 +110,16 @@
 
 impl std::error::Error for FindingList {}
 
-/// Least similarity (0 to 1) at which a name is offered as a hint.
+/// Minimum Jaro-Winkler similarity (0 to 1) at which a known name is suggested.
 const HINT_SIMILARITY: f64 = 0.72;
 
-/// Offers the known name that is nearest to `name`, if any is near.
+/// Returns a hint with the known name most similar to `name`, if one is similar
+/// enough.
 pub fn suggest_name<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<String> {
     let mut best: Option<(&str, f64)> = None;
     for candidate in known {
         let similarity = strsim::jaro_winkler(name, candidate);
-        if best.is_none_or(|(_, top)| similarity > top) {
+        if best.is_none_or(|(_, highest)| similarity > highest) {
             best = Some((candidate, similarity));
         }
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,12 +1,12 @@
-//! Decisions of the wheelmast query tier.
+//! Decision logic of the wheelmast query tier.
 //!
-//! Everything here is a pure state machine: time, randomness and messages come
-//! in, actions go out. Nothing in this crate opens a socket, reads a clock or
-//! touches a file, so that a unit test, a property test, a bench and a real
-//! socket drive the same code.
+//! All code in this crate consists of pure state machines: their inputs are the
+//! time, a random seed and messages, and their outputs are actions. The crate opens
+//! no socket, reads no clock and accesses no file, so unit tests, property tests,
+//! benchmarks and the real process all run the same code.
 //!
-//! The folders follow life spans: [`request`], [`connection`], [`version`] (of
-//! the service table) and [`process`].
+//! The modules are grouped by the lifetime of their state: one [`request`], one
+//! [`connection`], one [`version`] of the service table, or the whole [`process`].
 
 pub mod arena;
 pub mod connection;
--- a/crates/core/src/prelude.rs
+++ b/crates/core/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The common types, for a single `use`.
+//! Re-exports the types that most users of this crate need.
 
 pub use crate::arena::{KeyArena, ServerKey, SlotArena, SlotKey, UpstreamKey};
 pub use crate::finding::{FindingList, FindingPlace, InputFinding};
--- a/crates/core/src/process/budget.rs
+++ b/crates/core/src/process/budget.rs
@@ -1,21 +1,23 @@
-//! The budget for extra subqueries: hedges and retries.
+//! Token bucket that limits extra subqueries (hedges and retries) to a
+//! fraction of the first sends.
 
-/// Most tokens a budget holds, and what it starts with.
+/// Capacity of the bucket in tokens, and its level at the start.
 ///
-/// Enough to carry the first failures of a service that is asked rarely, and
-/// small beside the subqueries of one that is asked often.
+/// 10 tokens cover the first failures of a service with little traffic and are
+/// few compared with the subqueries of a busy service.
 pub const BUDGET_BURST: f64 = 10.0;
 
-/// Tokens that hedges leave to retries.
+/// Number of tokens that hedges must leave in the bucket for retries.
 ///
-/// A hedge makes an answer sooner, a retry makes it whole: with few tokens
-/// left the retry goes first.
+/// A hedge only makes an answer faster, but a retry makes it complete, so
+/// retries have priority when few tokens are left.
 pub const HEDGE_RESERVE: f64 = 5.0;
 
-/// A token bucket that is filled by first sends and spent by extra ones.
+/// Token bucket of one service: each first send of a shard adds a fraction of a
+/// token, and each hedge or retry costs one token.
 ///
-/// Over any time, extra sends are at most `extra_load` times the first sends,
-/// plus [`BUDGET_BURST`].
+/// Over any period, the number of extra sends is at most `extra_load` times the
+/// number of first sends, plus [`BUDGET_BURST`].
 #[derive(Debug, Clone)]
 pub struct ExtraBudget {
     tokens: f64,
@@ -30,22 +32,23 @@
 }
 
 impl ExtraBudget {
-    /// Adds what one first send earns.
+    /// Adds `extra_load` tokens (the service's setting) for one first send.
     pub fn add_send_credit(&mut self, extra_load: f64) {
         self.tokens = (self.tokens + extra_load).min(BUDGET_BURST);
     }
 
-    /// Tells whether there is a token for a retry.
+    /// Returns whether the bucket holds a token for a retry.
     pub fn allows_retry(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Tells whether there is a token for a hedge.
+    /// Returns whether the bucket holds a token for a hedge besides the
+    /// [`HEDGE_RESERVE`].
     pub fn allows_hedge(&self) -> bool {
         self.tokens >= 1.0 + HEDGE_RESERVE
     }
 
-    /// Takes one token for an extra send, if there is one.
+    /// Removes one token for an extra send. Returns false if there is none.
     pub fn try_spend(&mut self) -> bool {
         if !self.allows_retry() {
             return false;
--- a/crates/core/src/process/cap/lease.rs
+++ b/crates/core/src/process/cap/lease.rs
@@ -1,64 +1,74 @@
-//! The tokens of one workspace at an entry, and the requests that wait for one.
+//! Token state of one workspace at an entry: tokens in hand, waiting requests and
+//! the outstanding token request to the source (the control instance that grants
+//! tokens to this entry).
 
 use std::time::Duration;
 
 use crate::process::cap::{TokenGrant, TokenRequest};
 
-/// Time for which tokens are asked for in advance, by the requests of late.
+/// Time for which tokens are requested in advance, at the recent request rate.
 const PREFETCH_TIME: Duration = Duration::from_millis(400);
-/// Time after which tokens that were not used are dropped.
+/// Time after which unused tokens are dropped.
 const TOKEN_LIFETIME: Duration = Duration::from_secs(1);
-/// Least time for which requests are refused after the owner refused one: each
-/// of them would be a question.
+/// Minimum time for which requests are refused locally after the owner refused
+/// one. Otherwise each further request would cause a message.
 const MIN_REFUSAL_TIME: Duration = Duration::from_millis(60);
-/// Longest such time: the others may have come back less often than told.
+/// Maximum time for which requests are refused locally. Tokens may be available
+/// earlier than announced, because other callers may retry less often than they
+/// were told to.
 const MAX_REFUSAL_TIME: Duration = Duration::from_secs(1);
 
-/// What becomes of a request that needs a token.
+/// Decision about a request that needs a token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionStep {
-    /// It has one.
+    /// The request got a token and can run.
     Admit,
-    /// It waits, and the source is to be asked.
+    /// The request waits, and the caller of this module must send a token request
+    /// to the source.
     RequestTokens,
-    /// It waits for the answer to a question that was asked.
+    /// The request waits, and a token request is already outstanding.
     Wait,
-    /// The cap is reached; it may come back after this time.
+    /// The cap is reached; the request can be retried after this time.
     Refuse(Duration),
 }
 
-/// What becomes of the requests that wait, oldest first, once the source has
-/// answered.
+/// Effect of a grant on the waiting requests, oldest first: `served` requests run,
+/// the next `refused` are refused, and the rest keep waiting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GrantOutcome {
-    /// Requests that have a token.
+    /// Number of waiting requests that got a token.
     pub served: u32,
-    /// Requests after these that are refused.
+    /// Number of waiting requests refused, following the served ones.
     pub refused: u32,
-    /// When the refused may come back.
+    /// Time after which the refused requests can be retried.
     pub retry_after: Duration,
-    /// Whether the source is to be asked once more, for the others.
+    /// Whether another token request must be sent for the requests that still wait.
     pub asks: bool,
 }
 
-/// What an entry holds of a workspace.
+/// An entry's token state for one workspace.
 #[derive(Debug, Clone, Default)]
 pub struct CapLease {
     tokens: u32,
     tokens_until: Duration,
+    /// Time until which new requests are refused locally.
     refused_until: Duration,
+    /// Number of requests waiting for a token.
     waiting: u32,
-    /// Requests that were waiting when the source was asked; 0 if it was not.
-    asked: u32,
-    /// Requests a second of late.
+    /// Number of waiting requests that the outstanding token request covers; 0 if
+    /// none is outstanding.
+    requested: u32,
+    /// Recent requests per second: a count that decays with a time constant of one
+    /// second.
     rate: f64,
-    seen_at: Duration,
+    last_request_at: Duration,
 }
 
 impl CapLease {
-    /// Takes a request in.
+    /// Decides about a new request, and adds the request to the waiting ones if
+    /// necessary.
     pub fn admit_request(&mut self, now: Duration) -> AdmissionStep {
-        self.count(now);
+        self.update_rate(now);
         if now >= self.tokens_until {
             self.tokens = 0;
         }
@@ -70,16 +80,17 @@
             return AdmissionStep::Refuse(self.refused_until - now);
         }
         self.waiting += 1;
-        if self.asked > 0 {
+        if self.requested > 0 {
             AdmissionStep::Wait
         } else {
             AdmissionStep::RequestTokens
         }
     }
 
-    /// Returns the question to the source for all that wait.
+    /// Builds the token request for all waiting requests, and marks the token
+    /// request as outstanding.
     pub fn token_request(&mut self, workspace: &str) -> TokenRequest {
-        self.asked = self.waiting;
+        self.requested = self.waiting;
         TokenRequest {
             workspace: workspace.into(),
             waiting: self.waiting,
@@ -87,11 +98,11 @@
         }
     }
 
-    /// Takes the source's answer.
+    /// Applies a grant from the source and decides about the waiting requests.
     pub fn handle_grant(&mut self, grant: TokenGrant, now: Duration) -> GrantOutcome {
         let served = grant.tokens.min(self.waiting);
-        let asked = std::mem::take(&mut self.asked).min(self.waiting);
-        let refused = asked.saturating_sub(served);
+        let requested = std::mem::take(&mut self.requested).min(self.waiting);
+        let refused = requested.saturating_sub(served);
         self.waiting -= served + refused;
         self.tokens += grant.tokens - served;
         self.tokens_until = now + TOKEN_LIFETIME;
@@ -107,22 +118,22 @@
         }
     }
 
-    /// Takes note that the source did not answer; returns how many requests
-    /// have waited in vain.
+    /// Removes all waiting requests because the source did not answer. Returns their
+    /// number.
     pub fn clear_waiting(&mut self) -> u32 {
-        self.asked = 0;
+        self.requested = 0;
         std::mem::take(&mut self.waiting)
     }
 
-    /// Takes a token back whose request was not sent.
+    /// Returns an unused token whose request was not sent to a server.
     pub fn return_token(&mut self, now: Duration) {
         self.tokens += 1;
         self.tokens_until = self.tokens_until.max(now + TOKEN_LIFETIME);
     }
 
-    fn count(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.seen_at).as_secs_f64();
-        self.seen_at = now;
+    fn update_rate(&mut self, now: Duration) {
+        let passed = now.saturating_sub(self.last_request_at).as_secs_f64();
+        self.last_request_at = now;
         self.rate = self.rate * (-passed).exp() + 1.0;
     }
 }
--- a/crates/core/src/process/cap/mod.rs
+++ b/crates/core/src/process/cap/mod.rs
@@ -1,12 +1,13 @@
-//! Usage caps of workspaces, which all entries keep together.
+//! Usage caps: limits on the request rate of a workspace, enforced across all
+//! entries together by a distributed token bucket.
 //!
-//! A request of a capped workspace costs a token. The leader of the control
-//! group owns the tokens ([`owner::CapOwner`]); each control instance holds a
-//! few for the entries that it is the source of ([`stock::CapStock`]), and an
-//! entry asks its source ([`lease::CapLease`]). What stands above the cap in the
-//! operator's bound ([`CapBound`]) is divided in fixed parts: tokens that lie
-//! unused at control instances, and what these give out while they can't reach
-//! the leader.
+//! Each request of a capped workspace costs a token. The leader of the control
+//! group holds the bucket ([`owner::CapOwner`]), each control instance holds a small
+//! stock of tokens ([`stock::CapStock`]), and an entry requests tokens from one
+//! control instance, its source ([`lease::CapLease`]). The excess over the cap that
+//! [`CapBound`] permits is divided into fixed fractions: a larger bucket at the
+//! leader, unused stock at control instances, and tokens that control instances
+//! grant while they cannot reach the leader.
 
 pub mod lease;
 pub mod owner;
@@ -18,22 +19,22 @@
 
 use crate::version::workspace::UsageCap;
 
-/// Part of the excess by which the owner's bucket is larger than the cap. The
-/// order in which requests reach the owner is not that in which callers sent
-/// them.
+/// Fraction of the excess by which the owner's bucket is larger than the cap.
+/// The bucket must be larger because requests do not reach the owner in the order
+/// in which callers sent them.
 const OWNER_FRACTION: f64 = 0.4;
-/// Part of the excess that lies unused at control instances.
+/// Fraction of the excess that control instances hold as unused stock.
 const STOCK_FRACTION: f64 = 0.3;
-/// Part of the excess that control instances give out without the leader.
+/// Fraction of the excess that control instances grant without the leader.
 const LEADERLESS_FRACTION: f64 = 0.2;
 
-/// How far the requests of a workspace may exceed its cap in any window, all
-/// entries taken together.
+/// Upper bound on how far a workspace's requests can exceed its cap in any window,
+/// summed over all entries.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CapBound {
-    /// Part of what the cap allows in a window.
+    /// Permitted excess as a fraction of what the cap allows in a window.
     pub excess: f64,
-    /// Requests in a window besides.
+    /// Permitted excess in requests per window, in addition to the fraction.
     pub slack: f64,
     /// Length of the window.
     pub window: Duration,
@@ -50,51 +51,52 @@
 }
 
 impl CapBound {
-    /// Returns the requests beyond the cap that a window may have.
+    /// Returns the number of requests by which a window can exceed the cap.
     fn max_excess(&self, cap: UsageCap) -> f64 {
         let allowed = cap.per_s * self.window.as_secs_f64() + cap.burst;
         allowed * self.excess + self.slack
     }
 
-    /// Returns the cap that the owner keeps to.
+    /// Returns the enlarged cap that the owner enforces.
     fn owner_cap(&self, cap: UsageCap) -> UsageCap {
-        let times = 1.0 + self.excess * OWNER_FRACTION;
+        let factor = 1.0 + self.excess * OWNER_FRACTION;
         UsageCap {
-            per_s: cap.per_s * times,
-            burst: cap.burst * times + self.slack * OWNER_FRACTION,
+            per_s: cap.per_s * factor,
+            burst: cap.burst * factor + self.slack * OWNER_FRACTION,
         }
     }
 
-    /// Returns the most tokens that one of `instances` control instances holds.
+    /// Returns the maximum stock of tokens of one of `instances` control instances.
     fn max_stock(&self, cap: UsageCap, instances: u32) -> u32 {
-        let part = self.max_excess(cap) * STOCK_FRACTION;
-        (part / f64::from(instances.max(1))) as u32
+        let stock = self.max_excess(cap) * STOCK_FRACTION;
+        (stock / f64::from(instances.max(1))) as u32
     }
 
-    /// Returns what one of `instances` control instances gives out in a window
-    /// without the leader.
-    fn floor(&self, cap: UsageCap, instances: u32) -> f64 {
+    /// Returns the number of tokens that one of `instances` control instances can
+    /// grant per window without the leader.
+    fn leaderless_allowance(&self, cap: UsageCap, instances: u32) -> f64 {
         self.max_excess(cap) * LEADERLESS_FRACTION / f64::from(instances.max(1))
     }
 }
 
-/// What is asked of whoever holds tokens.
+/// Request for tokens, from an entry to its control instance or from a control
+/// instance to the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenRequest {
-    /// The workspace.
+    /// Name of the workspace.
     pub workspace: Box<str>,
-    /// Requests that wait for a token.
+    /// Number of requests that are waiting for a token.
     pub waiting: u32,
-    /// Tokens that are asked for in advance.
+    /// Number of tokens requested in advance, for future requests.
     pub ahead: u32,
 }
 
-/// The answer to a [`TokenRequest`].
+/// Reply to a [`TokenRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct TokenGrant {
-    /// Tokens granted.
+    /// Number of tokens granted.
     pub tokens: u32,
-    /// Time until there is another one, in milliseconds, if fewer were granted
-    /// than wait.
+    /// Time after which refused requests can be retried, in milliseconds, if fewer
+    /// tokens were granted than requests are waiting; else 0.
     pub retry_ms: u32,
 }
--- a/crates/core/src/process/cap/owner.rs
+++ b/crates/core/src/process/cap/owner.rs
@@ -1,4 +1,5 @@
-//! The owner of the tokens: the leader of the control group.
+//! Token buckets of all capped workspaces, held by the leader of the control
+//! group (the owner of the tokens).
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,12 +7,12 @@
 use crate::process::cap::{CapBound, TokenGrant, TokenRequest};
 use crate::version::workspace::UsageCap;
 
-/// Part of its burst that a bucket keeps for requests that wait, before it
-/// gives tokens out in advance.
+/// Fraction of the burst that a bucket reserves for waiting requests; only tokens
+/// above this level are granted in advance.
 const RESERVED_FRACTION: f64 = 0.5;
-/// Longest time after which a refused caller is told to come back.
+/// Maximum retry time given to refused callers.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
-/// Milliseconds in a second.
+/// Milliseconds per second.
 const MS_PER_SECOND: f64 = 1000.0;
 
 #[derive(Debug, Clone, Copy)]
@@ -19,7 +20,8 @@
     cap: UsageCap,
     level: f64,
     filled_at: Duration,
-    /// Requests refused of late; fades within a second.
+    /// Count of recently refused requests, decaying with a time constant of one
+    /// second.
     refused: f64,
 }
 
@@ -31,43 +33,43 @@
         self.refused *= (-passed).exp();
     }
 
-    /// Returns the time until those refused of late could all be served, in
-    /// milliseconds.
-    fn retry_after(&self) -> u32 {
-        let longest = MAX_RETRY_AFTER.as_secs_f64();
+    /// Returns the time in milliseconds until the bucket has refilled enough to serve
+    /// all recently refused requests.
+    fn retry_after_ms(&self) -> u32 {
+        let max_wait = MAX_RETRY_AFTER.as_secs_f64();
         let missing = (self.refused - self.level).max(0.0);
         let wait = if self.cap.per_s > 0.0 {
-            (missing / self.cap.per_s).min(longest)
+            (missing / self.cap.per_s).min(max_wait)
         } else {
-            longest
+            max_wait
         };
         (wait * MS_PER_SECOND).ceil().max(1.0) as u32
     }
 }
 
-/// The buckets of all capped workspaces.
+/// Token buckets of all capped workspaces.
 #[derive(Debug, Clone, Default)]
 pub struct CapOwner {
     buckets: HashMap<Box<str>, CapBucket>,
 }
 
 impl CapOwner {
-    /// Takes over the caps of a table. A bucket that gets larger is filled by
-    /// the difference; one that gets smaller keeps what fits.
+    /// Applies the caps of a new table. A bucket that grows is filled by the
+    /// difference; a bucket that shrinks keeps the tokens that still fit.
     pub fn set_caps(
         &mut self,
         caps: impl IntoIterator<Item = (Box<str>, UsageCap)>,
         bound: &CapBound,
         now: Duration,
     ) {
-        let mut former = std::mem::take(&mut self.buckets);
+        let mut old_buckets = std::mem::take(&mut self.buckets);
         for (workspace, cap) in caps {
             let cap = bound.owner_cap(cap);
-            let bucket = match former.remove(&workspace) {
+            let bucket = match old_buckets.remove(&workspace) {
                 Some(mut bucket) => {
                     bucket.refill(now);
-                    let gained = (cap.burst - bucket.cap.burst).max(0.0);
-                    let level = (bucket.level + gained).min(cap.burst.max(1.0));
+                    let added = (cap.burst - bucket.cap.burst).max(0.0);
+                    let level = (bucket.level + added).min(cap.burst.max(1.0));
                     CapBucket {
                         cap,
                         level,
@@ -86,8 +88,8 @@
         }
     }
 
-    /// Begins with empty buckets: what a former leader granted a moment ago is
-    /// not known here.
+    /// Empties all buckets when this instance becomes leader, because the tokens that
+    /// the previous leader granted recently are unknown.
     pub fn empty_buckets(&mut self, now: Duration) {
         for bucket in self.buckets.values_mut() {
             bucket.level = 0.0;
@@ -95,10 +97,10 @@
         }
     }
 
-    /// Grants tokens: first to requests that wait, then in advance.
+    /// Grants tokens from the bucket, first to waiting requests, then in advance.
     pub fn grant(&mut self, request: &TokenRequest, now: Duration) -> TokenGrant {
         let Some(bucket) = self.buckets.get_mut(&request.workspace) else {
-            // It has no cap in the table that is in force here.
+            // The workspace has no cap in the leader's current table.
             return TokenGrant {
                 tokens: request.waiting,
                 retry_ms: 0,
@@ -112,7 +114,7 @@
         bucket.level -= f64::from(ahead);
         let retry_ms = if served < request.waiting {
             bucket.refused += f64::from(request.waiting - served);
-            bucket.retry_after()
+            bucket.retry_after_ms()
         } else {
             0
         };
--- a/crates/core/src/process/cap/stock.rs
+++ b/crates/core/src/process/cap/stock.rs
@@ -1,8 +1,8 @@
-//! Tokens at a control instance, near the entries that need them.
+//! Stock of tokens at a control instance, for the entries of its failure domain.
 //!
-//! The way to the leader may cross regions, and most entries see a workspace
-//! too seldom to hold tokens of their own. An instance of their failure domain
-//! holds some for all of them.
+//! A request to the leader may cross regions, and most entries get too few requests
+//! of a workspace to hold tokens themselves. A control instance in the same failure
+//! domain therefore holds some tokens for all of them.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,20 +10,22 @@
 use crate::process::cap::{CapBound, TokenRequest};
 use crate::version::workspace::UsageCap;
 
-/// Time after its last request in which a workspace is kept in stock.
+/// Time since a workspace's last token request during which its stock is
+/// refilled.
 const ACTIVE_PERIOD: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Clone, Copy)]
 struct WorkspaceStock {
     cap: UsageCap,
     tokens: u32,
-    /// What may be given out without the leader, grown up to `floor_at`.
-    floor: f64,
-    floor_at: Duration,
+    /// Number of tokens that can be granted without the leader, as of
+    /// `leaderless_at`.
+    leaderless: f64,
+    leaderless_at: Duration,
     used_at: Option<Duration>,
 }
 
-/// The tokens that one control instance holds.
+/// Tokens held by one control instance, by workspace.
 #[derive(Debug, Clone, Default)]
 pub struct CapStock {
     bound: CapBound,
@@ -31,7 +33,7 @@
 }
 
 impl CapStock {
-    /// Returns an empty stock under a bound.
+    /// Creates an empty stock, limited by `bound`.
     pub fn new(bound: CapBound) -> CapStock {
         CapStock {
             bound,
@@ -39,7 +41,7 @@
         }
     }
 
-    /// Takes over the caps of a table; tokens above the new bound are dropped.
+    /// Applies the caps of a new table, and drops tokens above the new maximum stock.
     pub fn set_caps(
         &mut self,
         caps: impl IntoIterator<Item = (Box<str>, UsageCap)>,
@@ -53,15 +55,16 @@
             let stock = WorkspaceStock {
                 cap,
                 tokens: known.map_or(0, |known| known.tokens.min(most)),
-                floor: known.map_or(0.0, |known| known.floor),
-                floor_at: known.map_or(now, |known| known.floor_at),
+                leaderless: known.map_or(0.0, |known| known.leaderless),
+                leaderless_at: known.map_or(now, |known| known.leaderless_at),
                 used_at: known.and_then(|known| known.used_at),
             };
             self.workspaces.insert(workspace, stock);
         }
     }
 
-    /// Takes tokens for requests that wait; returns how many there were.
+    /// Removes up to `waiting` tokens from the stock for waiting requests, and returns
+    /// how many were removed.
     pub fn take(&mut self, workspace: &str, waiting: u32, now: Duration) -> u32 {
         let Some(stock) = self.workspaces.get_mut(workspace) else {
             return 0;
@@ -72,14 +75,15 @@
         taken
     }
 
-    /// Adds tokens that the leader granted in advance.
+    /// Adds tokens that the leader granted in advance to the stock.
     pub fn add(&mut self, workspace: &str, tokens: u32) {
         if let Some(stock) = self.workspaces.get_mut(workspace) {
             stock.tokens += tokens;
         }
     }
 
-    /// Returns what is lacking of each workspace that is asked for.
+    /// Returns, for each recently used workspace whose stock is not full, the request
+    /// for the missing tokens.
     pub fn shortages(&self, instances: u32, now: Duration) -> Vec<TokenRequest> {
         let active = self.workspaces.iter().filter(|(_, stock)| {
             let used_at = stock.used_at;
@@ -97,8 +101,8 @@
         shortages.collect()
     }
 
-    /// Takes tokens that this instance may give out while it can't reach the
-    /// leader.
+    /// Grants up to `waiting` tokens while this instance cannot reach the leader, within
+    /// the allowance that accrues per window.
     pub fn take_leaderless(
         &mut self,
         workspace: &str,
@@ -109,13 +113,13 @@
         let Some(stock) = self.workspaces.get_mut(workspace) else {
             return 0;
         };
-        let most = self.bound.floor(stock.cap, instances);
-        let passed = now.saturating_sub(stock.floor_at).as_secs_f64();
+        let most = self.bound.leaderless_allowance(stock.cap, instances);
+        let passed = now.saturating_sub(stock.leaderless_at).as_secs_f64();
         let windows = passed / self.bound.window.as_secs_f64().max(f64::MIN_POSITIVE);
-        stock.floor = (stock.floor + windows * most).min(most.max(1.0));
-        stock.floor_at = now;
-        let taken = (stock.floor as u32).min(waiting);
-        stock.floor -= f64::from(taken);
+        stock.leaderless = (stock.leaderless + windows * most).min(most.max(1.0));
+        stock.leaderless_at = now;
+        let taken = (stock.leaderless as u32).min(waiting);
+        stock.leaderless -= f64::from(taken);
         taken
     }
 }
--- a/crates/core/src/process/counters.rs
+++ b/crates/core/src/process/counters.rs
@@ -1,57 +1,63 @@
-//! Counts of what the entry machine did, for metrics and bounds in tests.
+//! Event counters of the entry machine, exported as metrics and checked by
+//! tests.
 
-/// Counts since the process started.
+/// Number of events of each kind since the process started.
+///
+/// An attempt is one subquery sent to one server; a shard may get several.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EntryCounters {
-    /// Requests submitted.
+    /// Requests received from callers.
     pub submitted: u64,
-    /// Complete answers.
+    /// Requests answered with all shards.
     pub complete: u64,
-    /// Partial answers.
+    /// Requests answered with some shards missing.
     pub partial: u64,
-    /// Refusals known not to have run.
+    /// Requests refused with the guarantee that no server ran them.
     pub not_run: u64,
-    /// Refusals whose outcome is unknown, or that ran in part.
+    /// Requests refused although a server may have run them, fully or in part.
     pub unknown: u64,
-    /// First sends of a shard.
+    /// First attempts of a shard.
     pub sends: u64,
-    /// Hedges sent.
+    /// Hedges sent: second attempts while the first is still outstanding.
     pub hedges: u64,
-    /// Retries sent.
+    /// Retries sent: attempts after a failed one.
     pub retries: u64,
-    /// Sends after one that was never written.
+    /// Attempts sent again because nothing of the previous one had been written
+    /// to a connection.
     pub resends: u64,
-    /// Tokens of the extra-load budgets spent.
+    /// Tokens spent from the extra-load budgets.
     pub budget_spent: u64,
-    /// Extra sends that the budget held back.
+    /// Hedges and retries that were not sent because the budget was empty.
     pub budget_denied: u64,
-    /// Attempts cancelled.
+    /// Attempts cancelled by this instance.
     pub cancels: u64,
-    /// Attempts given up after their timeout.
+    /// Attempts that timed out.
     pub timeouts: u64,
-    /// Attempts refused by their server.
+    /// Attempts that the server refused to run (load shedding).
     pub sheds: u64,
-    /// Attempts that failed.
+    /// Attempts that failed: nothing was written, no readable reply was received, or
+    /// they timed out.
     pub failures: u64,
-    /// Replies dropped because nobody waited for them.
+    /// Replies dropped because their attempt had already ended.
     pub drops_late: u64,
-    /// Replies dropped because they named another attempt or request.
+    /// Replies dropped because they carried the identity of another attempt or
+    /// request.
     pub drops_foreign: u64,
-    /// Replies dropped because they named another shard.
+    /// Replies dropped because they were for another shard.
     pub drops_shard: u64,
-    /// Replies dropped because they came from another snapshot.
+    /// Replies dropped because they were computed on another snapshot.
     pub drops_snapshot: u64,
-    /// Queries restarted on another snapshot.
+    /// Queries started again on another snapshot.
     pub restarts: u64,
-    /// Attempts sent anew, outside the budget, because their server or its
-    /// domain was lost.
+    /// Attempts sent again, without spending budget, because the server or its
+    /// failure domain was ejected.
     pub rescues: u64,
-    /// Failure domains suspected.
+    /// Times that a whole failure domain was suspected to be unreachable.
     pub suspicions: u64,
-    /// Servers ejected.
+    /// Times that a server was ejected (excluded for a while).
     pub ejections: u64,
-    /// Announcements taken.
+    /// Server announcements accepted.
     pub announcements: u64,
-    /// Announcements older than what was known.
+    /// Server announcements ignored because they were outdated or invalid.
     pub stale_announcements: u64,
 }
--- a/crates/core/src/process/domain.rs
+++ b/crates/core/src/process/domain.rs
@@ -1,9 +1,9 @@
-//! Silence of a whole failure domain.
+//! Detects that a whole failure domain has become unreachable.
 //!
-//! A cut takes all servers of a domain away at once, without a word. Waiting
-//! until each of them has failed often enough to be ejected would cost many
-//! queries; a few timeouts at different servers, with nothing heard from the
-//! domain in between, tell it sooner. See `docs/design/health.md`.
+//! A network partition cuts off all servers of a domain at once. Ejecting each
+//! of them after its own failures would cost many queries. Therefore a domain is
+//! suspected as soon as attempts time out at a few different servers without any
+//! reply from the domain in between. See `docs/design/health.md`.
 
 use std::time::Duration;
 
@@ -11,12 +11,13 @@
 
 use crate::arena::{ArenaKey, ServerKey};
 
-/// Servers that must have timed out before a domain is suspected.
+/// Number of different servers at which attempts must time out before the
+/// domain is suspected.
 pub const TIMED_OUT_SERVERS_TO_SUSPECT: usize = 3;
-/// Time for which a suspected domain is avoided.
+/// Time for which the servers of a suspected domain get no requests.
 pub const SUSPECT_PERIOD: Duration = Duration::from_secs(1);
 
-/// Key of a failure domain.
+/// Key of a failure domain in the upstream roster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct DomainKey(u32);
 
@@ -30,19 +31,21 @@
     }
 }
 
-/// What is known of a failure domain.
+/// State of one failure domain: its servers and the timeouts since its last
+/// reply.
 #[derive(Debug)]
 pub struct DomainRecord {
-    /// Its name.
+    /// Name of the domain.
     pub name: Box<str>,
-    /// Its servers.
+    /// Servers in the domain.
     pub servers: Vec<ServerKey>,
     last_reply_at: Duration,
+    /// Servers at which an attempt timed out since the last reply.
     timed_out_servers: ArrayVec<ServerKey, TIMED_OUT_SERVERS_TO_SUSPECT>,
 }
 
 impl DomainRecord {
-    /// Returns a domain without servers.
+    /// Creates a domain without servers.
     pub fn new(name: &str) -> DomainRecord {
         DomainRecord {
             name: name.into(),
@@ -52,19 +55,19 @@
         }
     }
 
-    /// Takes note that something was heard from a server of the domain.
+    /// Records that a server of the domain replied.
     pub fn record_reply(&mut self, now: Duration) {
         self.last_reply_at = now;
         self.timed_out_servers.clear();
     }
 
-    /// Takes a timeout of an attempt sent at `sent_at`. Returns true if the
-    /// domain is to be suspected.
+    /// Records that an attempt sent at `sent_at` timed out. Returns whether the
+    /// domain must now be suspected. Ignores attempts sent before the last reply.
     pub fn record_timeout(&mut self, server: ServerKey, sent_at: Duration) -> bool {
         if sent_at < self.last_reply_at || self.timed_out_servers.contains(&server) {
             return false;
         }
-        // Cannot be full: it is emptied as soon as it is.
+        // The push cannot fail: the list is cleared below when it becomes full.
         let _ = self.timed_out_servers.try_push(server);
         let is_suspected = self.timed_out_servers.is_full();
         if is_suspected {
--- a/crates/core/src/process/entry.rs
+++ b/crates/core/src/process/entry.rs
@@ -1,7 +1,8 @@
-//! The entry machine: every decision of an instance for its callers' requests.
+//! The entry machine: a state machine that takes all decisions of one entry
+//! instance about its callers' requests for snapshot queries.
 //!
-//! The machine has one entry point, [`EntryMachine::step`]. Its parts stand in
-//! files of their own: admission, scatter, route, replies, sweep and finish.
+//! All inputs go through [`EntryMachine::step`]. The steps of a request are
+//! implemented in `admission`, `scatter`, `route`, `replies`, `sweep` and `finish`.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -23,24 +24,27 @@
 use crate::request::query::{AttemptState, QueryState, ShardState};
 use crate::version::table::ServiceTable;
 
-/// The checks that keep the promises.
+/// Switches of the checks that protect the correctness of answers and refusals.
 ///
-/// All are on in a running instance. A test switches one off to show that the
-/// broken promise would be noticed.
+/// All are on in production. Tests switch one off to prove that they would
+/// detect a violation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EntrySafetyChecks {
-    /// A reply must name its attempt and request.
+    /// Whether a reply is dropped unless it carries the identity of its attempt
+    /// and request.
     pub reply_identity: bool,
-    /// A reply must name its shard.
+    /// Whether a reply for another shard is dropped.
     pub shard: bool,
-    /// A reply must come from the query's snapshot.
+    /// Whether a reply computed on another snapshot than the query's is dropped.
     pub snapshot: bool,
-    /// A leaving server gets no new work.
+    /// Whether a server that is draining or whose lease has expired gets no new
+    /// subqueries.
     pub drain: bool,
-    /// A request that may not be repeated is sent again only if it is known
-    /// not to have run.
+    /// Whether a request that must not run twice is sent again only if no server
+    /// can have run it.
     pub single_run: bool,
-    /// "Not run" is said only if it is known.
+    /// Whether a refusal states "not run" only if no server can have run the
+    /// request.
     pub not_run_claim: bool,
 }
 
@@ -57,7 +61,7 @@
     }
 }
 
-/// Settings of an entry machine.
+/// Settings of an [`EntryMachine`].
 #[derive(Debug, Clone)]
 pub struct EntryOptions {
     pub(super) incarnation: u64,
@@ -69,7 +73,7 @@
 }
 
 impl EntryOptions {
-    /// Returns a builder with the defaults.
+    /// Returns a builder with default settings.
     pub fn builder() -> EntryOptionsBuilder {
         EntryOptionsBuilder {
             options: EntryOptions {
@@ -91,54 +95,56 @@
 }
 
 impl EntryOptionsBuilder {
-    /// Sets the random number that makes identities unique over restarts.
+    /// Sets the random number that makes request identities unique across
+    /// restarts.
     pub fn incarnation(mut self, incarnation: u64) -> Self {
         self.options.incarnation = incarnation;
         self
     }
 
-    /// Sets the seed of the machine's random numbers.
+    /// Sets the seed of the machine's random number generator.
     pub fn seed(mut self, seed: u64) -> Self {
         self.options.seed = seed;
         self
     }
 
-    /// Sets the number of instances that share each server's limits.
+    /// Sets the number of entry instances that share each server's limits.
     pub fn instances(mut self, instances: u32) -> Self {
         self.options.instances = instances;
         self
     }
 
-    /// Sets the most requests at work in the instance.
+    /// Sets the maximum number of requests running in the instance.
     pub fn in_flight(mut self, in_flight: u32) -> Self {
         self.options.in_flight = in_flight;
         self
     }
 
-    /// Sets how many decisions of requests are recorded in a second, at most.
+    /// Sets the maximum number of request decisions recorded per second.
     pub fn decisions_per_second(mut self, decisions: u32) -> Self {
         self.options.decisions_per_second = decisions;
         self
     }
 
-    /// Sets the guards; for tests.
+    /// Sets which safety checks are on, for tests.
     pub fn safety_checks(mut self, safety_checks: EntrySafetyChecks) -> Self {
         self.options.safety_checks = safety_checks;
         self
     }
 
-    /// Returns the options.
+    /// Returns the finished options.
     pub fn build(self) -> EntryOptions {
         self.options
     }
 }
 
-/// Time after which an instance serves with what it has learned.
+/// Time since the start after which an instance becomes ready even if it does not
+/// yet know live servers for every shard.
 pub const READY_TIMEOUT: Duration = Duration::from_secs(3);
-/// Most shard lists kept for reuse.
+/// Maximum number of empty shard lists kept for reuse.
 const MAX_SPARE_LISTS: usize = 256;
 
-/// Decides for all requests of one instance.
+/// State of one entry instance: admission, known servers and running requests.
 #[derive(Debug)]
 pub struct EntryMachine<P> {
     pub(super) policy: P,
@@ -147,22 +153,30 @@
     pub(super) roster: UpstreamRoster,
     pub(super) gates: AdmissionGates,
     pub(super) queries: SlotArena<QueryState>,
+    /// Queries by the identifiers that the driver chose for them.
     pub(super) calls: HashMap<CallTag, SlotKey>,
     pub(super) attempts: SlotArena<AttemptState>,
     pub(super) timers: TimerHeap,
     pub(super) counters: EntryCounters,
     pub(super) table_version: u64,
+    /// Number of requests received; the sequence number of the newest request.
     pub(super) requests: u64,
+    /// Number of attempts sent, used for attempt identities.
     pub(super) attempt_count: u64,
+    /// Whether the instance is shutting down and admits no new requests.
     pub(super) is_leaving: bool,
+    /// Whether the end of the shutdown has been reported.
     has_left: bool,
+    /// Sampling tokens of the decision log; one decision costs one token.
     trace_tokens: f64,
+    /// Time at which the sampling tokens were last refilled.
     trace_at: Duration,
-    spare: Vec<Vec<ShardState>>,
+    /// Cleared shard lists for reuse by new queries.
+    spare_shard_lists: Vec<Vec<ShardState>>,
 }
 
 impl<P: RoutePolicy> EntryMachine<P> {
-    /// Returns a machine without table or servers.
+    /// Creates a machine that has no service table and knows no servers yet.
     pub fn new(options: EntryOptions, policy: P) -> EntryMachine<P> {
         EntryMachine {
             policy,
@@ -181,13 +195,13 @@
             has_left: false,
             trace_tokens: f64::from(options.decisions_per_second),
             trace_at: Duration::ZERO,
-            spare: Vec::new(),
+            spare_shard_lists: Vec::new(),
             options,
         }
     }
 
-    /// Takes one input at time `now` (since the process started) and appends
-    /// what is to be done to `out`.
+    /// Handles one input at time `now` (since the process started) and appends the
+    /// resulting actions to `out`.
     pub fn step(&mut self, now: Duration, input: EntryInput, out: &mut Vec<EntryAction>) {
         match input {
             EntryInput::Announce(announcement) => self.handle_announcement(announcement, now, out),
@@ -212,12 +226,12 @@
         }
     }
 
-    /// Returns when the next timer is due.
+    /// Returns when the next timer is due, if one is set.
     pub fn next_wake(&self) -> Option<Duration> {
         self.timers.next()
     }
 
-    /// Returns the counts so far.
+    /// Returns the event counters.
     pub fn counters(&self) -> EntryCounters {
         self.counters
     }
@@ -227,24 +241,24 @@
         &self.roster
     }
 
-    /// Returns the gates of the services.
+    /// Returns the admission gates of the services.
     pub fn gates(&self) -> &AdmissionGates {
         &self.gates
     }
 
-    /// Returns the version of the table in force.
+    /// Returns the version of the current service table; 0 if there is none.
     pub fn table_version(&self) -> u64 {
         self.table_version
     }
 
-    /// Returns the number of requests at work or queued.
+    /// Returns the number of requests that are running or queued.
     pub fn query_count(&self) -> usize {
         self.queries.len()
     }
 
-    /// Tells whether the instance knows enough to serve: a table is in
-    /// force, and every upstream in it has a whole snapshot or time enough to
-    /// learn has passed.
+    /// Returns whether the instance is ready to serve: it has a service table, and
+    /// each upstream in the table has a snapshot with a live server for every shard
+    /// or [`READY_TIMEOUT`] has passed.
     pub fn is_ready(&self, now: Duration) -> bool {
         if self.table_version == 0 {
             return false;
@@ -252,7 +266,7 @@
         if now >= READY_TIMEOUT {
             return true;
         }
-        let is_whole = |upstream: &str| {
+        let is_fully_live = |upstream: &str| {
             let choice = self
                 .roster
                 .upstream(upstream)
@@ -260,7 +274,7 @@
             choice.is_some_and(|choice| choice.live == choice.shards)
         };
         let mut rows = self.gates.iter().filter_map(|(_, gate)| gate.row.as_ref());
-        rows.all(|row| is_whole(&row.upstream))
+        rows.all(|row| is_fully_live(&row.upstream))
     }
 
     fn apply_table(&mut self, table: ServiceTable, now: Duration, out: &mut Vec<EntryAction>) {
@@ -282,8 +296,8 @@
         now: Duration,
         out: &mut Vec<EntryAction>,
     ) {
-        let effect = self.roster.apply_announcement(announcement, now);
-        let server = match effect {
+        let change = self.roster.apply_announcement(announcement, now);
+        let server = match change {
             RosterChange::Stale | RosterChange::Refused => {
                 self.counters.stale_announcements += 1;
                 return;
@@ -316,7 +330,7 @@
         }
     }
 
-    /// Records a decision.
+    /// Emits a decision for the decision log.
     pub(super) fn record_decision(
         &mut self,
         request: Option<RequestId>,
@@ -331,8 +345,8 @@
         })));
     }
 
-    /// Records a decision of a query, if its decisions are recorded. The
-    /// decision is made up only then.
+    /// Emits a decision of a query if the query is sampled for the decision log.
+    /// Calls `decision` to build the record only in that case.
     pub(super) fn record_query_decision(
         &mut self,
         query: SlotKey,
@@ -351,8 +365,9 @@
         self.record_decision(Some(request), decision, now, out);
     }
 
-    /// Tells whether a query's decisions are to be recorded. Sampling is by
-    /// whole queries, so that a recorded story is complete.
+    /// Returns whether a new query is sampled for the decision log, after refilling
+    /// the sampling tokens. Either all decisions of a query are recorded or none, so
+    /// each recorded sequence is complete.
     pub(super) fn try_start_trace(&mut self, now: Duration) -> bool {
         let rate = f64::from(self.options.decisions_per_second);
         let elapsed = now.saturating_sub(self.trace_at).as_secs_f64();
@@ -361,21 +376,21 @@
         self.trace_tokens > 0.0
     }
 
-    /// Charges a traced query's decisions to the sampling rate.
+    /// Deducts the decisions of a sampled query from the sampling tokens.
     pub(super) fn charge_trace_budget(&mut self, decisions: usize) {
         self.trace_tokens -= decisions as f64;
     }
 
-    /// Returns an empty shard list, a used one if there is one.
+    /// Returns an empty shard list, reusing a recycled one if possible.
     pub(super) fn take_spare_shards(&mut self) -> Vec<ShardState> {
-        self.spare.pop().unwrap_or_default()
+        self.spare_shard_lists.pop().unwrap_or_default()
     }
 
-    /// Keeps a shard list for reuse.
+    /// Clears a shard list and keeps it for reuse, to save an allocation.
     pub(super) fn recycle_shards(&mut self, mut shards: Vec<ShardState>) {
         shards.clear();
-        if self.spare.len() < MAX_SPARE_LISTS {
-            self.spare.push(shards);
+        if self.spare_shard_lists.len() < MAX_SPARE_LISTS {
+            self.spare_shard_lists.push(shards);
         }
     }
 }
--- a/crates/core/src/process/gate.rs
+++ b/crates/core/src/process/gate.rs
@@ -1,4 +1,6 @@
-//! Admission: limits of a service in one instance, and its queue.
+//! Admission control: each service has a gate with a concurrency limit and a
+//! queue, and all gates share the limit of the instance. Waiting requests are
+//! started by weighted fair queueing over the services.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -9,10 +11,10 @@
 use crate::version::row::ServiceRow;
 use crate::version::table::ServiceTable;
 
-/// Weight of a new sample in the moving average of the service time.
+/// Weight of a new sample in the moving average of service time.
 const SERVICE_GAIN: f64 = 0.1;
 
-/// Key of a service's gate.
+/// Key of a service's gate in [`AdmissionGates`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GateKey(u32);
 
@@ -26,31 +28,34 @@
     }
 }
 
-/// The gate of one service.
+/// Admission state of one service: its limit, queue and extra-load budget.
 #[derive(Debug, Default)]
 pub struct ServiceGate {
-    /// The row in force; none once the service has left the table.
+    /// The service's row in the current service table; `None` if the service was
+    /// removed from the table.
     pub row: Option<Arc<ServiceRow>>,
-    /// Requests at work.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait, oldest first.
+    /// Queued requests, oldest first.
     pub queue: VecDeque<SlotKey>,
-    /// Budget for hedges and retries.
+    /// Token bucket for hedges and retries.
     pub budget: ExtraBudget,
-    /// Moving average of the time a request is at work.
+    /// Moving average of the time that a request runs.
     pub service_time: Duration,
-    /// Work let in so far, divided by weight: the least goes next.
+    /// Number of requests started, divided by the service's weight. The service
+    /// with the lowest value starts its next request first.
     virtual_time: f64,
 }
 
 impl ServiceGate {
-    /// Returns how long a request would wait behind `ahead` others.
+    /// Estimates how long a request waits behind `ahead` others of which
+    /// `parallelism` run at the same time.
     pub fn expected_wait(&self, ahead: usize, parallelism: u32) -> Duration {
         let rounds = ahead as f64 / f64::from(parallelism.max(1));
         self.service_time.mul_f64(rounds)
     }
 
-    /// Takes the time a request was at work.
+    /// Updates the average service time with the time that a request ran.
     pub fn record_service_time(&mut self, took: Duration) {
         if self.service_time.is_zero() {
             self.service_time = took;
@@ -71,18 +76,23 @@
     }
 }
 
-/// The gates of all services, and the instance's own limit over them.
+/// Gates of all services, and the concurrency limit of the whole instance.
 #[derive(Debug)]
 pub struct AdmissionGates {
     gates: KeyArena<GateKey, ServiceGate>,
     names: HashMap<Box<str>, GateKey>,
+    /// Number of running requests of all services.
     running: u32,
+    /// Maximum number of running requests of all services.
     limit: u32,
+    /// Virtual time of the fair queue: the highest `virtual_time` at which a queued
+    /// request was started. A service that was idle continues from here.
     virtual_now: f64,
 }
 
 impl AdmissionGates {
-    /// Returns a keeper that lets in `limit` requests at a time in all.
+    /// Creates an instance-wide gate set that allows `limit` running requests in
+    /// total.
     pub fn new(limit: u32) -> AdmissionGates {
         AdmissionGates {
             gates: KeyArena::default(),
@@ -93,14 +103,14 @@
         }
     }
 
-    /// Puts a table in force.
+    /// Applies a new service table. Gates of removed services stay, without a row.
     pub fn apply_table(&mut self, table: &ServiceTable) {
         for gate in self.names.values() {
             self.gates[*gate].row = None;
         }
         for row in table.rows() {
-            let found = self.names.get(&row.service).copied();
-            let gate = found.unwrap_or_else(|| {
+            let known_gate = self.names.get(&row.service).copied();
+            let gate = known_gate.unwrap_or_else(|| {
                 let gate = self.gates.push(ServiceGate::default());
                 self.names.insert(row.service.clone(), gate);
                 gate
@@ -109,44 +119,45 @@
         }
     }
 
-    /// Returns the gate of a service.
+    /// Looks up the key of a service's gate.
     pub fn find(&self, service: &str) -> Option<GateKey> {
         self.names.get(service).copied()
     }
 
-    /// Returns a gate.
+    /// Returns the gate for a key.
     pub fn gate(&self, gate: GateKey) -> &ServiceGate {
         &self.gates[gate]
     }
 
-    /// Returns a gate for change.
+    /// Returns the gate for a key, mutably.
     pub fn gate_mut(&mut self, gate: GateKey) -> &mut ServiceGate {
         &mut self.gates[gate]
     }
 
-    /// Tells whether a request of this service may start now.
+    /// Returns whether a new request of this service can start without queueing.
     pub fn may_start(&self, gate: GateKey) -> bool {
         let gate = &self.gates[gate];
         self.running < self.limit && gate.has_capacity() && gate.queue.is_empty()
     }
 
-    /// Returns how many requests of this service are at work together when the
-    /// instance is full: its weight's part of the limit, within its own.
+    /// Estimates how many requests of this service run in parallel when the
+    /// instance is at its limit: the service's share of the limit by weight, capped
+    /// at the service's own limit.
     pub fn parallelism(&self, gate: GateKey) -> u32 {
-        let busy = |gate: &ServiceGate| gate.running > 0 || !gate.queue.is_empty();
+        let is_busy = |gate: &ServiceGate| gate.running > 0 || !gate.queue.is_empty();
         let weights: f64 = self
             .gates
             .iter()
-            .filter(|(_, gate)| busy(gate))
+            .filter(|(_, gate)| is_busy(gate))
             .map(|(_, gate)| gate.weight())
             .sum();
         let gate = &self.gates[gate];
-        let part = f64::from(self.limit) * gate.weight() / weights.max(gate.weight());
-        let own = gate.row.as_ref().map_or(1, |row| row.in_flight);
-        (part as u32).clamp(1, own)
+        let share = f64::from(self.limit) * gate.weight() / weights.max(gate.weight());
+        let service_limit = gate.row.as_ref().map_or(1, |row| row.in_flight);
+        (share as u32).clamp(1, service_limit)
     }
 
-    /// Counts a request that starts.
+    /// Records that a request of this service starts.
     pub fn start(&mut self, gate: GateKey) {
         self.running += 1;
         let gate = &mut self.gates[gate];
@@ -154,25 +165,26 @@
         gate.virtual_time = gate.virtual_time.max(self.virtual_now) + 1.0 / gate.weight();
     }
 
-    /// Counts a request that ends.
+    /// Records that a request of this service has ended.
     pub fn end(&mut self, gate: GateKey) {
         self.running -= 1;
         self.gates[gate].running -= 1;
     }
 
-    /// Takes the waiting request that goes next, if one may start.
+    /// Removes and returns the queued request to start next, if the limits allow
+    /// one.
     ///
-    /// Among the services that may start one, the service goes first that has
-    /// had the least work for its weight.
+    /// Chooses, among the services below their limit, the one that has started the
+    /// fewest requests relative to its weight.
     pub fn pop_next(&mut self) -> Option<SlotKey> {
         if self.running >= self.limit {
             return None;
         }
-        let ready = |gate: &ServiceGate| !gate.queue.is_empty() && gate.has_capacity();
+        let can_start = |gate: &ServiceGate| !gate.queue.is_empty() && gate.has_capacity();
         let next = self
             .gates
             .iter()
-            .filter(|(_, gate)| ready(gate))
+            .filter(|(_, gate)| can_start(gate))
             .min_by(|(_, a), (_, b)| a.virtual_time.total_cmp(&b.virtual_time))
             .map(|(key, _)| key)?;
         let gate = &mut self.gates[next];
@@ -180,7 +192,7 @@
         gate.queue.pop_front()
     }
 
-    /// Iterates over all gates by the name of their service.
+    /// Iterates over all gates with the names of their services.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &ServiceGate)> {
         self.names
             .iter()
--- a/crates/core/src/process/health.rs
+++ b/crates/core/src/process/health.rs
@@ -1,79 +1,90 @@
-//! What an instance has seen of a server, and what that makes it cost.
+//! Health of a server as this instance observes it: moving averages of latency
+//! and failures, ejection of bad servers, and the cost estimate by which servers
+//! are compared.
 
 use std::time::Duration;
 
 use crate::request::decision::EjectCause;
 
-/// Weight of a new sample in the moving average of the latency.
+/// Weight of a new sample in the moving average of latency.
 const LATENCY_GAIN: f32 = 0.2;
-/// Time over which an old observation fades towards the typical latency, in
-/// microseconds.
+/// Age in microseconds at which an observation has lost half of its weight
+/// against the typical latency.
 const OBSERVATION_DECAY_MICROS: f32 = 3e6;
-/// Time over which a server's own load report loses its weight.
+/// Time over which the weight of a server's own load report falls to zero.
 const LOAD_REPORT_TIME: Duration = Duration::from_secs(2);
-/// Weight of a fresh load report against an own observation.
+/// Weight of a fresh load report relative to the subqueries that this instance
+/// itself has outstanding.
 const LOAD_REPORT_WEIGHT: f32 = 0.3;
-/// Time over which a new server ramps up to its full part.
+/// Time over which a new or returned server ramps up to its full share of
+/// requests.
 pub const RAMP_TIME: Duration = Duration::from_secs(5);
-/// Cost factor at the start of the ramp, less 1.
+/// Cost factor at the start of the ramp, minus 1.
 const RAMP_FACTOR: f32 = 3.0;
-/// Failures in a row that eject a server.
+/// Number of consecutive failures that eject a server.
 const EJECT_FAILURES: u32 = 3;
-/// Samples needed before latency may eject a server.
+/// Number of latency samples needed before latency can eject a server.
 const EJECT_MIN_SAMPLES: u32 = 6;
-/// Weight of a new outcome in the moving average of trouble.
+/// Weight of a new outcome in the moving average of the failure rate.
 const FAILURE_RATE_GAIN: f32 = 0.1;
-/// Cost factor of a server that always fails or sheds, less 1.
+/// Cost factor of a server that fails or sheds every attempt, minus 1.
 const FAILURE_COST_FACTOR: f32 = 8.0;
-/// Multiple of the typical latency that ejects a server.
+/// Multiple of the typical latency above which a server is ejected.
 const EJECT_LATENCY_MULTIPLE: f32 = 4.0;
-/// Least distance from the typical latency that ejects a server, in us.
+/// Minimum excess over the typical latency, in microseconds, for which a server
+/// is ejected.
 const EJECT_MIN_EXCESS_MICROS: f32 = 10_000.0;
-/// First period of an ejection; doubled each time.
+/// Length of a server's first ejection; doubles with each further ejection.
 const FIRST_EJECT_PERIOD: Duration = Duration::from_secs(2);
-/// Most doublings of the period.
+/// Maximum number of doublings of the ejection period.
 const MAX_EJECT_DOUBLINGS: u32 = 4;
-/// Time a server is avoided after it shed a request, if it names none.
+/// Time for which a server is avoided after it shed a request without saying
+/// when to retry.
 const SHED_PERIOD: Duration = Duration::from_millis(100);
-/// Longest time a server may ask to be avoided for.
+/// Maximum time for which a server that sheds can ask to be avoided.
 const MAX_SHED_PERIOD: Duration = Duration::from_secs(5);
-/// Latency expected where nothing was seen yet, in us.
+/// Latency in microseconds assumed for an upstream without samples.
 const DEFAULT_LATENCY_MICROS: f32 = 5_000.0;
 
-/// What an instance has seen of a server.
+/// Observations of one server: latency, failures, ejection, load report and ramp.
 #[derive(Debug, Clone, Default)]
 pub struct ServerHealth {
+    /// Moving average of latency in microseconds; 0 without samples.
     latency: f32,
+    /// Number of latency samples since the last ejection.
     samples: u32,
     observed_at: Duration,
     consecutive_failures: u32,
-    /// Part of the recent attempts that failed or were shed (0 to 1).
+    /// Moving average of attempts that failed or were shed (0 to 1).
     failure_rate: f32,
+    /// Number of ejections so far.
     ejections: u32,
     ejected_until: Duration,
-    /// Whether it was ejected and has not answered since.
+    /// Whether the server was ejected and has not answered since.
     is_on_probation: bool,
     shed_until: Duration,
+    /// Start of the period in which the cost falls to its normal level.
     ramp_started_at: Duration,
+    /// Load that the server reported last, as a multiple of its slots.
     load_report: f32,
     load_report_at: Duration,
 }
 
-/// What a server's cost is worked out from, besides its health.
+/// Inputs of [`ServerHealth::cost`] besides the server's health.
 #[derive(Debug, Clone, Copy)]
 pub struct CostBasis {
-    /// Typical latency of the upstream, in microseconds.
+    /// Median latency of the upstream in microseconds, if known.
     pub typical: Option<f32>,
-    /// Slots of the server.
+    /// Number of requests that the server processes in parallel.
     pub slots: u32,
-    /// Subqueries this instance has outstanding there.
+    /// Number of subqueries that this instance has outstanding at the server.
     pub outstanding: u32,
-    /// Extra time for opening a connection, if none is idle, in microseconds.
+    /// Time to open a connection in microseconds; 0 if one is idle.
     pub connect: f32,
 }
 
 impl ServerHealth {
-    /// Returns the health of a server first seen at `now`.
+    /// Creates the state of a server first seen at `now`; starts its ramp.
     pub fn new(now: Duration) -> ServerHealth {
         ServerHealth {
             ramp_started_at: now,
@@ -81,13 +92,14 @@
         }
     }
 
-    /// Takes a load report of the server itself.
+    /// Records the load that the server itself reported, as a multiple of its
+    /// slots.
     pub fn record_load_report(&mut self, load: f32, now: Duration) {
         self.load_report = if load.is_finite() { load.max(0.0) } else { 0.0 };
         self.load_report_at = now;
     }
 
-    /// Takes the latency of a reply.
+    /// Records a successful reply and its latency.
     pub fn record_success(&mut self, latency: Duration, now: Duration) {
         self.consecutive_failures = 0;
         self.is_on_probation = false;
@@ -95,8 +107,9 @@
         self.record_latency(micros(latency), now);
     }
 
-    /// Takes the time an attempt had been outstanding when it was cancelled:
-    /// its latency would have been at least that.
+    /// Records that an attempt was cancelled after `elapsed`. Its latency would
+    /// have been at least `elapsed` (a censored sample), so only a value above the
+    /// current average counts.
     pub fn record_censored_latency(&mut self, elapsed: Duration, now: Duration) {
         let elapsed = micros(elapsed);
         if elapsed > self.latency {
@@ -104,13 +117,14 @@
         }
     }
 
-    /// Counts a failure.
+    /// Records a failed attempt.
     pub fn record_failure(&mut self, now: Duration) {
         self.consecutive_failures += 1;
         self.raise_failure_rate(now);
     }
 
-    /// Avoids the server for `period`, for what was seen of its domain.
+    /// Ejects the server for `period` because its failure domain is suspected to
+    /// be unreachable.
     pub fn eject_for_domain(&mut self, period: Duration, now: Duration) {
         self.ejected_until = self.ejected_until.max(now + period);
         self.ramp_started_at = self.ejected_until;
@@ -118,15 +132,16 @@
         self.is_on_probation = true;
     }
 
-    /// Avoids the server for a time after it shed a request.
+    /// Records that the server shed a request, and avoids the server for
+    /// `retry_after` or a default period.
     pub fn record_shed(&mut self, retry_after: Option<Duration>, now: Duration) {
         let period = retry_after.unwrap_or(SHED_PERIOD).min(MAX_SHED_PERIOD);
         self.shed_until = now + period;
         self.raise_failure_rate(now);
     }
 
-    /// Ejects the server if its failures or its latency call for it. Returns
-    /// the cause and the period.
+    /// Ejects the server if it had too many consecutive failures or its latency is
+    /// far above `typical`. Returns the cause and the period of a new ejection.
     pub fn eject_if_unhealthy(
         &mut self,
         typical: Option<Duration>,
@@ -140,7 +155,7 @@
         let period = FIRST_EJECT_PERIOD * (1 << doublings);
         self.ejections += 1;
         self.ejected_until = now + period;
-        // Once it is back, a single failure more ejects it again.
+        // After the period, a single further failure ejects the server again.
         self.consecutive_failures = EJECT_FAILURES - 1;
         self.is_on_probation = true;
         self.samples = 0;
@@ -159,28 +174,31 @@
         is_slow.then_some(EjectCause::Latency)
     }
 
-    /// Tells whether the server is ejected.
+    /// Returns whether the server is currently ejected.
     pub fn is_ejected(&self, now: Duration) -> bool {
         now < self.ejected_until
     }
 
-    /// Tells whether the server was ejected and has not answered since. It
-    /// then gets one subquery at a time, unless a shard has no other server.
+    /// Returns whether the server was ejected and has not answered since. Such a
+    /// server gets one subquery at a time, unless a shard has no other server.
     pub fn is_on_probation(&self) -> bool {
         self.is_on_probation
     }
 
-    /// Tells whether the server asked to be avoided.
+    /// Returns whether the server shed a request and asked to be avoided until
+    /// later than `now`.
     pub fn is_shedding(&self, now: Duration) -> bool {
         now < self.shed_until
     }
 
-    /// Starts the ramp anew, for a server that came back.
+    /// Forgets all observations and starts the ramp again, for a server that
+    /// restarted or returned.
     pub fn reset(&mut self, now: Duration) {
         *self = ServerHealth::new(now);
     }
 
-    /// Returns the expected time to a reply in microseconds.
+    /// Estimates the time to a reply in microseconds, raised for servers that are
+    /// ramping up or fail often.
     pub fn cost(&self, basis: &CostBasis, now: Duration) -> f32 {
         let slots = basis.slots.max(1) as f32;
         let queued = basis.outstanding as f32 + self.reported_load(now) * slots;
@@ -206,7 +224,8 @@
         1.0 + FAILURE_COST_FACTOR * self.failure_rate * self.observation_weight(now)
     }
 
-    /// Returns the weight of what was seen last (0 to 1); it fades with age.
+    /// Returns the weight of the last observation (0 to 1), which falls with its
+    /// age.
     fn observation_weight(&self, now: Duration) -> f32 {
         let age = micros(now.saturating_sub(self.observed_at));
         OBSERVATION_DECAY_MICROS / (OBSERVATION_DECAY_MICROS + age)
@@ -248,7 +267,7 @@
 }
 
 fn micros(duration: Duration) -> f32 {
-    // Without the division of `as_secs_f32`: this is worked out for every
-    // candidate of every shard.
+    // Avoids the division in `as_secs_f32`, because this function runs for every
+    // candidate server of every shard.
     duration.as_secs() as f32 * 1e6 + duration.subsec_nanos() as f32 * 1e-3
 }
--- a/crates/core/src/process/input.rs
+++ b/crates/core/src/process/input.rs
@@ -1,4 +1,5 @@
-//! What comes into the entry machine.
+//! Inputs of the entry machine: requests, replies, announcements and table
+//! changes, as the driver (the code with sockets and clock) passes them in.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,85 +13,90 @@
 use crate::version::snapshot::SnapshotId;
 use crate::version::table::ServiceTable;
 
-/// The driver's own name for a request, handed back with its outcome.
+/// Identifier that the driver chooses for a request and gets back with its
+/// outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallTag(pub u64);
 
-/// What is passed on to the upstreams, unread by the decisions.
+/// Part of a request that is forwarded to the servers unchanged. The machine
+/// does not interpret the payload.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestBody {
-    /// Kind of request the caller made.
+    /// Kind of request.
     pub kind: RequestKind,
     /// Key of a fetch, or idempotency key of a submission.
     pub key: Option<Box<str>>,
-    /// The caller's JSON text.
+    /// JSON text from the caller.
     pub payload: Box<[u8]>,
 }
 
-/// A caller's request.
+/// A request from a caller.
 #[derive(Debug, Clone)]
 pub struct QueryRequest {
-    /// The driver's name for it.
+    /// Identifier chosen by the driver.
     pub call: CallTag,
-    /// Service asked for.
+    /// Name of the requested service.
     pub service: Box<str>,
-    /// Time the caller gives it; the row's deadline if none.
+    /// Time limit set by the caller; the service's configured deadline if `None`.
     pub deadline: Option<Duration>,
-    /// What is passed on.
+    /// Content to forward to the servers.
     pub body: Arc<RequestBody>,
 }
 
-/// The body of an upstream's reply: what it says of itself, and the hits.
+/// Body of a server's reply: the hits, and the identity that the server states
+/// for them, which the machine checks against the attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReplyBody {
-    /// Attempt it says it answers.
+    /// Attempt that the reply claims to answer.
     pub attempt: AttemptId,
-    /// Request it says it answers.
+    /// Request that the reply claims to answer.
     pub request: RequestId,
-    /// Shard it says it searched.
+    /// Shard that the server claims to have searched.
     pub shard: u32,
-    /// Snapshot it says it searched.
+    /// Snapshot that the server claims to have searched.
     pub snapshot: SnapshotId,
-    /// The hits.
+    /// Hits found.
     pub hits: Vec<ScoredHit>,
 }
 
-/// How an attempt ended.
+/// Result of an attempt (one subquery sent to one server).
 #[derive(Debug, Clone, PartialEq)]
 pub enum ReplyStatus {
-    /// A well-formed reply came.
+    /// A well-formed reply was received.
     Body(ReplyBody),
-    /// The server says that it did not run it, because it has too much to do
-    /// or is leaving.
+    /// The server refused to run the attempt because it is overloaded or shutting
+    /// down.
     Shed {
-        /// When it asks to be tried again.
+        /// Time after which the server asks to be tried again.
         retry_after: Option<Duration>,
     },
-    /// The server says that it did not run it, because it does not hold the
-    /// snapshot; it tells what it holds.
+    /// The server did not run the attempt because it does not hold the snapshot.
     SnapshotNotHeld {
-        /// Snapshots the server holds now.
+        /// Snapshots that the server holds now.
         held: Vec<HeldSnapshot>,
     },
-    /// Nothing of the attempt was written to a connection.
+    /// Nothing of the attempt was written to a connection, so no server can have
+    /// run it.
     NeverSent,
-    /// It was written, and no reply came that could be read.
+    /// The attempt was written, but no readable reply was received. The server may
+    /// have run it.
     Failed,
 }
 
-/// An attempt's end, as the driver saw it.
+/// Result of an attempt, reported by the driver.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AttemptReply {
-    /// The attempt.
+    /// Key of the attempt.
     pub attempt: SlotKey,
-    /// How it ended.
+    /// Result of the attempt.
     pub status: ReplyStatus,
-    /// Time it took to open a connection for it, if one was opened.
+    /// Time spent on opening a connection for the attempt, if one was opened.
     pub connect: Option<Duration>,
 }
 
 impl AttemptReply {
-    /// Returns the answer of a server that found nothing to an order.
+    /// Builds a valid reply to `order` without any hits, for tests and
+    /// benchmarks.
     pub fn with_no_hits(order: &SendOrder) -> AttemptReply {
         AttemptReply {
             attempt: order.attempt,
@@ -106,38 +112,41 @@
     }
 }
 
-/// A change to the idle connections of a server.
+/// New number of idle connections to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionChange {
-    /// The server.
+    /// Key of the server.
     pub server: ServerKey,
-    /// Idle connections open to it now.
+    /// Number of idle connections to the server now.
     pub idle: u32,
 }
 
-/// One input of the entry machine.
+/// An input of [`EntryMachine::step`](crate::process::entry::EntryMachine::step).
 #[derive(Debug, Clone)]
 pub enum EntryInput {
-    /// A server announced itself.
+    /// An announcement of an upstream server was received.
     Announce(UpstreamAnnouncement),
-    /// A server's lease ran out, by the word of a home.
+    /// The lease of the named server expired, as reported by an instance that
+    /// tracks the server's lease.
     Expired(String),
-    /// The homes of these servers vouch for them.
+    /// Instances that track the leases of the named servers confirm that these
+    /// servers are alive; their leases are renewed.
     Vouch(Vec<String>),
-    /// The servers' limits are to be divided by this many instances.
+    /// The number of entry instances that share the servers' limits changed.
     InstanceCount(u32),
-    /// A caller made a request.
+    /// A caller sent a request.
     Submit(QueryRequest),
-    /// A caller left before its answer.
+    /// A caller disconnected before it got an answer.
     CallerLeft(CallTag),
-    /// An attempt ended.
+    /// An attempt ended with a reply or a failure.
     Reply(AttemptReply),
-    /// Idle connections were closed.
+    /// The number of idle connections to a server changed.
     Connection(ConnectionChange),
-    /// A table comes in force.
+    /// A new service table was published.
     Table(ServiceTable),
-    /// A timer may be due.
+    /// The time of the earliest timer was reached.
     Wake,
-    /// The instance leaves: nothing new is let in.
+    /// The instance shuts down: it admits no new requests and finishes those it
+    /// has.
     Leave,
 }
--- a/crates/core/src/process/mod.rs
+++ b/crates/core/src/process/mod.rs
@@ -1,4 +1,6 @@
-//! What lives as long as the process.
+//! State machines that live as long as the process: the entry machine for
+//! snapshot queries (this folder), the `forward` machine, the replicated `control`
+//! group, gossip, rollouts and usage caps.
 
 pub mod action;
 mod admission;
--- a/crates/core/src/process/news.rs
+++ b/crates/core/src/process/news.rs
@@ -1,4 +1,5 @@
-//! What an upstream server announces of itself.
+//! Announcements of upstream servers: each server periodically publishes its
+//! address, phase, snapshots and limits, under a lease.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,32 +9,34 @@
 
 use crate::version::snapshot::SnapshotId;
 
-/// A snapshot that a server holds, and its part of it.
+/// A shard of a snapshot (an immutable version of the index) that a server
+/// holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldSnapshot {
-    /// The snapshot.
+    /// Identity of the snapshot.
     pub snapshot: SnapshotId,
-    /// The shard held, from 0.
+    /// Number of the shard held, from 0.
     pub shard: u32,
-    /// Number of shards of the snapshot.
+    /// Number of shards into which the snapshot is divided.
     pub shards: u32,
 }
 
-/// Phase of a server's life.
+/// Lifecycle phase of an upstream server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerPhase {
-    /// It started a short while ago and is still cold.
+    /// The server started recently, and its caches are still empty.
     Starting,
-    /// It takes work.
+    /// The server accepts requests.
     Serving,
-    /// It is leaving: it ends what it has and takes nothing new.
+    /// The server is shutting down: it finishes its requests and accepts no new
+    /// ones.
     Draining,
-    /// It has left.
+    /// The server has shut down.
     Left,
 }
 
 impl ServerPhase {
-    /// Tells whether a server in this phase may get new work.
+    /// Returns whether a server in this phase accepts new requests.
     pub fn takes_work(self) -> bool {
         matches!(self, ServerPhase::Starting | ServerPhase::Serving)
     }
@@ -50,34 +53,38 @@
     }
 }
 
-/// One announcement of a server.
+/// One announcement of an upstream server.
 ///
-/// Announcements are ordered by `(incarnation, sequence)`: an older one never
-/// undoes a newer one, in whatever order they arrive.
+/// Announcements are ordered by `(incarnation, sequence)`. A receiver ignores an
+/// announcement that is not newer than the last one, so they may arrive in any
+/// order.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamAnnouncement {
-    /// Name of the server, unique over all upstreams.
+    /// Name of the server, unique across all upstreams.
     pub name: Box<str>,
-    /// Name of the upstream it serves.
+    /// Name of the upstream that the server belongs to.
     pub upstream: Box<str>,
-    /// Failure domain it stands in.
+    /// Name of the server's failure domain.
     pub domain: Box<str>,
-    /// Where it takes requests.
+    /// Address at which the server accepts requests.
     pub address: SocketAddr,
-    /// Greater with each start of the server.
+    /// Number of the server's start; increases with each start.
     pub incarnation: u64,
-    /// Greater with each announcement of an incarnation.
+    /// Number of the announcement; increases within an incarnation.
     pub sequence: u64,
-    /// Phase of its life.
+    /// Lifecycle phase of the server.
     pub phase: ServerPhase,
-    /// Snapshots it holds.
+    /// Shards of snapshots that the server holds.
     pub held: Vec<HeldSnapshot>,
-    /// Requests it works on at a time.
+    /// Number of requests that the server processes in parallel.
     pub slots: u32,
-    /// Connections it accepts over all instances.
+    /// Number of connections that the server accepts from all entry instances
+    /// together.
     pub connections: u32,
-    /// Requests it says it has at work or queued, as a multiple of its slots.
+    /// Load reported by the server: requests running or queued there, as a
+    /// multiple of `slots`.
     pub load: f32,
-    /// Time without renewal after which it gets no new work.
+    /// Time after this announcement for which the server gets new requests,
+    /// unless the lease is renewed.
     pub lease: Duration,
 }
--- a/crates/core/src/process/policy.rs
+++ b/crates/core/src/process/policy.rs
@@ -1,58 +1,62 @@
-//! How one server is chosen out of those that could be asked.
+//! Load-balancing policies: how one server is chosen among the candidates for a
+//! shard, and which defenses against slow and failing servers are on.
 
 use rand::rngs::SmallRng;
 use rand::Rng;
 
 use crate::arena::ServerKey;
 
-/// A server that could be asked now.
+/// A server that can get the subquery now.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RouteCandidate {
-    /// The server.
+    /// Key of the server.
     pub server: ServerKey,
-    /// Expected time to a reply in microseconds.
+    /// Estimated time to a reply in microseconds.
     pub cost: f32,
-    /// Subqueries this instance has outstanding there.
+    /// Number of subqueries that this instance has outstanding at the server.
     pub outstanding: u32,
 }
 
-/// How servers are chosen, and which defences are on.
+/// Strategy that chooses servers, and switches of the defenses.
 pub trait RoutePolicy {
-    /// Returns the index of the candidate to ask. There is at least one.
+    /// Returns the index of the candidate that gets the subquery. `candidates` is
+    /// not empty.
     fn choose(&mut self, candidates: &[RouteCandidate], rng: &mut SmallRng) -> usize;
 
-    /// Whether any defence is on; each can be switched off by itself as well.
+    /// Returns whether the defenses are on by default. Each defense below can be
+    /// switched off separately.
     fn uses_defenses(&self) -> bool {
         true
     }
 
-    /// Whether slow attempts are hedged.
+    /// Returns whether slow attempts are hedged.
     fn hedges(&self) -> bool {
         self.uses_defenses()
     }
 
-    /// Whether failing and slow servers are ejected.
+    /// Returns whether failing and slow servers are ejected.
     fn ejects(&self) -> bool {
         self.uses_defenses()
     }
 
-    /// Whether a partial answer may go out before the deadline.
+    /// Returns whether a partial answer can be sent before the deadline.
     fn answers_early(&self) -> bool {
         self.uses_defenses()
     }
 }
 
-/// The lowest expected cost, with a little chance among near equals, so that
-/// instances that know the same do not all choose the same.
+/// Chooses the server with the lowest estimated cost after adding random jitter.
+/// The jitter keeps instances with the same knowledge from all choosing the same
+/// server. This is the policy used in production.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LowestCostPolicy {
-    /// Switches hedging off, to measure what it brings.
+    /// Switches hedging off, to measure the effect of hedging.
     pub disable_hedging: bool,
-    /// Switches ejection off, to measure what it brings.
+    /// Switches ejection off, to measure the effect of ejection.
     pub disable_ejection: bool,
 }
 
-/// Largest part by which chance changes a cost.
+/// Maximum random increase of a cost, as a fraction of the cost.
 const COST_JITTER: f32 = 0.2;
 
 impl RoutePolicy for LowestCostPolicy {
@@ -76,7 +80,7 @@
     }
 }
 
-/// Any server, no hedge, no ejection, wait for all: the baseline.
+/// Chooses a random server and uses no defenses; the baseline for comparisons.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RandomChoice;
 
@@ -90,15 +94,16 @@
     }
 }
 
-/// The server with the fewest own subqueries outstanding; no other defence.
+/// Chooses the server with the fewest subqueries of this instance outstanding,
+/// without other defenses.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LeastOutstanding;
 
 impl RoutePolicy for LeastOutstanding {
     fn choose(&mut self, candidates: &[RouteCandidate], rng: &mut SmallRng) -> usize {
         let start = rng.random_range(0..candidates.len());
-        let turned = (0..candidates.len()).map(|step| (start + step) % candidates.len());
-        turned
+        let rotated = (0..candidates.len()).map(|step| (start + step) % candidates.len());
+        rotated
             .min_by_key(|index| candidates[*index].outstanding)
             .unwrap_or(0)
     }
@@ -108,7 +113,8 @@
     }
 }
 
-/// The better of two servers drawn at random; no other defence.
+/// Chooses the cheaper of two random servers (power of two choices), without
+/// other defenses.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TwoChoices;
 
--- a/crates/core/src/process/roster.rs
+++ b/crates/core/src/process/roster.rs
@@ -1,4 +1,6 @@
-//! The upstream servers an instance knows of, and the snapshots they cover.
+//! Roster of the upstream servers that an entry instance knows from their
+//! announcements: leases, limits, health, and which servers hold which shard of
+//! which snapshot.
 
 use std::cmp::Reverse;
 use std::collections::{HashMap, VecDeque};
@@ -15,97 +17,101 @@
 use crate::process::news::{HeldSnapshot, ServerPhase, UpstreamAnnouncement};
 use crate::version::snapshot::SnapshotId;
 
-/// Most servers an instance remembers; announcements of more are refused.
+/// Maximum number of servers in the roster; announcements of further servers are
+/// refused.
 pub const MAX_ROSTER_SERVERS: usize = 20_000;
-/// Most shards a snapshot may claim to have.
+/// Maximum number of shards that an announced snapshot can have.
 pub const MAX_SNAPSHOT_SHARDS: u32 = 4_096;
-/// Most snapshots a server may hold.
+/// Maximum number of snapshots in one announcement.
 pub const MAX_SERVER_SNAPSHOTS: usize = 16;
 
-/// A shard of a query that waits for a server.
+/// A shard of a query that is queued until a server has capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueuedShard {
-    /// The query.
+    /// Key of the query.
     pub query: SlotKey,
-    /// Index of the shard in the query.
+    /// Index of the shard in the query's shard list.
     pub index: u32,
 }
 
-/// What is known of one server.
+/// State of one upstream server.
 #[derive(Debug)]
 pub struct ServerRecord {
-    /// Its name.
+    /// Name of the server.
     pub name: Arc<str>,
-    /// The upstream it belongs to.
+    /// Upstream that the server belongs to.
     pub upstream: UpstreamKey,
-    /// The failure domain it stands in.
+    /// Failure domain of the server.
     pub domain: DomainKey,
-    /// Where it takes requests.
+    /// Address at which the server accepts requests.
     pub address: SocketAddr,
-    /// Its phase.
+    /// Lifecycle phase from the last announcement.
     pub phase: ServerPhase,
-    /// When its lease runs out.
+    /// Time at which the server's lease expires.
     pub lease_expires_at: Duration,
-    /// Time by which a renewal moves that.
+    /// Length of the lease that a renewal grants.
     pub lease: Duration,
-    /// Snapshots it holds.
+    /// Shards of snapshots that the server holds.
     pub held: Vec<HeldSnapshot>,
-    /// Requests it works on at a time.
+    /// Number of requests that the server processes in parallel.
     pub slots: u32,
-    /// Connections it accepts over all instances.
+    /// Number of connections that the server accepts from all entry instances
+    /// together.
     pub connections: u32,
-    /// What this instance may use of it.
+    /// This instance's share of the server's connections and slots.
     pub share: ServerShare,
-    /// What this instance has seen of it.
+    /// Health of the server as observed by this instance.
     pub health: ServerHealth,
-    /// Subqueries this instance has outstanding there.
+    /// Number of subqueries that this instance has outstanding at the server.
     pub outstanding: u32,
-    /// Idle connections this instance has to it.
+    /// Number of idle connections from this instance to the server.
     pub idle: u32,
-    /// Shards that wait for it.
+    /// Shards that are queued until the server has capacity.
     pub queued_shards: VecDeque<QueuedShard>,
+    /// `(incarnation, sequence)` of the last accepted announcement.
     announcement_order: (u64, u64),
 }
 
 impl ServerRecord {
-    /// Tells whether the server may get new work, by its phase and lease.
+    /// Returns whether the server's phase and lease allow new requests.
     pub fn is_live(&self, now: Duration) -> bool {
         self.phase.takes_work() && now < self.lease_expires_at
     }
 
-    /// Tells whether this instance has a connection and a slot left there.
+    /// Returns whether this instance's share of the server allows another
+    /// outstanding subquery.
     pub fn has_capacity(&self) -> bool {
         self.outstanding < self.share.outstanding
     }
 }
 
-/// What is known of one upstream.
+/// State of one upstream: the servers that announce the same service name.
 #[derive(Debug)]
 pub struct UpstreamRecord {
-    /// Its servers.
+    /// Servers of the upstream.
     pub servers: Vec<ServerKey>,
-    /// Its snapshots, newest first.
+    /// Snapshots held by the servers, newest first, with the servers of each shard.
     pub covers: Vec<SnapshotCover>,
-    /// Recent latencies over all its servers.
+    /// Recent latencies of all servers of the upstream.
     pub latency: LatencyWindow,
-    /// Typical time to open a connection, in microseconds.
+    /// Moving average of the time to open a connection, in microseconds.
     pub connect: f32,
 }
 
-/// What an announcement changed.
+/// Effect of an announcement on the roster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RosterChange {
-    /// The server's phase or snapshots changed, or it is new.
+    /// The server is new, restarted or returned, or its phase or snapshots changed.
     Changed(ServerKey),
-    /// Only its lease and load were renewed.
+    /// The announcement renewed the lease and updated load, limits and address.
     Renewed(ServerKey),
-    /// The announcement was older than what is known.
+    /// The announcement was not newer than the last accepted one.
     Stale,
-    /// It breaks a limit and was refused.
+    /// The announcement exceeded a limit and was refused.
     Refused,
 }
 
-/// The roster of upstream servers.
+/// All known upstream servers, grouped by upstream and failure domain.
 #[derive(Debug, Default)]
 pub struct UpstreamRoster {
     servers: KeyArena<ServerKey, ServerRecord>,
@@ -118,7 +124,8 @@
 }
 
 impl UpstreamRoster {
-    /// Returns an empty roster whose servers are shared by `instances`.
+    /// Creates an empty roster; `instances` entry instances share the servers'
+    /// limits.
     pub fn new(instances: u32) -> UpstreamRoster {
         UpstreamRoster {
             instances,
@@ -126,7 +133,7 @@
         }
     }
 
-    /// Takes an announcement.
+    /// Applies an announcement: adds a new server or updates a known one.
     pub fn apply_announcement(
         &mut self,
         announcement: UpstreamAnnouncement,
@@ -142,7 +149,7 @@
         }
     }
 
-    /// Ends the lease of a server.
+    /// Ends the lease of a server at `now`, if it does not expire earlier.
     pub fn end_lease(&mut self, name: &str, now: Duration) {
         if let Some(server) = self.server_names.get(name) {
             let record = &mut self.servers[*server];
@@ -150,7 +157,8 @@
         }
     }
 
-    /// Renews the leases of servers that their homes vouch for.
+    /// Renews the leases of the named servers, which other instances confirmed to
+    /// be alive.
     pub fn renew_leases(&mut self, names: &[String], now: Duration) {
         for name in names {
             let Some(server) = self.server_names.get(name.as_str()) else {
@@ -161,7 +169,8 @@
         }
     }
 
-    /// Divides the servers' limits by another number of instances.
+    /// Sets the number of entry instances and divides every server's limits by that
+    /// number.
     pub fn set_instance_count(&mut self, instances: u32) {
         self.instances = instances;
         for index in 0..self.servers.len() {
@@ -170,7 +179,8 @@
         }
     }
 
-    /// Takes a server's word for the snapshots it holds now.
+    /// Replaces the snapshots of a server by those that its own reply listed. Ignores
+    /// lists that exceed the limits.
     pub fn replace_held_snapshots(&mut self, server: ServerKey, held: Vec<HeldSnapshot>) {
         if held.len() > MAX_SERVER_SNAPSHOTS || held.iter().any(is_invalid_snapshot) {
             return;
@@ -182,42 +192,42 @@
         }
     }
 
-    /// Returns the upstream of this name.
+    /// Looks up an upstream by name.
     pub fn upstream(&self, name: &str) -> Option<UpstreamKey> {
         self.upstream_names.get(name).copied()
     }
 
-    /// Returns what is known of a server.
+    /// Returns the state of a server.
     pub fn server(&self, server: ServerKey) -> &ServerRecord {
         &self.servers[server]
     }
 
-    /// Returns what is known of a server, for change.
+    /// Returns the state of a server, mutably.
     pub fn server_mut(&mut self, server: ServerKey) -> &mut ServerRecord {
         &mut self.servers[server]
     }
 
-    /// Returns what is known of an upstream.
+    /// Returns the state of an upstream.
     pub fn upstream_record(&self, upstream: UpstreamKey) -> &UpstreamRecord {
         &self.upstreams[upstream]
     }
 
-    /// Returns what is known of an upstream, for change.
+    /// Returns the state of an upstream, mutably.
     pub fn upstream_mut(&mut self, upstream: UpstreamKey) -> &mut UpstreamRecord {
         &mut self.upstreams[upstream]
     }
 
-    /// Returns what is known of a failure domain.
+    /// Returns the state of a failure domain.
     pub fn domain(&self, domain: DomainKey) -> &DomainRecord {
         &self.domains[domain]
     }
 
-    /// Returns what is known of a failure domain, for change.
+    /// Returns the state of a failure domain, mutably.
     pub fn domain_mut(&mut self, domain: DomainKey) -> &mut DomainRecord {
         &mut self.domains[domain]
     }
 
-    /// Iterates over all servers.
+    /// Iterates over all servers with their keys.
     pub fn servers(&self) -> impl Iterator<Item = (ServerKey, &ServerRecord)> {
         self.servers.iter()
     }
@@ -236,11 +246,13 @@
             .map_or(&[], Vec::as_slice)
     }
 
-    /// Chooses the newest of the best covered snapshots, if one is covered at
-    /// all.
+    /// Chooses the snapshot with the largest fraction of shards that have a live
+    /// server, and the newest one among equals. Returns `None` if no snapshot has a
+    /// live shard.
     ///
-    /// With a `floor` below 1 a snapshot that covers less than the best one is
-    /// still not taken: see `docs/design/snapshot.md` for the measurement.
+    /// A newer snapshot with fewer live shards is not chosen even if the service
+    /// requires less than full coverage (`coverage_floor` below 1). See
+    /// `docs/design/snapshot.md` for the measurement behind this rule.
     pub fn choose_snapshot(&self, upstream: UpstreamKey, now: Duration) -> Option<SnapshotChoice> {
         let mut best: Option<SnapshotChoice> = None;
         for cover in &self.upstreams[upstream].covers {
@@ -314,8 +326,8 @@
             return RosterChange::Stale;
         }
         let is_restart = announcement.incarnation > record.announcement_order.0;
-        let is_back = now >= record.lease_expires_at;
-        let changed = record.phase != announcement.phase || record.held != announcement.held;
+        let is_returned = now >= record.lease_expires_at;
+        let is_changed = record.phase != announcement.phase || record.held != announcement.held;
         record.announcement_order = announcement_order;
         record.address = announcement.address;
         record.phase = announcement.phase;
@@ -325,12 +337,12 @@
         record.lease = announcement.lease;
         record.share = divide_server(announcement.slots, announcement.connections, self.instances);
         record.lease_expires_at = now + announcement.lease;
-        if is_restart || is_back {
+        if is_restart || is_returned {
             record.health.reset(now);
         }
         record.health.record_load_report(announcement.load, now);
         let upstream = record.upstream;
-        if changed || is_restart || is_back {
+        if is_changed || is_restart || is_returned {
             self.rebuild_placements(upstream);
             return RosterChange::Changed(server);
         }
@@ -360,7 +372,7 @@
         domain
     }
 
-    /// Works out anew which servers hold which shard of which snapshot.
+    /// Recomputes which servers hold which shard of which snapshot of an upstream.
     fn rebuild_placements(&mut self, upstream: UpstreamKey) {
         let mut covers: Vec<SnapshotCover> = Vec::new();
         for server in &self.upstreams[upstream].servers {
--- a/crates/core/src/process/timer.rs
+++ b/crates/core/src/process/timer.rs
@@ -1,4 +1,4 @@
-//! Timers of the entry machine, in one heap.
+//! Min-heap of timers, ordered by due time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -6,18 +6,19 @@
 
 use crate::arena::SlotKey;
 
-/// What a timer is for. A timer of a query that has ended is ignored.
+/// Reason for which a timer of the entry machine was set. Timers are not removed
+/// when their query ends; the machine ignores them when they fire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TimerPurpose {
-    /// The query's time is over.
+    /// The query's deadline passes.
     Deadline(SlotKey),
-    /// A partial answer may go out.
+    /// The query may be answered with some shards missing.
     Partial(SlotKey),
-    /// Outstanding attempts are looked over for hedges and timeouts.
+    /// The query's outstanding attempts are checked for hedges and timeouts.
     Sweep(SlotKey),
 }
 
-/// A heap of timers, each with its purpose.
+/// Min-heap of timers, each with a purpose `P` that is returned when due.
 #[derive(Debug)]
 pub struct TimerHeap<P = TimerPurpose> {
     heap: BinaryHeap<Reverse<(Duration, P)>>,
@@ -32,12 +33,12 @@
 }
 
 impl<P: Ord> TimerHeap<P> {
-    /// Sets a timer for time `at`.
+    /// Adds a timer that is due at `at`.
     pub fn set(&mut self, at: Duration, purpose: P) {
         self.heap.push(Reverse((at, purpose)));
     }
 
-    /// Takes a timer that is due, if any.
+    /// Removes the earliest timer if it is due, and returns its purpose.
     pub fn take_due(&mut self, now: Duration) -> Option<P> {
         let Reverse((at, _)) = self.heap.peek()?;
         if *at > now {
@@ -46,7 +47,7 @@
         self.heap.pop().map(|Reverse((_, purpose))| purpose)
     }
 
-    /// Returns when the next timer is due.
+    /// Returns the due time of the earliest timer.
     pub fn next(&self) -> Option<Duration> {
         self.heap.peek().map(|Reverse((at, _))| *at)
     }
--- a/crates/core/tests/allocations.rs
+++ b/crates/core/tests/allocations.rs
@@ -1,4 +1,4 @@
-//! Heap allocations of a whole query are bounded, by count.
+//! Checks that the number of heap allocations per query stays within a bound.
 
 mod support;
 
@@ -13,20 +13,20 @@
     static COUNT: Cell<u64> = const { Cell::new(0) };
 }
 
-/// Counts the allocations of the thread.
+/// Global allocator that counts the allocations of each thread.
 struct CountingAllocator;
 
-// SAFETY: every call is passed on to the system's allocator unchanged.
+// SAFETY: every call is forwarded unchanged to the system allocator.
 #[allow(unsafe_code)]
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         COUNT.with(|count| count.set(count.get() + 1));
-        // SAFETY: the caller keeps the contract of `alloc`.
+        // SAFETY: the caller upholds the contract of `alloc`.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
-        // SAFETY: the caller keeps the contract of `dealloc`.
+        // SAFETY: the caller upholds the contract of `dealloc`.
         unsafe { System.dealloc(pointer, layout) }
     }
 }
@@ -34,15 +34,16 @@
 #[global_allocator]
 static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-/// Most allocations of a query beyond those for its shards: its outcome, its
-/// list of hits, and growth of the machine's own lists.
+/// Maximum number of allocations per query: for its outcome, its list of hits,
+/// and growth of the machine's collections. The list of shards is reused.
 const QUERY_ALLOCATIONS: u64 = 4;
 
 #[test]
-fn a_query_allocates_little() {
-    // What is recorded of a sampled query is bounded by the sampling rate.
+fn allocations_per_query_are_bounded() {
+    // No decisions are recorded here: records of sampled queries allocate, and the
+    // sampling rate limits them separately.
     let mut harness = EntryHarness::with_decisions(EntrySafetyChecks::default(), 1, 0);
-    let mut inside = 0;
+    let mut counted = 0;
     let queries = 200;
     let mut out = Vec::with_capacity(1024);
     for round in 0..queries + 100 {
@@ -57,22 +58,25 @@
             }),
         };
         let now = Duration::from_millis(round * 10);
-        let mut spent = step(&mut harness, now, EntryInput::Submit(request), &mut out);
+        let mut allocated = step(&mut harness, now, EntryInput::Submit(request), &mut out);
         let orders: Vec<SendOrder> = out.drain(..).filter_map(order_of).collect();
         assert_eq!(orders.len(), SHARDS as usize);
         for order in &orders {
             let reply = AttemptReply::with_no_hits(order);
             let now = now + Duration::from_millis(1);
-            spent += step(&mut harness, now, EntryInput::Reply(reply), &mut out);
+            allocated += step(&mut harness, now, EntryInput::Reply(reply), &mut out);
         }
         out.clear();
-        // The first rounds grow the machine's lists.
+        // Skips the first 100 rounds, in which the machine's collections grow.
         if round >= 100 {
-            inside += spent;
+            counted += allocated;
         }
     }
-    let each = inside / queries;
-    assert!(each <= QUERY_ALLOCATIONS, "{each} allocations a query");
+    let per_query = counted / queries;
+    assert!(
+        per_query <= QUERY_ALLOCATIONS,
+        "{per_query} allocations per query"
+    );
 }
 
 fn order_of(action: EntryAction) -> Option<SendOrder> {
@@ -82,7 +86,7 @@
     }
 }
 
-/// Steps the machine and returns how often it allocated.
+/// Runs one step of the machine and returns its number of allocations.
 fn step(
     harness: &mut EntryHarness,
     now: Duration,
--- a/crates/core/tests/caps.rs
+++ b/crates/core/tests/caps.rs
@@ -1,7 +1,9 @@
-//! Usage caps: all entries together keep to them, and what lies within is served.
+//! Tests of usage caps: all entries together stay within the cap's bound, and
+//! requests within the cap are served.
 //!
-//! Entries ask the control instance of their failure domain, which asks the
-//! leader; both ways take time, and may be cut.
+//! The simulation models entries that request tokens from a control instance, which
+//! requests tokens from the leader. Messages take time, and the connection to the
+//! leader can be cut.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -15,37 +17,44 @@
 use wheelmast_core::process::cap::{CapBound, TokenGrant, TokenRequest};
 use wheelmast_core::version::workspace::UsageCap;
 
+/// Name of the capped workspace.
 const WORKSPACE: &str = "north";
+/// Permitted excess over the cap.
 const BOUND: CapBound = CapBound {
     excess: 0.1,
     slack: 20.0,
     window: Duration::from_secs(5),
 };
+/// Simulated time of a test case.
 const SIMULATED_TIME: Duration = Duration::from_secs(30);
+/// One-way message time between an entry and its control instance.
 const ENTRY_TO_INSTANCE: Duration = Duration::from_millis(1);
+/// One-way message time between a control instance and the leader.
 const INSTANCE_TO_LEADER: Duration = Duration::from_millis(8);
-/// Time after which an instance gives out tokens without the leader.
+/// Time without the leader's reply after which a control instance grants tokens
+/// itself.
 const LEADER_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// A span of seconds.
+/// Start and end of a period, in seconds.
 type Span = (f64, f64);
 
+/// Parameters of a simulated workload and its faults.
 struct CapCase {
     name: &'static str,
     entries: usize,
     instances: usize,
     cap: UsageCap,
-    /// Requests a second of all entries, as a multiple of the cap's rate.
+    /// Requests per second at all entries together, as a multiple of the cap's rate.
     load: f64,
-    /// Whether all requests come to one entry.
+    /// Whether all requests arrive at a single entry.
     is_at_one_entry: bool,
-    /// Until when half of the instances can't reach the leader, and since when.
+    /// Period in which half of the control instances cannot reach the leader.
     cut: Option<Span>,
-    /// Seconds at which another instance leads.
+    /// Times in seconds at which another control instance becomes leader.
     leader_changes: &'static [f64],
-    /// When the cap becomes a third.
+    /// Time in seconds at which the cap is lowered to a third.
     cap_lowered_at: Option<f64>,
-    /// Least part of the owed requests that are served.
+    /// Minimum ratio of admitted requests to requests within the cap.
     min_served: f64,
 }
 
@@ -146,23 +155,30 @@
     Request,
     ChangeLeader,
     LowerCap,
-    /// A question of an entry, at its instance.
+    /// An entry's token request arrives at its control instance: entry, waiting,
+    /// ahead.
     EntryRequest(usize, u32, u32),
-    /// A question of an instance, at the leader, for an entry or for its stock.
+    /// A control instance's token request arrives at the leader: instance, entry (or
+    /// `None` to refill the stock), waiting, ahead.
     LeaderRequest(usize, Option<usize>, u32, u32),
-    /// The leader's answer at an instance.
+    /// The leader's reply arrives at a control instance: instance, entry (or `None`),
+    /// tokens, retry time in milliseconds.
     LeaderReply(usize, Option<usize>, u32, u32),
-    /// The instance's answer at an entry.
+    /// The control instance's reply arrives at an entry: entry, tokens, retry time in
+    /// milliseconds.
     EntryReply(usize, u32, u32),
 }
 
+/// Event-driven simulation of entries, control instances and the leader.
 struct CapSimulation<'a> {
     case: &'a CapCase,
     rng: SmallRng,
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
-    number: u64,
+    /// Number of events scheduled so far; orders events with equal times.
+    event_count: u64,
     leases: Vec<CapLease>,
     stocks: Vec<CapStock>,
+    /// Whether a control instance has an outstanding request to refill its stock.
     refill_pending: HashMap<usize, bool>,
     owner: CapOwner,
     leader_ready_at: Duration,
@@ -173,21 +189,23 @@
 
 impl CapSimulation<'_> {
     fn schedule(&mut self, when: Duration, event: Event) {
-        self.number += 1;
-        self.events.push(Reverse((when, self.number, event)));
+        self.event_count += 1;
+        self.events.push(Reverse((when, self.event_count, event)));
     }
 
     fn caps(cap: UsageCap) -> Vec<(Box<str>, UsageCap)> {
         vec![(WORKSPACE.into(), cap)]
     }
 
+    /// Returns whether the instance cannot reach the leader at `now`.
     fn is_cut(&self, instance: usize, now: Duration) -> bool {
         let seconds = now.as_secs_f64();
-        let is_off = instance * 2 >= self.case.instances;
+        let is_affected = instance * 2 >= self.case.instances;
         let span = self.case.cut;
-        is_off && span.is_some_and(|(from, to)| (from..to).contains(&seconds))
+        is_affected && span.is_some_and(|(from, to)| (from..to).contains(&seconds))
     }
 
+    /// Sends an entry's token request to its control instance.
     fn request_tokens(&mut self, entry: usize, now: Duration) {
         let token_request = self.leases[entry].token_request(WORKSPACE);
         self.messages += 1;
@@ -197,6 +215,8 @@
         );
     }
 
+    /// Requests the missing tokens of an instance's stock from the leader, unless a
+    /// request is outstanding.
     fn refill(&mut self, instance: usize, now: Duration) {
         let shortages = self.stocks[instance].shortages(self.case.instances as u32, now);
         let is_pending = self.refill_pending.insert(instance, true) == Some(true);
@@ -213,6 +233,7 @@
         }
     }
 
+    /// Applies one event and schedules the events that follow from it.
     fn handle_event(&mut self, event: Event, now: Duration) {
         let instances = self.case.instances;
         match event {
@@ -220,12 +241,12 @@
                 let rate = self.case.cap.per_s * self.case.load;
                 let gap = -(1.0 - self.rng.random::<f64>()).ln() / rate;
                 self.schedule(now + Duration::from_secs_f64(gap), Event::Request);
-                let one = if self.case.is_at_one_entry {
+                let entry_count = if self.case.is_at_one_entry {
                     1
                 } else {
                     self.case.entries
                 };
-                let entry = self.rng.random_range(0..one);
+                let entry = self.rng.random_range(0..entry_count);
                 self.arrivals.push(now);
                 match self.leases[entry].admit_request(now) {
                     AdmissionStep::Admit => self.admitted.push(now),
@@ -308,18 +329,21 @@
     }
 }
 
+/// Times of admitted and of all arriving requests, and the number of token
+/// requests or share messages.
 struct SimulationResult {
     admitted: Vec<Duration>,
     arrivals: Vec<Duration>,
     messages: u64,
 }
 
+/// Simulates a case with tokens of one owner, as in production.
 fn simulate(case: &CapCase, seed: u64) -> SimulationResult {
     let mut simulation = CapSimulation {
         case,
         rng: SmallRng::seed_from_u64(seed),
         events: BinaryHeap::new(),
-        number: 0,
+        event_count: 0,
         leases: vec![CapLease::default(); case.entries],
         stocks: vec![CapStock::new(BOUND); case.instances],
         refill_pending: HashMap::new(),
@@ -359,7 +383,7 @@
     }
 }
 
-/// Returns the most runs in any window that begins in this span.
+/// Returns the maximum number of admitted requests in any window within `span`.
 fn count_most_in_window(admitted: &[Duration], span: Span) -> usize {
     let mut window = VecDeque::new();
     let mut most = 0;
@@ -379,20 +403,21 @@
     most
 }
 
+/// Returns the maximum number of requests per window that the bound permits.
 fn max_admitted(cap: UsageCap) -> f64 {
     (cap.per_s * BOUND.window.as_secs_f64() + cap.burst) * (1.0 + BOUND.excess) + BOUND.slack
 }
 
-/// Returns how many of the requests lie within the cap.
+/// Returns how many of the requests a single exact token bucket would admit.
 fn count_within_cap(case: &CapCase, arrivals: &[Duration]) -> f64 {
     let (mut level, mut at, mut within_cap) = (case.cap.burst, Duration::ZERO, 0.0);
     for request in arrivals {
         let is_lowered = case
             .cap_lowered_at
             .is_some_and(|from| request.as_secs_f64() >= from);
-        let times = if is_lowered { 1.0 / 3.0 } else { 1.0 };
+        let cap_factor = if is_lowered { 1.0 / 3.0 } else { 1.0 };
         let passed = (*request - at).as_secs_f64();
-        level = (level + passed * case.cap.per_s * times).min(case.cap.burst * times);
+        level = (level + passed * case.cap.per_s * cap_factor).min(case.cap.burst * cap_factor);
         at = *request;
         if level >= 1.0 {
             level -= 1.0;
@@ -403,7 +428,7 @@
 }
 
 #[test]
-fn all_entries_together_keep_the_cap_and_what_lies_within_is_served() {
+fn entries_together_stay_within_the_cap_and_serve_requests_within_it() {
     for case in CASES {
         for seed in 0..8 {
             let mut result = simulate(case, seed);
@@ -421,7 +446,7 @@
                     per_s: case.cap.per_s / 3.0,
                     burst: case.cap.burst / 3.0,
                 };
-                // Binds one window after the change.
+                // The lowered cap applies one window after the change.
                 let since = cap_lowered_at + BOUND.window.as_secs_f64();
                 let most =
                     count_most_in_window(&result.admitted, (since, SIMULATED_TIME.as_secs_f64()));
@@ -438,24 +463,26 @@
                 "{} {seed}: {served:.4} of {within_cap}",
                 case.name
             );
-            let each = result.messages as f64 / SIMULATED_TIME.as_secs_f64() / case.entries as f64;
-            let most_each = if case.is_at_one_entry { 20.0 } else { 1.0 };
+            let per_entry =
+                result.messages as f64 / SIMULATED_TIME.as_secs_f64() / case.entries as f64;
+            let max_per_entry = if case.is_at_one_entry { 20.0 } else { 1.0 };
             assert!(
-                each <= most_each,
-                "{} {seed}: {each:.2} questions a second",
+                per_entry <= max_per_entry,
+                "{} {seed}: {per_entry:.2} token requests per second and entry",
                 case.name
             );
         }
     }
 }
 
-/// Part of a cap that entries without demand have, in equal parts.
+/// Fraction of the cap that is divided equally among all entries, regardless of
+/// demand.
 const IDLE_FRACTION: f64 = 0.05;
-/// Time between two rounds in which shares are set.
+/// Interval at which the shares are recomputed.
 const SHARE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Plays the other way: shares of the cap that follow what each entry was asked in
-/// the last second. Returns the requests that ran.
+/// Simulates the alternative design: each entry gets a share of the cap in
+/// proportion to its requests in the last second.
 fn simulate_shares(case: &CapCase, seed: u64) -> SimulationResult {
     let mut rng = SmallRng::seed_from_u64(seed);
     let entries = case.entries;
@@ -498,12 +525,12 @@
 }
 
 #[test]
-fn tokens_of_one_owner_serve_more_than_shares_that_follow_demand() {
+fn tokens_of_one_owner_serve_as_much_as_shares_by_demand() {
     for case in CASES
         .iter()
         .filter(|case| case.cut.is_none() && case.cap_lowered_at.is_none())
     {
-        let (mut leased, mut shared, mut most, mut asked) = (0.0, 0.0, 0, (0, 0));
+        let (mut leased, mut shared, mut most, mut messages) = (0.0, 0.0, 0, (0, 0));
         for seed in 0..8 {
             let tokens = simulate(case, seed);
             let shares = simulate_shares(case, seed);
@@ -513,15 +540,15 @@
                 &shares.admitted,
                 (0.0, SIMULATED_TIME.as_secs_f64()),
             ));
-            asked.0 += tokens.messages / 8;
-            asked.1 += shares.messages / 8;
+            messages.0 += tokens.messages / 8;
+            messages.1 += shares.messages / 8;
         }
         println!(
             "{}: served {leased:.3} with tokens, {shared:.3} with shares, which had {most} in a window of {:.0}; {} and {} messages",
             case.name,
             max_admitted(case.cap),
-            asked.0,
-            asked.1,
+            messages.0,
+            messages.1,
         );
         assert!(
             leased >= shared - 0.02,
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -1,5 +1,6 @@
-//! A small driver of the entry machine for tests: hands replies back in any
-//! order and keeps the truth of what the servers searched.
+//! Test harness around the entry machine. The harness simulates the servers,
+//! delivers replies in any order, and checks each outcome against a record of what
+//! the servers actually ran.
 
 #![allow(dead_code, missing_docs, unreachable_pub)]
 
@@ -10,6 +11,8 @@
 use wheelmast_core::prelude::*;
 use wheelmast_core::process::budget::BUDGET_BURST;
 
+/// Service table of the tests: a query that favors time, a query that favors
+/// coverage, a request that must not run twice, and a fetch.
 pub const SERVICES: &str = "\
 service,kind,upstream,in_flight,queue,deadline_ms,coverage_floor,first,partial_after_ms,hedge_quantile,extra_load,retries,merge,limit
 search,query,shards,4,4,400,0.5,time,60,0.9,0.05,2,concatenate,0
@@ -18,17 +21,24 @@
 record,fetch,shards,4,4,400,1,coverage,400,0.9,0.05,2,single,0
 ";
 
+/// Number of shards of each snapshot.
 pub const SHARDS: u32 = 4;
+/// Number of servers that hold each shard.
 pub const REPLICAS: u32 = 2;
+/// Number of requests that each server processes in parallel.
 pub const SLOTS: u32 = 2;
+/// Number of connections that each server accepts.
 pub const CONNECTIONS: u32 = 6;
+/// Number of entry instances that share each server's limits.
 pub const INSTANCES: u32 = 3;
+/// Snapshot that all servers hold at the start.
 pub const FIRST: SnapshotId = SnapshotId {
     epoch: 1,
     version: 1,
 };
 
-/// What a caller asked for and what really happened to it.
+/// A caller's request, its outcomes, and what the servers actually ran for that
+/// request.
 #[derive(Debug, Default)]
 pub struct CallRecord {
     pub service: String,
@@ -37,30 +47,43 @@
     pub searched: HashSet<(u32, SnapshotId)>,
 }
 
-/// Broken promises.
+/// Number of detected violations of each guarantee of the entry machine.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Violations {
+    /// Hits from another snapshot than the answer states.
     pub mixed_snapshot: u32,
+    /// Coverage reports that do not match the shards searched.
     pub false_coverage: u32,
+    /// Hits that belong to another caller's request.
     pub foreign_answer: u32,
+    /// Requests that must not run twice but did.
     pub double_run: u32,
+    /// Refusals stating "not run" for a request that a server ran.
     pub false_not_run: u32,
+    /// Subqueries sent to a server that was shutting down.
     pub work_after_leaving: u32,
+    /// Requests that did not get exactly one outcome.
     pub not_one_outcome: u32,
+    /// Subqueries beyond this instance's share of a server.
     pub over_server_share: u32,
+    /// Steps after which hedges and retries exceeded the extra-load budgets.
     pub over_budget: u32,
 }
 
-/// The machine with its fake servers.
+/// An entry machine with simulated servers. `orders` holds the outstanding
+/// subqueries, and `done` those that were removed to be answered.
 pub struct EntryHarness {
     pub machine: EntryMachine<LowestCostPolicy>,
     pub now: Duration,
     pub orders: Vec<SendOrder>,
     pub done: Vec<SendOrder>,
     pub calls: HashMap<CallTag, CallRecord>,
+    /// Snapshots held by each server.
     pub held: Vec<Vec<HeldSnapshot>>,
+    /// Names of the servers that are shutting down.
     pub leaving: HashSet<String>,
     pub violations: Violations,
+    /// Whether the machine has reported that it finished its shutdown.
     pub left: bool,
     outstanding: HashMap<ServerKey, u32>,
     sequences: HashMap<String, u64>,
@@ -76,7 +99,7 @@
         EntryHarness::with_decisions(safety_checks, seed, 2000)
     }
 
-    /// Returns a rig that records at most `decisions` a second.
+    /// Creates a harness whose machine records at most `decisions` per second.
     pub fn with_decisions(
         safety_checks: EntrySafetyChecks,
         seed: u64,
@@ -104,7 +127,7 @@
             sequences: HashMap::new(),
             next_call: 0,
         };
-        let table = ServiceTable::parse(SERVICES, 1).expect("the test's table is good");
+        let table = ServiceTable::parse(SERVICES, 1).expect("the table of the tests is valid");
         harness.step(EntryInput::Table(table));
         for index in 0..SHARDS * REPLICAS {
             harness.held.push(vec![HeldSnapshot {
@@ -117,6 +140,7 @@
         harness
     }
 
+    /// Announces server `index` in this phase with its current snapshots.
     pub fn announce(&mut self, index: u32, phase: ServerPhase) {
         let name = server_name(index);
         let sequence = self.sequences.entry(name.clone()).or_default();
@@ -143,6 +167,7 @@
         self.step(EntryInput::Announce(announcement));
     }
 
+    /// Sends a new caller's request to the machine and returns its identifier.
     pub fn submit(&mut self, service: &str, kind: RequestKind) -> CallTag {
         self.next_call += 1;
         let call = CallTag(self.next_call);
@@ -167,16 +192,17 @@
         call
     }
 
+    /// Advances the time and fires the timers that become due.
     pub fn advance(&mut self, time: Duration) {
-        let until = self.now + time;
-        while let Some(wake) = self.machine.next_wake().filter(|wake| *wake <= until) {
+        let end = self.now + time;
+        while let Some(wake) = self.machine.next_wake().filter(|wake| *wake <= end) {
             self.now = self.now.max(wake);
             self.step(EntryInput::Wake);
         }
-        self.now = until;
+        self.now = end;
     }
 
-    /// Removes an outstanding order, by any number.
+    /// Removes an outstanding order, selected by `pick` modulo their number.
     pub fn remove_order(&mut self, pick: usize) -> Option<SendOrder> {
         if self.orders.is_empty() {
             return None;
@@ -187,12 +213,13 @@
         Some(order)
     }
 
-    /// Runs an order as a server would, and returns its true reply.
+    /// Simulates a server that runs an order, and returns its correct reply.
     pub fn run(&mut self, order: &SendOrder) -> ReplyBody {
         self.run_with(order, order.shard, order.snapshot)
     }
 
-    /// Runs an order on another shard or snapshot than was asked for.
+    /// Simulates a server that runs an order on the given shard and snapshot, which
+    /// can differ from the requested ones.
     pub fn run_with(&mut self, order: &SendOrder, shard: u32, snapshot: SnapshotId) -> ReplyBody {
         let call = call_of(order);
         if let Some(truth) = self.calls.get_mut(&call) {
@@ -211,6 +238,7 @@
         }
     }
 
+    /// Ends an order with this result.
     pub fn reply(&mut self, order: &SendOrder, status: ReplyStatus) {
         self.step(EntryInput::Reply(AttemptReply {
             attempt: order.attempt,
@@ -219,6 +247,8 @@
         }));
     }
 
+    /// Passes an input to the machine, handles its actions and checks the extra-load
+    /// budgets.
     pub fn step(&mut self, input: EntryInput) {
         let mut out = Vec::new();
         self.machine.step(self.now, input, &mut out);
@@ -226,10 +256,10 @@
             self.handle_action(action);
         }
         let counts = self.machine.counters();
-        // Each of the four services has a budget of its own.
-        let earned = 4.0 * BUDGET_BURST + 0.05 * counts.sends as f64;
-        let drawn = counts.hedges + counts.retries;
-        if drawn as f64 > earned || drawn != counts.budget_spent {
+        // Each of the 4 services has its own budget.
+        let max_extra_sends = 4.0 * BUDGET_BURST + 0.05 * counts.sends as f64;
+        let extra_sends = counts.hedges + counts.retries;
+        if extra_sends as f64 > max_extra_sends || extra_sends != counts.budget_spent {
             self.violations.over_budget += 1;
         }
     }
@@ -262,7 +292,10 @@
     }
 
     fn finish(&mut self, call: CallTag, outcome: QueryOutcome) {
-        let truth = self.calls.get_mut(&call).expect("the call was made");
+        let truth = self
+            .calls
+            .get_mut(&call)
+            .expect("the machine finishes only submitted calls");
         match &outcome {
             QueryOutcome::Answer(answer) => {
                 check_answer(call, truth, answer, &mut self.violations);
@@ -276,8 +309,9 @@
         truth.outcomes.push(outcome);
     }
 
-    /// Ends the case: all time passes, then every call must have had one
-    /// outcome, and what may not be repeated must have run at most once.
+    /// Ends the test case: advances past all deadlines, checks that each call got
+    /// exactly one outcome and that no non-repeatable request ran twice, and returns
+    /// the violations.
     pub fn finish_case(mut self) -> Violations {
         self.advance(Duration::from_secs(2));
         for truth in self.calls.values() {
@@ -292,11 +326,17 @@
     }
 }
 
+/// Reads the call's identifier from the payload that [`EntryHarness::submit`] wrote.
 pub fn call_of(order: &SendOrder) -> CallTag {
-    let text = std::str::from_utf8(&order.body.payload).expect("the test wrote it");
-    CallTag(text.parse().expect("the test wrote it"))
+    let text = std::str::from_utf8(&order.body.payload)
+        .expect("the harness wrote this payload or document");
+    CallTag(
+        text.parse()
+            .expect("the harness wrote this payload or document"),
+    )
 }
 
+/// Counts violations in an answer: wrong caller, mixed snapshots, false coverage.
 fn check_answer(
     call: CallTag,
     truth: &CallRecord,
@@ -312,7 +352,11 @@
         if parts[2] != answer.snapshot.to_string() {
             violations.mixed_snapshot += 1;
         }
-        if missing.contains(&parts[1].parse().expect("the test wrote it")) {
+        if missing.contains(
+            &parts[1]
+                .parse()
+                .expect("the harness wrote this payload or document"),
+        ) {
             violations.false_coverage += 1;
         }
     }
@@ -330,7 +374,8 @@
 }
 
 impl EntryHarness {
-    /// Returns what a server would reply to an order that ended before.
+    /// Builds the reply of a server to an order that has already ended, without
+    /// recording a run.
     pub fn build_late_reply(&mut self, order: &SendOrder) -> ReplyBody {
         let call = call_of(order);
         ReplyBody {
@@ -345,7 +390,8 @@
         }
     }
 
-    /// Gives a server one index version more; it keeps the last two.
+    /// Adds the next index version to a server's snapshots, keeps the newest 2, and
+    /// announces the server again.
     pub fn add_snapshot_version(&mut self, index: u32) {
         let held = &mut self.held[index as usize];
         let mut next = held[0];
