--- a/crates/core/src/process/admission.rs
+++ b/crates/core/src/process/admission.rs
@@ -79,7 +79,7 @@
 
     /// Starts queued requests while the limits on running requests allow it.
     pub(super) fn start_queued_requests(&mut self, now: Duration, out: &mut Vec<EntryAction>) {
-        while let Some(query) = self.gates.take_next() {
+        while let Some(query) = self.gates.pop_next() {
             if self.queries.get(query).is_some() {
                 self.start_query(query, now, out);
             }
@@ -94,7 +94,7 @@
         &self,
         request: &QueryRequest,
     ) -> Result<(GateKey, Arc<ServiceRow>), RefusalReason> {
-        if self.leaving {
+        if self.is_leaving {
             return Err(RefusalReason::Leaving);
         }
         let gate = self.gates.find(&request.service);
@@ -119,8 +119,8 @@
     ) -> Result<(), (RefusalReason, Duration)> {
         let state = self.gates.gate(gate);
         let waiting = state.queue.len();
-        let parallel = self.gates.parallel(gate);
-        let wait = state.expected_wait(waiting + 1, parallel);
+        let parallelism = self.gates.parallelism(gate);
+        let wait = state.expected_wait(waiting + 1, parallelism);
         if waiting >= row.queue as usize {
             return Err((RefusalReason::QueueFull, wait));
         }
@@ -140,8 +140,8 @@
         deadline: Duration,
         now: Duration,
     ) -> SlotKey {
-        let is_traced = self.take_trace(now);
-        let shards = self.spare_shards();
+        let is_traced = self.try_start_trace(now);
+        let shards = self.take_spare_shards();
         let query = self.queries.insert(QueryState {
             call: request.call,
             request: id,
@@ -178,7 +178,7 @@
         out: &mut Vec<EntryAction>,
     ) {
         self.gates.gate_mut(gate).queue.push_back(query);
-        self.decide_query(query, now, out, |machine| {
+        self.record_query_decision(query, now, out, |machine| {
             let gate = machine.gates.gate(gate);
             RouteDecision::Queue {
                 service: gate
@@ -202,10 +202,10 @@
         out: &mut Vec<EntryAction>,
     ) {
         self.counters.not_run += 1;
-        if self.take_trace(now) {
-            self.charge_trace(1);
+        if self.try_start_trace(now) {
+            self.charge_trace_budget(1);
             let decision = RouteDecision::Refuse { reason };
-            self.decide(Some(request), decision, now, out);
+            self.record_decision(Some(request), decision, now, out);
         }
         let refusal = QueryRefusal {
             request,
--- a/crates/core/src/process/finish.rs
+++ b/crates/core/src/process/finish.rs
@@ -60,7 +60,7 @@
         shard.status = ShardStatus::Missing(reason);
         state.missing += 1;
         let shard = shard.number;
-        self.decide_query(query, now, out, |_| RouteDecision::GiveUp { shard, reason });
+        self.record_query_decision(query, now, out, |_| RouteDecision::GiveUp { shard, reason });
     }
 
     /// Ends a query if its outcome is decided.
@@ -159,7 +159,7 @@
                 asked: coverage.asked,
                 took: now - state.arrived,
             };
-            self.decide(Some(state.request), decision, now, out);
+            self.record_decision(Some(state.request), decision, now, out);
         }
         let row = &state.row;
         let hits = state
@@ -181,7 +181,7 @@
             call: state.call,
             outcome: QueryOutcome::Answer(answer),
         });
-        self.keep_shards(state.shards);
+        self.recycle_shards(state.shards);
     }
 
     /// Refuses a queued or running request.
@@ -204,7 +204,7 @@
         let Some(state) = self.remove_query(query, now) else {
             return;
         };
-        let run = if state.possible_runs == 0 || !self.options.guards.refusal {
+        let run = if state.possible_runs == 0 || !self.options.safety_checks.not_run_claim {
             self.counters.not_run += 1;
             RunState::NotRun
         } else {
@@ -213,7 +213,7 @@
         };
         if state.is_traced {
             let decision = RouteDecision::Refuse { reason };
-            self.decide(Some(state.request), decision, now, out);
+            self.record_decision(Some(state.request), decision, now, out);
         }
         out.push(EntryAction::Finish {
             call: state.call,
@@ -226,7 +226,7 @@
                 coverage: state.coverage(),
             }),
         });
-        self.keep_shards(state.shards);
+        self.recycle_shards(state.shards);
     }
 
     /// Removes a query and frees its place among the running or queued requests of its
@@ -237,7 +237,7 @@
         if state.is_running {
             self.gates.end(state.gate);
             let took = now - state.started;
-            self.gates.gate_mut(state.gate).learn(took);
+            self.gates.gate_mut(state.gate).record_service_time(took);
         } else {
             let gate = self.gates.gate_mut(state.gate);
             gate.queue.retain(|waiting| *waiting != query);
--- a/crates/core/src/process/gossip/dissemination.rs
+++ b/crates/core/src/process/gossip/dissemination.rs
@@ -13,8 +13,8 @@
 use crate::process::gossip::lease_tracker::select_lease_trackers;
 use crate::process::gossip::machine::{GossipAction, GossipMachine, KnownServer, QueuedUpdate};
 use crate::process::gossip::message::{GossipPurpose, ServerUpdate, UpdateVersion};
-use crate::process::news::ServerNews;
-use crate::process::roster::ROSTER_SERVERS;
+use crate::process::news::UpstreamAnnouncement;
+use crate::process::roster::MAX_ROSTER_SERVERS;
 
 /// Number of hash buckets in the digest of the servers.
 const DIGEST_BUCKETS: u64 = 64;
@@ -26,7 +26,7 @@
     /// the server's lease trackers, and to all members if it is a change.
     pub(super) fn handle_announcement(
         &mut self,
-        announcement: ServerNews,
+        announcement: UpstreamAnnouncement,
         now: Duration,
         out: &mut Vec<GossipAction>,
     ) {
@@ -50,7 +50,7 @@
     /// change.
     pub(super) fn handle_renewal(
         &mut self,
-        announcement: ServerNews,
+        announcement: UpstreamAnnouncement,
         now: Duration,
         out: &mut Vec<GossipAction>,
     ) {
@@ -81,7 +81,7 @@
         out: &mut Vec<GossipAction>,
     ) {
         let name = update.news.name.to_string();
-        let is_full = self.servers.len() >= ROSTER_SERVERS;
+        let is_full = self.servers.len() >= MAX_ROSTER_SERVERS;
         match self.servers.get_mut(&name) {
             Some(server) if update.version() <= server.update.version() => {
                 // This instance recorded the same or a newer announcement as a
--- a/crates/core/src/process/gossip/machine.rs
+++ b/crates/core/src/process/gossip/machine.rs
@@ -13,7 +13,7 @@
 
 use crate::process::gossip::member::{MemberLifecycle, MemberRecord, MemberState};
 use crate::process::gossip::message::{GossipMessage, GossipPurpose, ServerUpdate};
-use crate::process::news::ServerNews;
+use crate::process::news::UpstreamAnnouncement;
 
 /// Interval between two probes.
 pub const PROBE_INTERVAL: Duration = Duration::from_millis(500);
@@ -41,7 +41,7 @@
     /// Another member sent this message.
     Message(GossipMessage),
     /// An upstream server announced itself to this instance.
-    Announced(ServerNews),
+    Announced(UpstreamAnnouncement),
     /// This instance leaves the group.
     Leave,
 }
@@ -57,7 +57,7 @@
         message: GossipMessage,
     },
     /// Pass a server's newer announcement to the entry.
-    ServerAnnounced(ServerNews),
+    ServerAnnounced(UpstreamAnnouncement),
     /// Tell the entry that the lease of the named server expired at one of its
     /// lease trackers, so that the server gets no new work.
     Expired(String),
--- a/crates/core/src/process/gossip/message.rs
+++ b/crates/core/src/process/gossip/message.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::process::gossip::member::MemberState;
-use crate::process::news::ServerNews;
+use crate::process::news::UpstreamAnnouncement;
 
 /// Version of a server's announced state: incarnation, sequence number, and
 /// whether a lease tracker reported that the lease has expired.
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServerUpdate {
     /// The server's announcement.
-    pub news: ServerNews,
+    pub news: UpstreamAnnouncement,
     /// Whether the server's lease expired at a lease tracker after this
     /// announcement.
     pub expired: bool,
@@ -55,7 +55,7 @@
     Updates,
     /// Forwards a server's announcement, which renews its lease, to a lease
     /// tracker of the server.
-    Renewal(Box<ServerNews>),
+    Renewal(Box<UpstreamAnnouncement>),
     /// Starts an anti-entropy exchange: digests of the state that the sender
     /// has.
     Digest {
--- a/crates/core/src/process/roster.rs
+++ b/crates/core/src/process/roster.rs
@@ -1,4 +1,6 @@
-//! The upstream servers an instance knows of, and the snapshots they cover.
+//! Roster of the upstream servers that an entry instance knows from their
+//! announcements: leases, limits, health, and which servers hold which shard of
+//! which snapshot.
 
 use std::cmp::Reverse;
 use std::collections::{HashMap, VecDeque};
@@ -11,101 +13,105 @@
 use crate::process::domain::{DomainKey, DomainRecord};
 use crate::process::health::ServerHealth;
 use crate::process::latency::LatencyWindow;
-use crate::process::news::{HeldSnapshot, ServerNews, ServerPhase};
+use crate::process::news::{HeldSnapshot, ServerPhase, UpstreamAnnouncement};
 use crate::process::placement::{add_to_placement, SnapshotChoice, SnapshotPlacement};
 use crate::version::snapshot::SnapshotId;
 
-/// Most servers an instance remembers; announcements of more are refused.
-pub const ROSTER_SERVERS: usize = 20_000;
-/// Most shards a snapshot may claim to have.
-pub const SNAPSHOT_SHARDS: u32 = 4_096;
-/// Most snapshots a server may hold.
-pub const SERVER_SNAPSHOTS: usize = 16;
+/// Maximum number of servers in the roster; announcements of further servers are
+/// refused.
+pub const MAX_ROSTER_SERVERS: usize = 20_000;
+/// Maximum number of shards that an announced snapshot can have.
+pub const MAX_SNAPSHOT_SHARDS: u32 = 4_096;
+/// Maximum number of snapshots in one announcement.
+pub const MAX_SERVER_SNAPSHOTS: usize = 16;
 
-/// A shard of a query that waits for a server.
+/// A shard of a query that is queued until a server has capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ShardTicket {
-    /// The query.
+pub struct QueuedShard {
+    /// Key of the query.
     pub query: SlotKey,
-    /// Index of the shard in the query.
+    /// Index of the shard in the query's shard list.
     pub index: u32,
 }
 
-/// What is known of one server.
+/// State of one upstream server.
 #[derive(Debug)]
 pub struct ServerRecord {
-    /// Its name.
+    /// Name of the server.
     pub name: Arc<str>,
-    /// The upstream it belongs to.
+    /// Upstream that the server belongs to.
     pub upstream: UpstreamKey,
-    /// The failure domain it stands in.
+    /// Failure domain of the server.
     pub domain: DomainKey,
-    /// Where it takes requests.
+    /// Address at which the server accepts requests.
     pub address: SocketAddr,
-    /// Its phase.
+    /// Lifecycle phase from the last announcement.
     pub phase: ServerPhase,
-    /// When its lease runs out.
-    pub lease_until: Duration,
-    /// Time by which a renewal moves that.
+    /// Time at which the server's lease expires.
+    pub lease_expires_at: Duration,
+    /// Length of the lease that a renewal grants.
     pub lease: Duration,
-    /// Snapshots it holds.
+    /// Shards of snapshots that the server holds.
     pub held: Vec<HeldSnapshot>,
-    /// Requests it works on at a time.
+    /// Number of requests that the server processes in parallel.
     pub slots: u32,
-    /// Connections it accepts over all instances.
+    /// Number of connections that the server accepts from all entry instances
+    /// together.
     pub connections: u32,
-    /// What this instance may use of it.
+    /// This instance's share of the server's connections and slots.
     pub share: ServerShare,
-    /// What this instance has seen of it.
+    /// Health of the server as observed by this instance.
     pub health: ServerHealth,
-    /// Subqueries this instance has outstanding there.
+    /// Number of subqueries that this instance has outstanding at the server.
     pub outstanding: u32,
-    /// Idle connections this instance has to it.
+    /// Number of idle connections from this instance to the server.
     pub idle: u32,
-    /// Shards that wait for it.
-    pub waiters: VecDeque<ShardTicket>,
-    order: (u64, u64),
+    /// Shards that are queued until the server has capacity.
+    pub queued_shards: VecDeque<QueuedShard>,
+    /// `(incarnation, sequence)` of the last accepted announcement.
+    announcement_order: (u64, u64),
 }
 
 impl ServerRecord {
-    /// Tells whether the server may get new work, by its phase and lease.
+    /// Returns whether the server's phase and lease allow new requests.
     pub fn is_live(&self, now: Duration) -> bool {
-        self.phase.takes_work() && now < self.lease_until
+        self.phase.takes_work() && now < self.lease_expires_at
     }
 
-    /// Tells whether this instance has a connection and a slot left there.
-    pub fn has_room(&self) -> bool {
+    /// Returns whether this instance's share of the server allows another
+    /// outstanding subquery.
+    pub fn has_capacity(&self) -> bool {
         self.outstanding < self.share.outstanding
     }
 }
 
-/// What is known of one upstream.
+/// State of one upstream: the servers that announce the same service name.
 #[derive(Debug)]
 pub struct UpstreamRecord {
-    /// Its servers.
+    /// Servers of the upstream.
     pub servers: Vec<ServerKey>,
-    /// Its snapshots, newest first.
+    /// Snapshots held by the servers, newest first, with the servers of each shard.
     pub placements: Vec<SnapshotPlacement>,
-    /// Recent latencies over all its servers.
+    /// Recent latencies of all servers of the upstream.
     pub latency: LatencyWindow,
-    /// Typical time to open a connection, in microseconds.
+    /// Moving average of the time to open a connection, in microseconds.
     pub connect: f32,
 }
 
-/// What an announcement changed.
+/// Effect of an announcement on the roster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NewsEffect {
-    /// The server's phase or snapshots changed, or it is new.
+pub enum RosterChange {
+    /// The server is new, restarted or returned, or its phase or snapshots changed.
     Changed(ServerKey),
-    /// Only its lease and load were renewed.
+    /// The announcement renewed the lease and updated load, limits and address.
     Renewed(ServerKey),
-    /// The announcement was older than what is known.
+    /// The announcement was not newer than the last accepted one.
     Stale,
-    /// It breaks a limit and was refused.
+    /// The announcement exceeded a limit and was refused.
     Refused,
 }
 
-/// The roster of upstream servers.
+/// All known upstream servers, grouped by upstream and failure domain.
 #[derive(Debug, Default)]
 pub struct UpstreamRoster {
     servers: KeyArena<ServerKey, ServerRecord>,
@@ -118,7 +124,8 @@
 }
 
 impl UpstreamRoster {
-    /// Returns an empty roster whose servers are shared by `instances`.
+    /// Creates an empty roster; `instances` entry instances share the servers'
+    /// limits.
     pub fn new(instances: u32) -> UpstreamRoster {
         UpstreamRoster {
             instances,
@@ -126,39 +133,45 @@
         }
     }
 
-    /// Takes an announcement.
-    pub fn apply(&mut self, news: ServerNews, now: Duration) -> NewsEffect {
-        if !is_acceptable(&news) {
-            return NewsEffect::Refused;
+    /// Applies an announcement: adds a new server or updates a known one.
+    pub fn apply_announcement(
+        &mut self,
+        announcement: UpstreamAnnouncement,
+        now: Duration,
+    ) -> RosterChange {
+        if !is_valid_announcement(&announcement) {
+            return RosterChange::Refused;
         }
-        match self.server_names.get(&*news.name) {
-            Some(server) => self.renew(*server, news, now),
-            None if self.servers.len() >= ROSTER_SERVERS => NewsEffect::Refused,
-            None => self.add(news, now),
+        match self.server_names.get(&*announcement.name) {
+            Some(server) => self.update_server(*server, announcement, now),
+            None if self.servers.len() >= MAX_ROSTER_SERVERS => RosterChange::Refused,
+            None => self.add_server(announcement, now),
         }
     }
 
-    /// Ends the lease of a server.
-    pub fn expire(&mut self, name: &str, now: Duration) {
+    /// Ends the lease of a server at `now`, if it does not expire earlier.
+    pub fn end_lease(&mut self, name: &str, now: Duration) {
         if let Some(server) = self.server_names.get(name) {
             let record = &mut self.servers[*server];
-            record.lease_until = record.lease_until.min(now);
+            record.lease_expires_at = record.lease_expires_at.min(now);
         }
     }
 
-    /// Renews the leases of servers that their homes vouch for.
-    pub fn vouch(&mut self, names: &[String], now: Duration) {
+    /// Renews the leases of the named servers, which other instances confirmed to
+    /// be alive.
+    pub fn renew_leases(&mut self, names: &[String], now: Duration) {
         for name in names {
             let Some(server) = self.server_names.get(name.as_str()) else {
                 continue;
             };
             let record = &mut self.servers[*server];
-            record.lease_until = record.lease_until.max(now + record.lease);
+            record.lease_expires_at = record.lease_expires_at.max(now + record.lease);
         }
     }
 
-    /// Divides the servers' limits by another number of instances.
-    pub fn divide(&mut self, instances: u32) {
+    /// Sets the number of entry instances and divides every server's limits by that
+    /// number.
+    pub fn set_instance_count(&mut self, instances: u32) {
         self.instances = instances;
         for index in 0..self.servers.len() {
             let record = &mut self.servers[ServerKey::from_index(index)];
@@ -166,60 +179,66 @@
         }
     }
 
-    /// Takes a server's word for the snapshots it holds now.
-    pub fn correct_held(&mut self, server: ServerKey, held: Vec<HeldSnapshot>) {
-        if held.len() > SERVER_SNAPSHOTS || held.iter().any(is_absurd) {
+    /// Replaces the snapshots of a server by those that its own reply listed. Ignores
+    /// lists that exceed the limits.
+    pub fn replace_held_snapshots(&mut self, server: ServerKey, held: Vec<HeldSnapshot>) {
+        if held.len() > MAX_SERVER_SNAPSHOTS || held.iter().any(is_invalid_snapshot) {
             return;
         }
         let upstream = self.servers[server].upstream;
         if self.servers[server].held != held {
             self.servers[server].held = held;
-            self.rebuild(upstream);
+            self.rebuild_placements(upstream);
         }
     }
 
-    /// Returns the upstream of this name.
+    /// Looks up an upstream by name.
     pub fn upstream(&self, name: &str) -> Option<UpstreamKey> {
         self.upstream_names.get(name).copied()
     }
 
-    /// Returns what is known of a server.
+    /// Returns the state of a server.
     pub fn server(&self, server: ServerKey) -> &ServerRecord {
         &self.servers[server]
     }
 
-    /// Returns what is known of a server, for change.
+    /// Returns the state of a server, mutably.
     pub fn server_mut(&mut self, server: ServerKey) -> &mut ServerRecord {
         &mut self.servers[server]
     }
 
-    /// Returns what is known of an upstream.
+    /// Returns the state of an upstream.
     pub fn upstream_record(&self, upstream: UpstreamKey) -> &UpstreamRecord {
         &self.upstreams[upstream]
     }
 
-    /// Returns what is known of an upstream, for change.
+    /// Returns the state of an upstream, mutably.
     pub fn upstream_mut(&mut self, upstream: UpstreamKey) -> &mut UpstreamRecord {
         &mut self.upstreams[upstream]
     }
 
-    /// Returns what is known of a failure domain.
+    /// Returns the state of a failure domain.
     pub fn domain(&self, domain: DomainKey) -> &DomainRecord {
         &self.domains[domain]
     }
 
-    /// Returns what is known of a failure domain, for change.
+    /// Returns the state of a failure domain, mutably.
     pub fn domain_mut(&mut self, domain: DomainKey) -> &mut DomainRecord {
         &mut self.domains[domain]
     }
 
-    /// Iterates over all servers.
+    /// Iterates over all servers with their keys.
     pub fn servers(&self) -> impl Iterator<Item = (ServerKey, &ServerRecord)> {
         self.servers.iter()
     }
 
     /// Returns the servers that hold a shard of a snapshot.
-    pub fn group(&self, upstream: UpstreamKey, snapshot: SnapshotId, shard: u32) -> &[ServerKey] {
+    pub fn shard_servers(
+        &self,
+        upstream: UpstreamKey,
+        snapshot: SnapshotId,
+        shard: u32,
+    ) -> &[ServerKey] {
         let placements = &self.upstreams[upstream].placements;
         let placement = placements
             .iter()
@@ -229,15 +248,17 @@
             .map_or(&[], Vec::as_slice)
     }
 
-    /// Chooses the newest of the best covered snapshots, if one is covered at
-    /// all.
+    /// Chooses the snapshot with the largest fraction of shards that have a live
+    /// server, and the newest one among equals. Returns `None` if no snapshot has a
+    /// live shard.
     ///
-    /// With a `floor` below 1 a snapshot that covers less than the best one is
-    /// still not taken: see `docs/design/snapshot.md` for the measurement.
+    /// A newer snapshot with fewer live shards is not chosen even if the service
+    /// requires less than full coverage (`coverage_floor` below 1). See
+    /// `docs/design/snapshot.md` for the measurement behind this rule.
     pub fn choose_snapshot(&self, upstream: UpstreamKey, now: Duration) -> Option<SnapshotChoice> {
         let mut best: Option<SnapshotChoice> = None;
         for placement in &self.upstreams[upstream].placements {
-            let live = self.live_shards(placement, now);
+            let live = self.count_live_shards(placement, now);
             let shards = placement.servers_by_shard.len() as u32;
             let choice = SnapshotChoice {
                 snapshot: placement.snapshot,
@@ -254,76 +275,88 @@
         best.filter(|choice| choice.live > 0)
     }
 
-    fn live_shards(&self, placement: &SnapshotPlacement, now: Duration) -> u32 {
+    fn count_live_shards(&self, placement: &SnapshotPlacement, now: Duration) -> u32 {
         let is_live = |server: &ServerKey| self.servers[*server].is_live(now);
         let live = placement
             .servers_by_shard
             .iter()
-            .filter(|group| group.iter().any(is_live));
+            .filter(|shard_servers| shard_servers.iter().any(is_live));
         live.count() as u32
     }
 
-    fn add(&mut self, news: ServerNews, now: Duration) -> NewsEffect {
-        let upstream = self.upstream_or_new(&news.upstream);
-        let domain = self.domain_or_new(&news.domain);
-        let name: Arc<str> = (&*news.name).into();
+    fn add_server(&mut self, announcement: UpstreamAnnouncement, now: Duration) -> RosterChange {
+        let upstream = self.find_or_add_upstream(&announcement.upstream);
+        let domain = self.find_or_add_domain(&announcement.domain);
+        let name: Arc<str> = (&*announcement.name).into();
         let server = self.servers.push(ServerRecord {
             name: name.clone(),
             upstream,
             domain,
-            address: news.address,
-            phase: news.phase,
-            lease_until: now + news.lease,
-            lease: news.lease,
-            held: news.held,
-            slots: news.slots,
-            connections: news.connections,
-            share: divide_server_limits(news.slots, news.connections, self.instances),
+            address: announcement.address,
+            phase: announcement.phase,
+            lease_expires_at: now + announcement.lease,
+            lease: announcement.lease,
+            held: announcement.held,
+            slots: announcement.slots,
+            connections: announcement.connections,
+            share: divide_server_limits(
+                announcement.slots,
+                announcement.connections,
+                self.instances,
+            ),
             health: ServerHealth::new(now),
             outstanding: 0,
             idle: 0,
-            waiters: VecDeque::new(),
-            order: (news.incarnation, news.sequence),
+            queued_shards: VecDeque::new(),
+            announcement_order: (announcement.incarnation, announcement.sequence),
         });
-        self.servers[server].health.report(news.load, now);
+        self.servers[server]
+            .health
+            .record_load_report(announcement.load, now);
         self.server_names.insert(name, server);
         self.upstreams[upstream].servers.push(server);
         self.domains[domain].servers.push(server);
-        self.rebuild(upstream);
-        NewsEffect::Changed(server)
+        self.rebuild_placements(upstream);
+        RosterChange::Changed(server)
     }
 
-    fn renew(&mut self, server: ServerKey, news: ServerNews, now: Duration) -> NewsEffect {
-        let order = (news.incarnation, news.sequence);
+    fn update_server(
+        &mut self,
+        server: ServerKey,
+        announcement: UpstreamAnnouncement,
+        now: Duration,
+    ) -> RosterChange {
+        let announcement_order = (announcement.incarnation, announcement.sequence);
         let record = &mut self.servers[server];
-        if order <= record.order {
-            return NewsEffect::Stale;
+        if announcement_order <= record.announcement_order {
+            return RosterChange::Stale;
         }
-        let is_restart = news.incarnation > record.order.0;
-        let is_back = now >= record.lease_until;
-        let changed = record.phase != news.phase || record.held != news.held;
-        record.order = order;
-        record.address = news.address;
-        record.phase = news.phase;
-        record.held = news.held;
-        record.slots = news.slots;
-        record.connections = news.connections;
-        record.lease = news.lease;
-        record.share = divide_server_limits(news.slots, news.connections, self.instances);
-        record.lease_until = now + news.lease;
-        if is_restart || is_back {
-            record.health.restart(now);
+        let is_restart = announcement.incarnation > record.announcement_order.0;
+        let is_returned = now >= record.lease_expires_at;
+        let is_changed = record.phase != announcement.phase || record.held != announcement.held;
+        record.announcement_order = announcement_order;
+        record.address = announcement.address;
+        record.phase = announcement.phase;
+        record.held = announcement.held;
+        record.slots = announcement.slots;
+        record.connections = announcement.connections;
+        record.lease = announcement.lease;
+        record.share =
+            divide_server_limits(announcement.slots, announcement.connections, self.instances);
+        record.lease_expires_at = now + announcement.lease;
+        if is_restart || is_returned {
+            record.health.reset(now);
         }
-        record.health.report(news.load, now);
+        record.health.record_load_report(announcement.load, now);
         let upstream = record.upstream;
-        if changed || is_restart || is_back {
-            self.rebuild(upstream);
-            return NewsEffect::Changed(server);
+        if is_changed || is_restart || is_returned {
+            self.rebuild_placements(upstream);
+            return RosterChange::Changed(server);
         }
-        NewsEffect::Renewed(server)
+        RosterChange::Renewed(server)
     }
 
-    fn upstream_or_new(&mut self, name: &str) -> UpstreamKey {
+    fn find_or_add_upstream(&mut self, name: &str) -> UpstreamKey {
         if let Some(upstream) = self.upstream_names.get(name) {
             return *upstream;
         }
@@ -337,7 +370,7 @@
         upstream
     }
 
-    fn domain_or_new(&mut self, name: &str) -> DomainKey {
+    fn find_or_add_domain(&mut self, name: &str) -> DomainKey {
         if let Some(domain) = self.domain_names.get(name) {
             return *domain;
         }
@@ -346,8 +379,8 @@
         domain
     }
 
-    /// Works out anew which servers hold which shard of which snapshot.
-    fn rebuild(&mut self, upstream: UpstreamKey) {
+    /// Recomputes which servers hold which shard of which snapshot of an upstream.
+    fn rebuild_placements(&mut self, upstream: UpstreamKey) {
         let mut placements: Vec<SnapshotPlacement> = Vec::new();
         for server in &self.upstreams[upstream].servers {
             for held in &self.servers[*server].held {
@@ -359,10 +392,11 @@
     }
 }
 
-fn is_absurd(held: &HeldSnapshot) -> bool {
-    held.shards > SNAPSHOT_SHARDS || held.shard >= held.shards
+fn is_invalid_snapshot(held: &HeldSnapshot) -> bool {
+    held.shards > MAX_SNAPSHOT_SHARDS || held.shard >= held.shards
 }
 
-fn is_acceptable(news: &ServerNews) -> bool {
-    news.held.len() <= SERVER_SNAPSHOTS && !news.held.iter().any(is_absurd)
+fn is_valid_announcement(announcement: &UpstreamAnnouncement) -> bool {
+    announcement.held.len() <= MAX_SERVER_SNAPSHOTS
+        && !announcement.held.iter().any(is_invalid_snapshot)
 }
--- a/crates/core/src/process/route.rs
+++ b/crates/core/src/process/route.rs
@@ -101,15 +101,17 @@
     ) -> CandidateSet {
         let mut candidates = CandidateSet::default();
         let shard = &state.shards[index];
-        let group = self.roster.group(upstream, state.snapshot, shard.number);
+        let shard_servers = self
+            .roster
+            .shard_servers(upstream, state.snapshot, shard.number);
         // The lists may be too short for all servers. Then each request starts at another
         // server, so that every server becomes a candidate for some requests.
-        let start = if group.len() > MAX_CANDIDATES {
-            state.request.sequence as usize % group.len()
+        let start = if shard_servers.len() > MAX_CANDIDATES {
+            state.request.sequence as usize % shard_servers.len()
         } else {
             0
         };
-        for server in group[start..].iter().chain(&group[..start]) {
+        for server in shard_servers[start..].iter().chain(&shard_servers[..start]) {
             let record = self.roster.server(*server);
             let status = self.option_status(*server, record, shard, now);
             let is_preferred = !shard.tried.contains(server) && is_healthy(record, now);
@@ -144,11 +146,11 @@
         shard: &ShardState,
         now: Duration,
     ) -> OptionStatus {
-        if self.options.guards.drain {
+        if self.options.safety_checks.drain {
             if !record.phase.takes_work() {
                 return OptionStatus::Leaving;
             }
-            if now >= record.lease_until {
+            if now >= record.lease_expires_at {
                 return OptionStatus::Expired;
             }
         }
@@ -159,7 +161,7 @@
         if shard.attempts.iter().any(is_outstanding) {
             return OptionStatus::Outstanding;
         }
-        if !record.has_room() {
+        if !record.has_capacity() {
             return OptionStatus::Full;
         }
         if record.health.is_ejected(now) {
@@ -255,14 +257,14 @@
         match cause {
             SendCause::First => {
                 self.counters.sends += 1;
-                self.gates.gate_mut(gate).budget.earn(extra_load);
+                self.gates.gate_mut(gate).budget.add_send_credit(extra_load);
             }
             SendCause::Hedge => self.counters.hedges += 1,
             SendCause::Retry => self.counters.retries += 1,
             SendCause::Resend => self.counters.resends += 1,
             SendCause::Rescue => self.counters.rescues += 1,
         }
-        if cause.spends_budget() && self.gates.gate_mut(gate).budget.spend() {
+        if cause.spends_budget() && self.gates.gate_mut(gate).budget.try_spend() {
             self.counters.budget_spent += 1;
         }
         if let Some(options) = options {
@@ -272,7 +274,7 @@
                 attempt: id,
                 options,
             };
-            self.decide_query(query, now, out, |_| decision);
+            self.record_query_decision(query, now, out, |_| decision);
         }
     }
 
@@ -292,9 +294,11 @@
         }
         let upstream = state.upstream?;
         let shard = &state.shards[index];
-        let group = self.roster.group(upstream, state.snapshot, shard.number);
+        let shard_servers = self
+            .roster
+            .shard_servers(upstream, state.snapshot, shard.number);
         let mut options = ArrayVec::new();
-        for server in group.iter().take(MAX_ROUTE_OPTIONS) {
+        for server in shard_servers.iter().take(MAX_ROUTE_OPTIONS) {
             let record = self.roster.server(*server);
             let status = if *server == chosen {
                 OptionStatus::Chosen
--- a/crates/core/src/process/scatter.rs
+++ b/crates/core/src/process/scatter.rs
@@ -40,7 +40,7 @@
         let gate = state.gate;
         let waited = now - state.arrived;
         self.gates.start(gate);
-        self.decide_query(query, now, out, |machine| RouteDecision::Admit {
+        self.record_query_decision(query, now, out, |machine| RouteDecision::Admit {
             service: machine.service_name(query),
             waited,
         });
@@ -53,7 +53,7 @@
             let reason = RefusalReason::NoServer;
             return self.end_with_refusal(query, reason, None, now, out);
         };
-        self.decide_query(query, now, out, |_| RouteDecision::Snapshot {
+        self.record_query_decision(query, now, out, |_| RouteDecision::Snapshot {
             snapshot: choice.snapshot,
             live: choice.live,
             shards: choice.shards,
@@ -103,7 +103,7 @@
         }
         let count = state.shards.len();
         if state.is_traced {
-            self.charge_trace(count + BASE_TRACE_DECISIONS);
+            self.charge_trace_budget(count + BASE_TRACE_DECISIONS);
         }
         count
     }
@@ -163,7 +163,7 @@
             return false;
         }
         self.counters.restarts += 1;
-        self.decide_query(query, now, out, |_| RouteDecision::Restart { from });
+        self.record_query_decision(query, now, out, |_| RouteDecision::Restart { from });
         self.cancel_query_attempts(query, now, out);
         if let Some(state) = self.queries.get_mut(query) {
             state.restarted = true;
--- a/crates/core/src/process/sweep.rs
+++ b/crates/core/src/process/sweep.rs
@@ -107,7 +107,7 @@
         if shard.attempts.is_empty() {
             return SweepAction::Send;
         }
-        if !is_repeatable(state.row.kind) && self.options.guards.once {
+        if !is_repeatable(state.row.kind) && self.options.safety_checks.single_run {
             return SweepAction::Nothing;
         }
         if let Some(attempt) = self.find_timed_out_attempt(shard, delay, now) {
--- a/crates/core/tests/control.rs
+++ b/crates/core/tests/control.rs
@@ -225,7 +225,7 @@
             }
             Some(left) => {
                 node.writes_before_crash = Some(left - 1);
-                node.disk.keep(action);
+                node.disk.persist_action(action);
                 true
             }
             None => {
@@ -233,7 +233,7 @@
                 let drops_write =
                     node.has_faulty_disk && matches!(action, ReplicaAction::PersistEntry(_));
                 if !drops_write {
-                    node.disk.keep(action);
+                    node.disk.persist_action(action);
                 }
                 true
             }
--- a/crates/core/tests/gossip.rs
+++ b/crates/core/tests/gossip.rs
@@ -52,8 +52,8 @@
 }
 
 /// Returns an announcement of a server.
-fn server(name: &str, sequence: u64, phase: ServerPhase) -> ServerNews {
-    ServerNews {
+fn server(name: &str, sequence: u64, phase: ServerPhase) -> UpstreamAnnouncement {
+    UpstreamAnnouncement {
         name: name.into(),
         upstream: "u".into(),
         domain: "d0".into(),
--- a/crates/core/tests/members/harness.rs
+++ b/crates/core/tests/members/harness.rs
@@ -254,7 +254,7 @@
                 self.nodes[node].pending_actions.extend(pending_actions);
                 return;
             }
-            self.nodes[node].disk.keep(&action);
+            self.nodes[node].disk.persist_action(&action);
             self.run_action(node, action);
         }
     }
--- a/crates/core/tests/promises.rs
+++ b/crates/core/tests/promises.rs
@@ -1,8 +1,8 @@
-//! Property tests of the entry machine's promises, that is, the guarantees that `Broken`
+//! Property tests of the entry machine's promises, that is, the guarantees that `Violations`
 //! counts violations of: for example that an answer never mixes two snapshots.
 //!
 //! Random sequences of replies, duplicates, losses, new snapshot versions and cancellations
-//! must not violate any promise. With one safety check (a field of `GuardSet`) switched off,
+//! must not violate any promise. With one safety check (a field of `EntrySafetyChecks`) switched off,
 //! the tests must find a violation; otherwise they could not detect a missing check.
 
 mod support;
@@ -12,7 +12,7 @@
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRng, TestRunner};
-use support::{Broken, Rig, REPLICAS, SHARDS};
+use support::{EntryHarness, Violations, REPLICAS, SHARDS};
 use wheelmast_core::prelude::*;
 
 /// One step of a random sequence.
@@ -37,7 +37,7 @@
     ReplyLost(u8),
     NeverSent(u8),
     Shed(u8),
-    Gone(u8),
+    SnapshotNotHeld(u8),
     NewVersion(u8),
     Drain(u8),
     Serve(u8),
@@ -58,7 +58,7 @@
         2 => any::<u8>().prop_map(Event::ReplyLost),
         1 => any::<u8>().prop_map(Event::NeverSent),
         1 => any::<u8>().prop_map(Event::Shed),
-        1 => any::<u8>().prop_map(Event::Gone),
+        1 => any::<u8>().prop_map(Event::SnapshotNotHeld),
         2 => any::<u8>().prop_map(Event::NewVersion),
         1 => any::<u8>().prop_map(Event::Drain),
         1 => any::<u8>().prop_map(Event::Serve),
@@ -71,7 +71,7 @@
 }
 
 /// Applies an event to the machine under test.
-fn apply_event(rig: &mut Rig, event: &Event) {
+fn apply_event(harness: &mut EntryHarness, event: &Event) {
     match event {
         Event::Submit(pick) => {
             let (service, kind) = match pick % 4 {
@@ -80,25 +80,25 @@
                 2 => ("order", RequestKind::NonRepeatable),
                 _ => ("record", RequestKind::Fetch),
             };
-            rig.submit(service, kind);
+            harness.submit(service, kind);
         }
-        Event::CallerLeft(pick) => rig.step(EntryInput::CallerLeft(CallTag(u64::from(*pick)))),
-        Event::Advance(millis) => rig.advance(Duration::from_millis(u64::from(*millis))),
+        Event::CallerLeft(pick) => harness.step(EntryInput::CallerLeft(CallTag(u64::from(*pick)))),
+        Event::Advance(millis) => harness.advance(Duration::from_millis(u64::from(*millis))),
         Event::Late(pick) => {
-            if let Some(order) = rig.done.get(usize::from(*pick)).cloned() {
-                let body = rig.run_late(&order);
-                rig.reply(&order, ReplyStatus::Body(body));
+            if let Some(order) = harness.done.get(usize::from(*pick)).cloned() {
+                let body = harness.build_late_reply(&order);
+                harness.reply(&order, ReplyStatus::Body(body));
             }
         }
-        Event::NewVersion(pick) => rig.add_version(choose_server(*pick)),
-        Event::Drain(pick) => rig.announce(choose_server(*pick), ServerPhase::Draining),
-        Event::Serve(pick) => rig.announce(choose_server(*pick), ServerPhase::Serving),
-        reply => apply_reply(rig, reply),
+        Event::NewVersion(pick) => harness.add_snapshot_version(choose_server(*pick)),
+        Event::Drain(pick) => harness.announce(choose_server(*pick), ServerPhase::Draining),
+        Event::Serve(pick) => harness.announce(choose_server(*pick), ServerPhase::Serving),
+        reply => apply_reply(harness, reply),
     }
 }
 
 /// Ends the order that the event chooses, in the way the event says.
-fn apply_reply(rig: &mut Rig, event: &Event) {
+fn apply_reply(harness: &mut EntryHarness, event: &Event) {
     let (Event::Reply(pick)
     | Event::Duplicate(pick)
     | Event::Crossed(pick, _)
@@ -107,60 +107,60 @@
     | Event::ReplyLost(pick)
     | Event::NeverSent(pick)
     | Event::Shed(pick)
-    | Event::Gone(pick)) = event
+    | Event::SnapshotNotHeld(pick)) = event
     else {
         return;
     };
-    let Some(order) = rig.take_order(usize::from(*pick)) else {
+    let Some(order) = harness.remove_order(usize::from(*pick)) else {
         return;
     };
     match event {
         Event::Reply(_) => {
-            let body = rig.run(&order);
-            rig.reply(&order, ReplyStatus::Body(body));
+            let body = harness.run(&order);
+            harness.reply(&order, ReplyStatus::Body(body));
         }
         Event::Duplicate(_) => {
-            let body = rig.run(&order);
-            rig.reply(&order, ReplyStatus::Body(body.clone()));
-            rig.reply(&order, ReplyStatus::Body(body));
+            let body = harness.run(&order);
+            harness.reply(&order, ReplyStatus::Body(body.clone()));
+            harness.reply(&order, ReplyStatus::Body(body));
         }
         Event::Crossed(_, other) => {
-            let own_body = rig.run(&order);
-            let other = rig.take_order(usize::from(*other));
+            let own_body = harness.run(&order);
+            let other = harness.remove_order(usize::from(*other));
             let Some(other) = other else {
-                return rig.reply(&order, ReplyStatus::Body(own_body));
+                return harness.reply(&order, ReplyStatus::Body(own_body));
             };
-            let other_body = rig.run(&other);
-            rig.reply(&order, ReplyStatus::Body(other_body));
-            rig.reply(&other, ReplyStatus::Body(own_body));
+            let other_body = harness.run(&other);
+            harness.reply(&order, ReplyStatus::Body(other_body));
+            harness.reply(&other, ReplyStatus::Body(own_body));
         }
         Event::WrongShard(_) => {
-            let body = rig.run_as(&order, (order.shard + 1) % SHARDS, order.snapshot);
-            rig.reply(&order, ReplyStatus::Body(body));
+            let body = harness.run_with(&order, (order.shard + 1) % SHARDS, order.snapshot);
+            harness.reply(&order, ReplyStatus::Body(body));
         }
         Event::WrongSnapshot(_) => {
             let mut snapshot = order.snapshot;
             snapshot.version += 1;
-            let body = rig.run_as(&order, order.shard, snapshot);
-            rig.reply(&order, ReplyStatus::Body(body));
+            let body = harness.run_with(&order, order.shard, snapshot);
+            harness.reply(&order, ReplyStatus::Body(body));
         }
         Event::ReplyLost(_) => {
-            rig.run(&order);
-            rig.reply(&order, ReplyStatus::Failed);
+            harness.run(&order);
+            harness.reply(&order, ReplyStatus::Failed);
         }
-        Event::NeverSent(_) => rig.reply(&order, ReplyStatus::NeverSent),
-        Event::Shed(_) => rig.reply(&order, ReplyStatus::Shed { retry_after: None }),
-        _ => rig.reply(&order, ReplyStatus::Gone { held: Vec::new() }),
+        Event::NeverSent(_) => harness.reply(&order, ReplyStatus::NeverSent),
+        Event::Shed(_) => harness.reply(&order, ReplyStatus::Shed { retry_after: None }),
+        _ => harness.reply(&order, ReplyStatus::SnapshotNotHeld { held: Vec::new() }),
     }
 }
 
 /// Runs one sequence of events on a new machine and returns the violations.
-fn run_sequence(events: &[Event], seed: u64, guards: GuardSet) -> Broken {
-    let mut rig = Rig::new(guards, seed);
+fn run_sequence(events: &[Event], seed: u64, safety_checks: EntrySafetyChecks) -> Violations {
+    let mut harness = EntryHarness::new(safety_checks, seed);
     for event in events {
-        apply_event(&mut rig, event);
+        apply_event(&mut harness, event);
     }
-    rig.close()
+    harness.finish_case()
 }
 
 /// Number of random sequences that the property test runs.
@@ -176,28 +176,28 @@
 
     #[test]
     fn promises_hold(events in prop::collection::vec(event(), 1..120), seed in any::<u64>()) {
-        prop_assert_eq!(run_sequence(&events, seed, GuardSet::default()), Broken::default());
+        prop_assert_eq!(run_sequence(&events, seed, EntrySafetyChecks::default()), Violations::default());
     }
 }
 
 /// Runs 400 random sequences from a fixed seed with the given checks, and returns the sum of
 /// the violations.
-fn count_violations(guards: GuardSet) -> Broken {
+fn count_violations(safety_checks: EntrySafetyChecks) -> Violations {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[9; 32]);
     let mut runner = TestRunner::new_with_rng(Config::default(), rng);
     let strategy = prop::collection::vec(event(), 40..120);
-    let mut total = Broken::default();
+    let mut total = Violations::default();
     for seed in 0..400 {
         let tree = strategy
             .new_tree(&mut runner)
             .expect("the strategy rejects nothing");
-        let broken = run_sequence(&tree.current(), seed, guards);
-        total.mixed_snapshot += broken.mixed_snapshot;
-        total.false_coverage += broken.false_coverage;
-        total.foreign_answer += broken.foreign_answer;
-        total.double_run += broken.double_run;
-        total.false_not_run += broken.false_not_run;
-        total.work_after_leaving += broken.work_after_leaving;
+        let violations = run_sequence(&tree.current(), seed, safety_checks);
+        total.mixed_snapshot += violations.mixed_snapshot;
+        total.false_coverage += violations.false_coverage;
+        total.foreign_answer += violations.foreign_answer;
+        total.double_run += violations.double_run;
+        total.false_not_run += violations.false_not_run;
+        total.work_after_leaving += violations.work_after_leaving;
     }
     total
 }
@@ -205,8 +205,8 @@
 /// A safety check to switch off, and the violations that this must cause.
 struct DisabledCheckCase {
     name: &'static str,
-    disable: fn(&mut GuardSet),
-    count: fn(&Broken) -> u32,
+    disable: fn(&mut EntrySafetyChecks),
+    count: fn(&Violations) -> u32,
 }
 
 #[test]
@@ -214,40 +214,47 @@
     let cases = [
         DisabledCheckCase {
             name: "snapshot",
-            disable: |guards| guards.snapshot = false,
-            count: |broken| broken.mixed_snapshot,
+            disable: |safety_checks| safety_checks.snapshot = false,
+            count: |violations| violations.mixed_snapshot,
         },
         DisabledCheckCase {
             name: "shard",
-            disable: |guards| guards.shard = false,
-            count: |broken| broken.false_coverage,
+            disable: |safety_checks| safety_checks.shard = false,
+            count: |violations| violations.false_coverage,
         },
         DisabledCheckCase {
             name: "identity",
-            disable: |guards| guards.identity = false,
-            count: |broken| broken.foreign_answer,
+            disable: |safety_checks| safety_checks.reply_identity = false,
+            count: |violations| violations.foreign_answer,
         },
         DisabledCheckCase {
             name: "once",
-            disable: |guards| guards.once = false,
-            count: |broken| broken.double_run,
+            disable: |safety_checks| safety_checks.single_run = false,
+            count: |violations| violations.double_run,
         },
         DisabledCheckCase {
             name: "refusal",
-            disable: |guards| guards.refusal = false,
-            count: |broken| broken.false_not_run,
+            disable: |safety_checks| safety_checks.not_run_claim = false,
+            count: |violations| violations.false_not_run,
         },
         DisabledCheckCase {
             name: "drain",
-            disable: |guards| guards.drain = false,
-            count: |broken| broken.work_after_leaving,
+            disable: |safety_checks| safety_checks.drain = false,
+            count: |violations| violations.work_after_leaving,
         },
     ];
     for case in cases {
-        let mut guards = GuardSet::default();
-        (case.disable)(&mut guards);
-        let broken = count_violations(guards);
-        assert!((case.count)(&broken) > 0, "{} off: {broken:?}", case.name);
+        let mut safety_checks = EntrySafetyChecks::default();
+        (case.disable)(&mut safety_checks);
+        let violations = count_violations(safety_checks);
+        assert!(
+            (case.count)(&violations) > 0,
+            "{} off: {violations:?}",
+            case.name
+        );
     }
-    assert_eq!(count_violations(GuardSet::default()), Broken::default());
+    assert_eq!(
+        count_violations(EntrySafetyChecks::default()),
+        Violations::default()
+    );
 }
--- a/crates/core/tests/trio/harness.rs
+++ b/crates/core/tests/trio/harness.rs
@@ -74,7 +74,7 @@
         let (machine, disk) = &mut self.replicas[index];
         machine.step(self.now, input, &mut out);
         let from = machine.id();
-        out.iter().for_each(|action| disk.keep(action));
+        out.iter().for_each(|action| disk.persist_action(action));
         for action in out {
             match action {
                 ReplicaAction::Send { to, message } => self.send(from, to, message),
