--- a/crates/node/src/process/forward/callers.rs
+++ b/crates/node/src/process/forward/callers.rs
@@ -1,4 +1,7 @@
-//! The callers' side: requests in, answers out.
+//! HTTP server of an entry, for callers, other entries and the load balancer.
+//!
+//! Reads requests, passes them to the forward machine and writes the answers. Other
+//! entries relay requests, or some shards of them, over the same listener.
 
 use std::convert::Infallible;
 use std::net::{IpAddr, SocketAddr};
@@ -33,25 +36,25 @@
     say_retry_after, serve_http, typed_response, FullResponse, PLAIN_TYPE,
 };
 use crate::process::forward::cap_gate::CapVerdict;
-use crate::process::forward::entry::{EntryDuty, EntryPhase};
-use crate::process::forward::grant::GrantReader;
+use crate::process::forward::entry::{EntryPhase, ForwardDriver};
+use crate::process::forward::grant::AllowanceReader;
 use crate::process::forward::image::{
     read_mark, read_order, render_suspect, RequestImage, RELAY_HEADER, SHARDS_HEADER,
     SUSPECT_HEADER,
 };
 
-/// Least size of a connection's buffer that the HTTP library takes.
-const LEAST_BUFFER: usize = 8192;
-/// Longest time for the head of a balancer's question.
-const BALANCER_HEAD_TIME: Duration = Duration::from_secs(10);
-/// Time from which a request counts as read late.
-const LATE_READ: Duration = Duration::from_millis(100);
-/// What stands between the words of a header's list.
-const WORD_JOIN: &str = ", ";
+/// Minimum size of a connection's buffer that the HTTP library accepts, in bytes.
+const MIN_BUFFER_BYTES: usize = 8192;
+/// Maximum time to read the head of a balancer's health check.
+const HEALTH_CHECK_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+/// Minimum delay between arrival and reading with which a request is logged as late.
+const LATE_READ_THRESHOLD: Duration = Duration::from_millis(100);
+/// Separator of the items of a list in a header.
+const LIST_SEPARATOR: &str = ", ";
 
-/// Accepts callers' connections until the entry closes.
-pub async fn accept<D: ForwardDialect>(
-    entry: Rc<EntryDuty<D>>,
+/// Accepts callers' connections until `closing` becomes true.
+pub async fn accept_callers<D: ForwardDialect>(
+    entry: Rc<ForwardDriver<D>>,
     listener: TcpListener,
     closing: watch::Receiver<bool>,
 ) {
@@ -64,42 +67,44 @@
             _ = closed.wait_for(|closing| *closing) => return,
         };
         let (entry, closing) = (entry.clone(), closing.clone());
-        tokio::task::spawn_local(serve(entry, stream, closing));
+        tokio::task::spawn_local(serve_caller(entry, stream, closing));
     }
 }
 
-async fn serve<D: ForwardDialect>(
-    entry: Rc<EntryDuty<D>>,
+/// Serves the requests of one connection until it ends, or gracefully closes it once
+/// `closing` becomes true.
+async fn serve_caller<D: ForwardDialect>(
+    entry: Rc<ForwardDriver<D>>,
     stream: TcpStream,
     mut closing: watch::Receiver<bool>,
 ) {
-    let limits = entry.look(|machine| machine.table().map(|table| table.limits()));
+    let limits = entry.with_machine(|machine| machine.table().map(|table| table.limits()));
     let limits = limits.unwrap_or_default();
-    let caller = caller_of(&stream);
+    let caller = caller_fingerprint(&stream);
     let stream = ArrivalStream::new(stream, entry.watch.clone());
-    let (handler, mark) = (entry.clone(), stream.mark());
+    let (handler, arrival) = (entry.clone(), stream.mark());
     let service = service_fn(move |request| {
-        let (entry, mark) = (handler.clone(), mark.clone());
+        let (entry, arrival) = (handler.clone(), arrival.clone());
         async move {
-            let source = CallSource {
+            let origin = RequestOrigin {
                 caller,
                 limits,
-                arrived_at: mark.take(),
-                mark: mark.clone(),
+                arrived_at: arrival.take(),
+                arrival: arrival.clone(),
             };
-            let response = handle(entry, request, source).await;
-            mark.end();
+            let response = handle_request(entry, request, origin).await;
+            arrival.end();
             Ok::<_, Infallible>(response)
         }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(Duration::from_millis(limits.idle_ms.max(limits.head_ms)))
-        .max_buf_size(limits.head_bytes.max(LEAST_BUFFER))
+        .max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     tokio::select! {
-        // A caller that sends what is no request harms only itself.
+        // An error, such as a malformed request, affects only this connection.
         _ = connection.as_mut() => return,
         _ = closing.wait_for(|closing| *closing) => {}
     }
@@ -107,18 +112,20 @@
     let _ = connection.await;
 }
 
-/// What the connection of a request says of it.
+/// Facts about a request that come from its connection.
 #[derive(Debug)]
-struct CallSource {
+struct RequestOrigin {
     caller: CallerFingerprint,
     limits: CallerLimits,
-    /// When the request may have come at the earliest.
+    /// Earliest possible arrival time of the request, since the process started.
     arrived_at: Duration,
-    mark: Rc<ArrivalMark>,
+    /// Tracker of the arrival times of the connection's requests.
+    arrival: Rc<ArrivalMark>,
 }
 
-/// Returns who calls: the same for all connections from one address.
-fn caller_of(stream: &TcpStream) -> CallerFingerprint {
+/// Returns the fingerprint of the caller, which is the same for all connections from
+/// one IP address.
+fn caller_fingerprint(stream: &TcpStream) -> CallerFingerprint {
     match stream.peer_addr().map(|address| address.ip()) {
         Ok(IpAddr::V4(address)) => CallerFingerprint::of(&address.octets()),
         Ok(IpAddr::V6(address)) => CallerFingerprint::of(&address.octets()),
@@ -126,24 +133,27 @@
     }
 }
 
-/// Tells the machine when a caller leaves before its answer.
-struct CallGuard<D: ForwardDialect> {
-    entry: Rc<EntryDuty<D>>,
+/// Informs the machine when dropped before the answer, because the caller has
+/// disconnected.
+struct DisconnectGuard<D: ForwardDialect> {
+    entry: Rc<ForwardDriver<D>>,
     tag: CallTag,
 }
 
-impl<D: ForwardDialect> Drop for CallGuard<D> {
+impl<D: ForwardDialect> Drop for DisconnectGuard<D> {
     fn drop(&mut self) {
-        self.entry.leave(self.tag);
+        self.entry.handle_caller_left(self.tag);
     }
 }
 
-async fn handle<D: ForwardDialect>(
-    entry: Rc<EntryDuty<D>>,
+/// Answers a request, and asks the caller to close the connection if the entry is
+/// shutting down.
+async fn handle_request<D: ForwardDialect>(
+    entry: Rc<ForwardDriver<D>>,
     request: Request<Incoming>,
-    source: CallSource,
+    origin: RequestOrigin,
 ) -> FullResponse {
-    let mut response = answer(&entry, request, source).await;
+    let mut response = process_request(&entry, request, origin).await;
     if entry.phase() == EntryPhase::Leaving {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
@@ -151,41 +161,43 @@
     response
 }
 
-async fn answer<D: ForwardDialect>(
-    entry: &Rc<EntryDuty<D>>,
+/// Reads a request, waits for a token if its workspace has a usage cap, passes the
+/// request to the machine and waits for the answer.
+async fn process_request<D: ForwardDialect>(
+    entry: &Rc<ForwardDriver<D>>,
     request: Request<Incoming>,
-    source: CallSource,
+    origin: RequestOrigin,
 ) -> FullResponse {
-    let CallSource {
+    let RequestOrigin {
         caller,
         limits,
         arrived_at,
-        mark: arrival,
-    } = source;
+        arrival,
+    } = origin;
     if entry.phase() == EntryPhase::Learning {
         return failure_response(ForwardFailure::NoTable, Some(Duration::from_millis(200)));
     }
-    let unread = entry.clock.elapsed().saturating_sub(arrived_at);
+    let read_delay = entry.clock.elapsed().saturating_sub(arrived_at);
     let (mut parts, body) = request.into_parts();
     let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok());
     let host: Box<str> = host.or_else(|| parts.uri.host()).unwrap_or_default().into();
     let time_left = parts.headers.get(D::HEADERS.time_left);
     let time_left = time_left.and_then(|value| value.to_str().ok()?.trim().parse::<f64>().ok());
     let time_left = time_left.filter(|millis| millis.is_finite());
-    // What no clock can hold is no time.
+    // A time too long for `Duration` counts as no time given.
     let time_left =
         time_left.and_then(|millis| Duration::try_from_secs_f64(millis.max(0.0) / 1000.0).ok());
-    let Ok(relayed) = relay_order(entry, &parts.headers, arrived_at) else {
-        // An entry of another version, or one that means another lifetime of
-        // this entry: it asks the shards itself.
+    let Ok(relayed) = read_relay_order(entry, &parts.headers, arrived_at) else {
+        // The sending entry runs another version, or meant another incarnation of this
+        // entry. After this refusal it sends the request to the shards itself.
         return failure_response(ForwardFailure::NoServer, None);
     };
-    let is_passed_on = relayed.is_some();
-    let mut grant = None;
-    let body = if is_passed_on {
-        match GrantReader::read_body(&parts.headers, body, limits.body_bytes).await {
+    let is_relayed = relayed.is_some();
+    let mut allowance_reader = None;
+    let body = if is_relayed {
+        match AllowanceReader::read_body(&parts.headers, body, limits.body_bytes).await {
             Ok((body, reader)) => {
-                grant = Some(reader);
+                allowance_reader = Some(reader);
                 body
             }
             Err(_) => return unreadable_response(),
@@ -199,12 +211,13 @@
             Err(_) => return unreadable_response(),
         }
     };
-    if grant.is_some() && body.is_empty() {
-        // It was that of the grant.
+    if allowance_reader.is_some() && body.is_empty() {
+        // The content length counted only the digit of the attempt allowance, which
+        // follows the empty body.
         parts.headers.remove(CONTENT_LENGTH);
     }
-    let passed = is_passed_on.then_some(&parts.headers);
-    let mark = passed.and_then(read_mark).unwrap_or_else(|| {
+    let relay_headers = is_relayed.then_some(&parts.headers);
+    let fingerprint = relay_headers.and_then(read_mark).unwrap_or_else(|| {
         let target = parts.uri.path_and_query();
         let target = target.map_or("/", |target| target.as_str());
         RequestFingerprint {
@@ -216,7 +229,7 @@
         tag: CallTag(0),
         host,
         path: parts.uri.path().into(),
-        mark,
+        mark: fingerprint,
         key: caller_key::<D>(&parts.headers),
         arrived_at,
         time_left,
@@ -225,56 +238,60 @@
     let id = parts.headers.get(D::HEADERS.request);
     let id = id.and_then(|id| id.to_str().ok()).map(str::to_string);
     let id = id.unwrap_or_else(|| format!("{:016x}", rand::random::<u64>()));
-    if unread > LATE_READ {
-        let unread_ms = unread.as_millis() as u64;
+    if read_delay > LATE_READ_THRESHOLD {
+        let unread_ms = read_delay.as_millis() as u64;
         tracing::warn!(target: "entry", request = id, unread_ms, "route: read late");
     }
     let image = RequestImage::new::<D>(&parts.method, &parts.uri, &parts.headers, &id, body);
-    let image = image.with_mark(mark);
-    let capped = entry.look(|machine| machine.find_capped_workspace(&call));
-    if let Some(workspace) = &capped {
+    let image = image.with_mark(fingerprint);
+    let workspace_with_cap = entry.with_machine(|machine| machine.find_capped_workspace(&call));
+    if let Some(workspace) = &workspace_with_cap {
         match entry.caps.acquire(workspace).await {
-            CapVerdict::Taken => {}
-            CapVerdict::Reached(after) => {
+            CapVerdict::Admitted => {}
+            CapVerdict::Refused(after) => {
                 return failure_response(ForwardFailure::CapReached, Some(after));
             }
-            CapVerdict::Unheard(after) => {
+            CapVerdict::SourceUnavailable(after) => {
                 return failure_response(ForwardFailure::CapUnknown, Some(after));
             }
         }
     }
-    let (tag, receiver) = entry.admit(image);
-    let guard = CallGuard {
+    let (tag, receiver) = entry.register_call(image);
+    let guard = DisconnectGuard {
         entry: entry.clone(),
         tag,
     };
     entry.step(ForwardInput::Call(ForwardCall { tag, ..call }));
-    if let Some(reader) = grant {
-        let granted = reader.wait(entry.clone(), tag);
+    if let Some(reader) = allowance_reader {
+        let allowance = reader.receive_allowance(entry.clone(), tag);
         tokio::task::spawn_local(async move {
-            granted.await;
-            // It may come behind the answer, and belongs to this request.
+            allowance.await;
+            // The allowance may arrive after the answer. Its bytes belong to this
+            // request, not to the next one.
             arrival.end();
         });
     }
     let answer = receiver.await;
     drop(guard);
-    if let (Some(workspace), Ok(ForwardAnswer::Failure { failure, .. })) = (&capped, &answer) {
+    if let (Some(workspace), Ok(ForwardAnswer::Failure { failure, .. })) =
+        (&workspace_with_cap, &answer)
+    {
         if failure.is_known_unrun() {
             entry.caps.give_back(workspace);
         }
     }
     match answer {
         Ok(ForwardAnswer::Failure { failure, .. })
-            if is_passed_on && failure.is_suspect_refusal() =>
+            if is_relayed && failure.is_suspect_refusal() =>
         {
-            barred_response(entry, failure, mark)
+            suspect_refusal_response(entry, failure, fingerprint)
         }
-        Ok(answer) => respond::<D>(answer, &id),
+        Ok(answer) => render_answer::<D>(answer, &id),
         Err(_) => failure_response(ForwardFailure::Failed, None),
     }
 }
 
+/// Returns the answer to a request whose body could not be read.
 fn unreadable_response() -> FullResponse {
     typed_response(
         StatusCode::BAD_REQUEST,
@@ -283,8 +300,8 @@
     )
 }
 
-/// Returns the digest of the caller's key. One that is given twice is none that
-/// a workspace holds.
+/// Returns the digest of the caller's key. If the request has several keys, returns the
+/// digest of an empty key, which belongs to no workspace.
 fn caller_key<D: ForwardDialect>(headers: &HeaderMap) -> Option<KeyDigest> {
     let mut keys = headers.get_all(D::HEADERS.key).iter();
     let key = keys.next()?;
@@ -296,31 +313,40 @@
     Some(KeyDigest::of(key))
 }
 
-/// Reads what another entry asks for, if one passed the request on.
+/// Reads the relay order, if another entry relayed the request.
+///
+/// The order must name this incarnation of the entry by the random number drawn at its
+/// start, which only the control group distributes. Callers do not know the number, so
+/// they cannot pose as an entry and name a workspace without its key.
+///
+/// # Errors
 ///
-/// Whoever names this lifetime of the entry heard of it from the control group,
-/// as its number is drawn at the start: callers can't pass requests on, and so
-/// can't name a workspace without its key.
-fn relay_order<D: ForwardDialect>(
-    entry: &EntryDuty<D>,
+/// Fails if the order names another incarnation or cannot be parsed.
+fn read_relay_order<D: ForwardDialect>(
+    entry: &ForwardDriver<D>,
     headers: &HeaderMap,
     arrived_at: Duration,
 ) -> anyhow::Result<Option<RelayOrder>> {
     let Some(value) = headers.get(RELAY_HEADER) else {
         return Ok(None);
     };
-    let text = |name| headers.get(name).and_then(|value| value.to_str().ok());
-    let is_meant = text(D::HEADERS.expect).is_some_and(|expect| entry.is_named(expect));
-    anyhow::ensure!(is_meant, "could not tell who passed the request on");
-    let workspace = text(D::HEADERS.workspace);
-    let order = value.to_str().ok();
-    let order = order.and_then(|order| read_order(order, workspace, arrived_at));
-    Ok(Some(
-        order.context("could not read what an entry asks for")?,
-    ))
+    let header_text = |name| headers.get(name).and_then(|value| value.to_str().ok());
+    let is_for_local_id =
+        header_text(D::HEADERS.expect).is_some_and(|expect| entry.is_local_id(expect));
+    anyhow::ensure!(
+        is_for_local_id,
+        "relayed request does not name this incarnation of the entry"
+    );
+    let workspace = header_text(D::HEADERS.workspace);
+    let order_text = value.to_str().ok();
+    let order = order_text.and_then(|order_text| read_order(order_text, workspace, arrived_at));
+    Ok(Some(order.context(
+        "could not parse the relay order of another entry",
+    )?))
 }
 
-fn respond<D: ForwardDialect>(answer: ForwardAnswer, id: &str) -> FullResponse {
+/// Converts an answer of the machine to an HTTP response.
+fn render_answer<D: ForwardDialect>(answer: ForwardAnswer, id: &str) -> FullResponse {
     match answer {
         ForwardAnswer::Server(answer) => server_response(*answer),
         ForwardAnswer::Gathered {
@@ -332,10 +358,10 @@
             let mut response = Response::builder()
                 .status(StatusCode::OK)
                 .header(D::HEADERS.request, id)
-                .header(D::HEADERS.parts, stamps.join(WORD_JOIN))
+                .header(D::HEADERS.parts, stamps.join(LIST_SEPARATOR))
                 .header(D::HEADERS.missing, missing);
             if !shards.is_empty() {
-                response = response.header(SHARDS_HEADER, shards.join(WORD_JOIN));
+                response = response.header(SHARDS_HEADER, shards.join(LIST_SEPARATOR));
             }
             let response = response.body(Full::new(Bytes::from(body)));
             response.unwrap_or_else(|_| failure_response(ForwardFailure::Failed, None))
@@ -347,6 +373,7 @@
     }
 }
 
+/// Converts the answer of a single server to an HTTP response.
 fn server_response(answer: ServerAnswer) -> FullResponse {
     let mut response = Response::builder().status(answer.status);
     for (name, value) in &answer.headers {
@@ -356,8 +383,8 @@
     response.unwrap_or_else(|_| failure_response(ForwardFailure::Failed, None))
 }
 
-/// Returns the answer to a request that got no server's. Service unavailable
-/// says that it has not run and never will.
+/// Returns the response for a request that failed without a server's answer. The status
+/// 503 (service unavailable) means that the request has not run and will not.
 fn failure_response(failure: ForwardFailure, retry_after: Option<Duration>) -> FullResponse {
     let status = match failure {
         ForwardFailure::NoRoute => StatusCode::NOT_FOUND,
@@ -374,24 +401,29 @@
     response
 }
 
-/// Returns the answer to another entry whose request is kept from servers: what
-/// is known of it, so that the entry does not ask servers itself.
-fn barred_response<D: ForwardDialect>(
-    entry: &EntryDuty<D>,
+/// Returns the response to an entry whose relayed request was refused as suspect,
+/// because servers crashed under it. The response carries the record of the crashes, so
+/// that the other entry does not send the request to servers itself.
+fn suspect_refusal_response<D: ForwardDialect>(
+    entry: &ForwardDriver<D>,
     failure: ForwardFailure,
-    mark: RequestFingerprint,
+    fingerprint: RequestFingerprint,
 ) -> FullResponse {
     let mut response = failure_response(failure, None);
-    let record = entry.look(|machine| machine.suspect_record(mark).cloned());
-    let record = record.unwrap_or_else(|| SuspectRecord::new(mark));
+    let record = entry.with_machine(|machine| machine.suspect_record(fingerprint).cloned());
+    let record = record.unwrap_or_else(|| SuspectRecord::new(fingerprint));
     if let Some(value) = render_suspect(&record) {
         response.headers_mut().insert(SUSPECT_HEADER, value);
     }
     response
 }
 
-/// Answers the balancer until the entry ends.
-pub async fn answer_balancer<D: ForwardDialect>(entry: Rc<EntryDuty<D>>, listener: TcpListener) {
+/// Answers the load balancer's health checks until the process ends: 200 while the entry
+/// serves requests, 503 before and during the shutdown.
+pub async fn serve_health_checks<D: ForwardDialect>(
+    entry: Rc<ForwardDriver<D>>,
+    listener: TcpListener,
+) {
     loop {
         let stream = next_stream(&listener).await;
         let entry = entry.clone();
@@ -404,17 +436,17 @@
                 };
                 async move { response }
             };
-            serve_http(stream, BALANCER_HEAD_TIME, answer).await;
+            serve_http(stream, HEALTH_CHECK_HEAD_TIMEOUT, answer).await;
         });
     }
 }
 
-/// Opens a listener.
+/// Opens a listening socket.
 ///
 /// # Errors
 ///
-/// Fails if the address cannot be had.
-pub async fn listen(address: SocketAddr) -> anyhow::Result<TcpListener> {
+/// Fails if the address cannot be bound.
+pub async fn bind_listener(address: SocketAddr) -> anyhow::Result<TcpListener> {
     TcpListener::bind(address)
         .await
         .with_context(|| format!("could not listen at {address}"))
--- a/crates/node/src/process/forward/cap_gate.rs
+++ b/crates/node/src/process/forward/cap_gate.rs
@@ -1,5 +1,8 @@
-//! Requests of capped workspaces wait here for a token before anything of them
-//! is sent.
+//! Admission of requests whose workspace (customer) has a usage cap.
+//!
+//! Each request of a capped workspace takes a token before any attempt is sent to a
+//! server. Without a token at this entry, the request waits while the entry asks its
+//! source, the control instance that serves it, for more.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -14,155 +17,169 @@
 use crate::process::clock::ProcessClock;
 use crate::ring::{bounded_ring, RingReceiver, RingSender};
 
-/// Longest time that a request waits for the source's answer.
-const SOURCE_TIME: Duration = Duration::from_millis(250);
-/// When a caller should come back if the source did not answer.
-const COME_BACK: Duration = Duration::from_millis(300);
-/// Questions that may wait for the connection to the source.
-const ASK_RING: usize = 256;
+/// Maximum time that a request waits for the source's answer.
+const SOURCE_TIMEOUT: Duration = Duration::from_millis(250);
+/// Retry time sent to callers when the source did not answer.
+const SOURCE_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Maximum number of token requests queued for the connection to the source.
+const REQUEST_RING_LENGTH: usize = 256;
 
-/// Whether a request has a token.
+/// Result of asking for a token for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CapVerdict {
-    /// It has one.
-    Taken,
-    /// The cap is reached; the caller may come back after this time.
-    Reached(Duration),
-    /// No control instance could be asked.
-    Unheard(Duration),
+    /// The request has a token.
+    Admitted,
+    /// The cap is reached; the caller may try again after this time.
+    Refused(Duration),
+    /// The source did not answer; the caller may try again after this time.
+    SourceUnavailable(Duration),
 }
 
+/// Tokens of one workspace, and the requests that wait for a token.
 #[derive(Debug, Default)]
-struct WorkspaceGate {
+struct WorkspaceQueue {
     lease: CapLease,
-    queue: VecDeque<oneshot::Sender<CapVerdict>>,
-    /// Name of the question that has no answer yet.
-    asked: Option<u64>,
+    waiting_requests: VecDeque<oneshot::Sender<CapVerdict>>,
+    /// Tag of the token request that the source has not answered yet.
+    pending_tag: Option<u64>,
 }
 
-/// The tokens of an entry, and the requests that wait for some.
+/// Tokens of all capped workspaces at an entry, and the requests that wait for tokens.
 #[derive(Debug)]
 pub struct CapGate {
     clock: ProcessClock,
-    gates: RefCell<HashMap<Arc<str>, WorkspaceGate>>,
-    tags: Cell<u64>,
-    asks: RingSender<GroupMessage>,
-    orders: RefCell<Option<RingReceiver<GroupMessage>>>,
-    /// Workspaces of the questions that have no answer yet.
-    open: RefCell<HashMap<u64, Arc<str>>>,
+    /// Tokens and waiting requests by workspace.
+    queues: RefCell<HashMap<Arc<str>, WorkspaceQueue>>,
+    next_tag: Cell<u64>,
+    /// Messages to the source.
+    token_requests: RingSender<GroupMessage>,
+    /// Receiving end of `token_requests`, until the task that sends them takes it.
+    request_receiver: RefCell<Option<RingReceiver<GroupMessage>>>,
+    /// Workspaces of the unanswered token requests, by tag.
+    pending_workspaces: RefCell<HashMap<u64, Arc<str>>>,
 }
 
 impl CapGate {
-    /// Returns a gate without tokens, by the clock of an entry.
+    /// Returns a gate without tokens that uses the clock of an entry.
     pub fn new(clock: ProcessClock) -> CapGate {
-        let (asks, orders) = bounded_ring(ASK_RING);
+        let (token_requests, request_receiver) = bounded_ring(REQUEST_RING_LENGTH);
         CapGate {
             clock,
-            gates: RefCell::default(),
-            tags: Cell::new(0),
-            asks,
-            orders: RefCell::new(Some(orders)),
-            open: RefCell::default(),
+            queues: RefCell::default(),
+            next_tag: Cell::new(0),
+            token_requests,
+            request_receiver: RefCell::new(Some(request_receiver)),
+            pending_workspaces: RefCell::default(),
         }
     }
 
-    /// Returns the questions to the source, for the one that carries them.
-    pub fn take_orders(&self) -> Option<RingReceiver<GroupMessage>> {
-        self.orders.borrow_mut().take()
+    /// Returns the receiver of the messages to the source; `None` after the first call.
+    pub fn take_request_receiver(&self) -> Option<RingReceiver<GroupMessage>> {
+        self.request_receiver.borrow_mut().take()
     }
 
-    /// Takes a token for a request, and waits for one if there is none here.
+    /// Takes a token for a request. If the entry holds none, waits until the source
+    /// answers or `SOURCE_TIMEOUT` has passed.
     pub async fn acquire(&self, workspace: &Arc<str>) -> CapVerdict {
         let now = self.clock.elapsed();
         let receiver = {
-            let mut gates = self.gates.borrow_mut();
-            let gate = gates.entry(workspace.clone()).or_default();
-            match gate.lease.request(now) {
-                CapStep::Take => return CapVerdict::Taken,
-                CapStep::Refuse(after) => return CapVerdict::Reached(after),
+            let mut queues = self.queues.borrow_mut();
+            let queue = queues.entry(workspace.clone()).or_default();
+            match queue.lease.request(now) {
+                CapStep::Take => return CapVerdict::Admitted,
+                CapStep::Refuse(after) => return CapVerdict::Refused(after),
                 CapStep::Wait => {}
-                CapStep::Ask => self.ask(workspace, gate),
+                CapStep::Ask => self.send_token_request(workspace, queue),
             }
             let (sender, receiver) = oneshot::channel();
-            gate.queue.push_back(sender);
+            queue.waiting_requests.push_back(sender);
             receiver
         };
-        match tokio::time::timeout(SOURCE_TIME, receiver).await {
+        match tokio::time::timeout(SOURCE_TIMEOUT, receiver).await {
             Ok(Ok(verdict)) => verdict,
-            Ok(Err(_)) => CapVerdict::Unheard(COME_BACK),
+            Ok(Err(_)) => CapVerdict::SourceUnavailable(SOURCE_RETRY_AFTER),
             Err(_) => {
-                self.give_up(workspace);
-                CapVerdict::Unheard(COME_BACK)
+                self.fail_waiting(workspace);
+                CapVerdict::SourceUnavailable(SOURCE_RETRY_AFTER)
             }
         }
     }
 
-    fn ask(&self, workspace: &Arc<str>, gate: &mut WorkspaceGate) {
-        let tag = self.tags.get();
-        self.tags.set(tag + 1);
-        let ask: CapAsk = gate.lease.ask(workspace);
-        gate.asked = Some(tag);
-        self.open.borrow_mut().insert(tag, workspace.clone());
-        let asks = vec![ask];
-        // A full ring: the connection stands still, and the request gives up.
-        let _ = self.asks.offer(GroupMessage::AskCaps { tag, asks });
+    /// Queues a token request to the source for all waiting requests of a workspace.
+    fn send_token_request(&self, workspace: &Arc<str>, queue: &mut WorkspaceQueue) {
+        let tag = self.next_tag.get();
+        self.next_tag.set(tag + 1);
+        let token_request: CapAsk = queue.lease.ask(workspace);
+        queue.pending_tag = Some(tag);
+        self.pending_workspaces
+            .borrow_mut()
+            .insert(tag, workspace.clone());
+        let token_requests = vec![token_request];
+        // If the ring is full, the connection to the source is stalled. The message is
+        // dropped, and the waiting requests time out.
+        let _ = self.token_requests.offer(GroupMessage::AskCaps {
+            tag,
+            asks: token_requests,
+        });
     }
 
-    /// Takes the source's answer.
+    /// Handles the source's answer to the token request `tag`: admits or refuses
+    /// waiting requests.
     pub fn told(&self, tag: u64, grants: &[CapGrant]) {
-        let Some(workspace) = self.open.borrow_mut().remove(&tag) else {
+        let Some(workspace) = self.pending_workspaces.borrow_mut().remove(&tag) else {
             return;
         };
         let now = self.clock.elapsed();
-        let mut gates = self.gates.borrow_mut();
-        let Some(gate) = gates.get_mut(&workspace) else {
+        let mut queues = self.queues.borrow_mut();
+        let Some(queue) = queues.get_mut(&workspace) else {
             return;
         };
-        let Some(grant) = grants.first().filter(|_| gate.asked == Some(tag)) else {
+        let Some(grant) = grants.first().filter(|_| queue.pending_tag == Some(tag)) else {
             return;
         };
-        gate.asked = None;
-        let turn = gate.lease.told(*grant, now);
-        for _ in 0..turn.served {
-            let waiting = gate.queue.pop_front();
-            let is_taken = waiting.is_some_and(|waiting| waiting.send(CapVerdict::Taken).is_ok());
-            if !is_taken {
-                gate.lease.give_back(now);
+        queue.pending_tag = None;
+        let outcome = queue.lease.told(*grant, now);
+        for _ in 0..outcome.served {
+            let waiting = queue.waiting_requests.pop_front();
+            let is_delivered =
+                waiting.is_some_and(|waiting| waiting.send(CapVerdict::Admitted).is_ok());
+            if !is_delivered {
+                queue.lease.give_back(now);
             }
         }
-        for _ in 0..turn.refused {
-            if let Some(waiting) = gate.queue.pop_front() {
-                // The caller may have left.
-                let _ = waiting.send(CapVerdict::Reached(turn.retry_after));
+        for _ in 0..outcome.refused {
+            if let Some(waiting) = queue.waiting_requests.pop_front() {
+                // Sending fails if the caller has disconnected.
+                let _ = waiting.send(CapVerdict::Refused(outcome.retry_after));
             }
         }
-        if turn.refused > 0 {
-            tracing::info!(target: "entry", workspace = &*workspace, refused = turn.refused, "cap: reached");
+        if outcome.refused > 0 {
+            tracing::info!(target: "entry", workspace = &*workspace, refused = outcome.refused, "cap: reached");
         }
-        if turn.asks {
-            self.ask(&workspace, gate);
+        if outcome.asks {
+            self.send_token_request(&workspace, queue);
         }
     }
 
-    /// Ends the wait of all requests of a workspace whose source is silent.
-    fn give_up(&self, workspace: &Arc<str>) {
-        let mut gates = self.gates.borrow_mut();
-        let Some(gate) = gates.get_mut(workspace) else {
+    /// Ends the wait of all requests of a workspace, because the source did not answer.
+    fn fail_waiting(&self, workspace: &Arc<str>) {
+        let mut queues = self.queues.borrow_mut();
+        let Some(queue) = queues.get_mut(workspace) else {
             return;
         };
-        if let Some(tag) = gate.asked.take() {
-            self.open.borrow_mut().remove(&tag);
+        if let Some(tag) = queue.pending_tag.take() {
+            self.pending_workspaces.borrow_mut().remove(&tag);
         }
-        let waiting = gate.lease.unheard();
-        gate.queue.clear();
+        let waiting = queue.lease.unheard();
+        queue.waiting_requests.clear();
         tracing::warn!(target: "entry", workspace = &**workspace, waiting, "cap: the source did not answer");
     }
 
-    /// Takes back the token of a request of which nothing was sent.
+    /// Returns the token of a request of which no attempt was sent.
     pub fn give_back(&self, workspace: &Arc<str>) {
         let now = self.clock.elapsed();
-        if let Some(gate) = self.gates.borrow_mut().get_mut(workspace) {
-            gate.lease.give_back(now);
+        if let Some(queue) = self.queues.borrow_mut().get_mut(workspace) {
+            queue.lease.give_back(now);
         }
     }
 }
--- a/crates/node/src/process/forward/entry.rs
+++ b/crates/node/src/process/forward/entry.rs
@@ -1,4 +1,8 @@
-//! The entry: its machine, its connections, and what joins them.
+//! Driver of the forward machine of an entry.
+//!
+//! [`ForwardDriver`] passes inputs (requests, results of attempts, updates from the
+//! control group, timers) to the state machine and carries out the actions that the
+//! machine returns: it sends or cancels attempts, answers callers, writes the log.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -21,104 +25,119 @@
 use crate::process::forward::image::RequestImage;
 use crate::process::forward::measure::DriverCounts;
 use crate::process::forward::pool::{ServerPool, UpstreamOrder};
-use crate::process::forward::story::StoryBook;
+use crate::process::forward::story::DecisionLog;
 use crate::process::loop_watch::LoopWatch;
 use crate::process::output::lines_unwritten;
 
-/// A request that waits for its answer.
+/// A request whose caller waits for the answer.
 #[derive(Debug)]
 struct WaitingCall {
+    /// Channel to the task that serves the caller's connection.
     answer: oneshot::Sender<ForwardAnswer>,
+    /// The request as it is written to servers.
     image: Rc<RequestImage>,
 }
 
-/// How far the entry is in its life.
+/// Phase between the start and the end of an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryPhase {
-    /// It does not know the newest table for sure yet.
+    /// The entry has no route table yet that is at least as new as the version that a
+    /// quorum of the control group confirmed as the newest; the entry refuses requests.
     Learning,
-    /// It serves.
+    /// The entry serves requests.
     Serving,
-    /// It is leaving: no longer ready, and still serving.
+    /// The entry is shutting down: it reports to the balancer that it is not ready,
+    /// and still serves requests.
     Leaving,
 }
 
-/// One entry; its tasks share it on one thread.
+/// State of one entry, shared by all tasks of the entry's thread.
 #[derive(Debug)]
-pub struct EntryDuty<D> {
+pub struct ForwardDriver<D> {
+    /// State machine that makes all decisions.
     machine: RefCell<ForwardMachine>,
-    /// Connections to servers.
+    /// Connections to upstream servers.
     pub pool: ServerPool,
-    /// Tokens of capped workspaces.
+    /// Admission of requests whose workspace has a usage cap.
     pub caps: CapGate,
-    /// Ways to end attempts that nobody waits for.
-    pub cancels: RefCell<HashMap<SlotKey, oneshot::Sender<()>>>,
-    /// Ways to tell other entries what they are granted.
-    grants: RefCell<HashMap<SlotKey, oneshot::Sender<u32>>>,
-    calls: RefCell<HashMap<CallTag, WaitingCall>>,
-    stories: RefCell<StoryBook>,
-    spare: RefCell<Vec<ForwardAction>>,
-    tags: Cell<u64>,
+    /// Senders that cancel attempts, by attempt.
+    pub cancel_senders: RefCell<HashMap<SlotKey, oneshot::Sender<()>>>,
+    /// Senders of raised attempt allowances (how many servers the other entry may try
+    /// per shard), by relayed attempt.
+    allowance_senders: RefCell<HashMap<SlotKey, oneshot::Sender<u32>>>,
+    /// Requests whose callers wait for the answer.
+    waiting_calls: RefCell<HashMap<CallTag, WaitingCall>>,
+    /// Log of the decisions about requests.
+    decision_log: RefCell<DecisionLog>,
+    /// Empty vector, reused for the machine's actions at each step.
+    action_buffer: RefCell<Vec<ForwardAction>>,
+    /// Tag of the next request.
+    next_tag: Cell<u64>,
     phase: Cell<EntryPhase>,
-    /// The time since the process started.
+    /// Clock of the time since the process started.
     pub clock: ProcessClock,
-    /// How late the entry reads what comes.
+    /// Measures how late the event loop reads from connections.
     pub watch: Rc<LoopWatch>,
-    armed: Cell<Duration>,
-    wake: Notify,
-    /// What the control group is to be told of requests under which servers
-    /// ended.
-    suspects: RefCell<Vec<SuspectRecord>>,
+    /// Time for which the timer task is set.
+    next_wake_at: Cell<Duration>,
+    /// Notifies the timer task of an earlier time.
+    wake_changed: Notify,
+    /// Records of suspect requests, under which servers crashed, that are not yet sent
+    /// to the control group.
+    unpublished_suspects: RefCell<Vec<SuspectRecord>>,
+    /// Signals a change of `unpublished_suspects`.
     suspects_changed: Notify,
     dialect: PhantomData<D>,
 }
 
-impl<D: ForwardDialect> EntryDuty<D> {
-    /// Returns an entry that knows nothing yet.
+impl<D: ForwardDialect> ForwardDriver<D> {
+    /// Returns the driver of an entry without a route table.
     ///
-    /// Of plain successes, the log tells one in `plain_every` in full.
-    pub fn new(options: ForwardOptions, plain_every: u32) -> EntryDuty<D> {
-        EntryDuty::with_clock(options, plain_every, ProcessClock::start())
+    /// Of the requests that succeed without incident, one in `routine_log_interval` is logged in
+    /// full.
+    pub fn new(options: ForwardOptions, routine_log_interval: u32) -> ForwardDriver<D> {
+        ForwardDriver::with_clock(options, routine_log_interval, ProcessClock::start())
     }
 
-    /// Returns an entry as [`EntryDuty::new`] does, with another clock.
+    /// Returns a driver as [`ForwardDriver::new`] does, with the given clock.
     pub fn with_clock(
         options: ForwardOptions,
-        plain_every: u32,
+        routine_log_interval: u32,
         clock: ProcessClock,
-    ) -> EntryDuty<D> {
-        EntryDuty {
+    ) -> ForwardDriver<D> {
+        ForwardDriver {
             machine: RefCell::new(ForwardMachine::new(options)),
             pool: ServerPool::default(),
             caps: CapGate::new(clock),
-            cancels: RefCell::default(),
-            grants: RefCell::default(),
-            calls: RefCell::default(),
-            stories: RefCell::new(StoryBook::new(plain_every)),
-            spare: RefCell::default(),
-            tags: Cell::new(0),
+            cancel_senders: RefCell::default(),
+            allowance_senders: RefCell::default(),
+            waiting_calls: RefCell::default(),
+            decision_log: RefCell::new(DecisionLog::new(routine_log_interval)),
+            action_buffer: RefCell::default(),
+            next_tag: Cell::new(0),
             phase: Cell::new(EntryPhase::Learning),
             clock,
             watch: Rc::new(LoopWatch::new(clock)),
-            armed: Cell::new(Duration::MAX),
-            wake: Notify::new(),
-            suspects: RefCell::default(),
+            next_wake_at: Cell::new(Duration::MAX),
+            wake_changed: Notify::new(),
+            unpublished_suspects: RefCell::default(),
             suspects_changed: Notify::new(),
             dialect: PhantomData,
         }
     }
 
-    /// Tells whether `identity` is that of this lifetime of the entry.
-    pub fn is_named(&self, identity: &str) -> bool {
+    /// Returns whether `identity` names this incarnation of the entry: the instance and
+    /// the random number that the process drew at its start.
+    pub fn is_local_id(&self, identity: &str) -> bool {
         *self.machine.borrow().local_id() == *identity
     }
 
-    /// Returns how far the entry is.
+    /// Returns the current phase.
     pub fn phase(&self) -> EntryPhase {
         self.phase.get()
     }
 
-    /// Sets how far the entry is; leaving is for good.
+    /// Sets the phase. An entry never returns from [`EntryPhase::Leaving`].
     pub fn set_phase(&self, phase: EntryPhase) {
         if self.phase.get() != EntryPhase::Leaving && self.phase.get() != phase {
             self.phase.set(phase);
@@ -126,39 +145,41 @@
         }
     }
 
-    /// Reads something of the machine.
-    pub fn look<T>(&self, look: impl FnOnce(&ForwardMachine) -> T) -> T {
-        look(&self.machine.borrow())
+    /// Calls `read` with the machine and returns the result.
+    pub fn with_machine<T>(&self, read: impl FnOnce(&ForwardMachine) -> T) -> T {
+        read(&self.machine.borrow())
     }
 
-    /// Steps the machine and does what it asks.
+    /// Passes an input to the machine and carries out the resulting actions.
     pub fn step(self: &Rc<Self>, input: ForwardInput) {
         let now = self.clock.elapsed();
-        let mut out = self.spare.take();
+        let mut actions = self.action_buffer.take();
         let next = {
             let mut machine = self.machine.borrow_mut();
-            machine.step(now, input, &mut out);
+            machine.step(now, input, &mut actions);
             machine.next_wake()
         };
-        for action in out.drain(..) {
-            self.act(action, now);
+        for action in actions.drain(..) {
+            self.perform(action, now);
         }
-        self.spare.replace(out);
-        if next.is_some_and(|next| next < self.armed.get()) {
-            self.wake.notify_one();
+        self.action_buffer.replace(actions);
+        if next.is_some_and(|next| next < self.next_wake_at.get()) {
+            self.wake_changed.notify_one();
         }
     }
 
-    /// Does what the machine asked for at `now`.
-    fn act(self: &Rc<Self>, action: ForwardAction, now: Duration) {
+    /// Carries out an action that the machine returned at `now`.
+    fn perform(self: &Rc<Self>, action: ForwardAction, now: Duration) {
         match action {
             ForwardAction::Send(order) => {
-                let calls = self.calls.borrow();
-                let Some(call) = calls.get(&order.call) else {
+                let waiting_calls = self.waiting_calls.borrow();
+                let Some(call) = waiting_calls.get(&order.call) else {
                     return;
                 };
-                let (cancel, cancelled) = oneshot::channel();
-                self.cancels.borrow_mut().insert(order.attempt, cancel);
+                let (cancel_sender, cancelled) = oneshot::channel();
+                self.cancel_senders
+                    .borrow_mut()
+                    .insert(order.attempt, cancel_sender);
                 let image = call.image.clone();
                 self.pool.send(
                     self,
@@ -171,114 +192,121 @@
                 );
             }
             ForwardAction::RaiseAllowance(attempt, attempts) => {
-                if let Some(grant) = self.grants.borrow_mut().remove(&attempt) {
-                    // The attempt may have ended just now.
-                    let _ = grant.send(attempts);
+                if let Some(allowance_sender) = self.allowance_senders.borrow_mut().remove(&attempt)
+                {
+                    // Sending fails if the attempt has just ended.
+                    let _ = allowance_sender.send(attempts);
                 }
             }
             ForwardAction::Cancel(attempt) => {
-                if let Some(cancel) = self.cancels.borrow_mut().remove(&attempt) {
-                    // The attempt may have ended just now.
-                    let _ = cancel.send(());
+                if let Some(cancel_sender) = self.cancel_senders.borrow_mut().remove(&attempt) {
+                    // Sending fails if the attempt has just ended.
+                    let _ = cancel_sender.send(());
                 }
             }
             ForwardAction::Answer { call, answer } => {
-                if let Some(call) = self.calls.borrow_mut().remove(&call) {
-                    // The caller may have left.
+                if let Some(call) = self.waiting_calls.borrow_mut().remove(&call) {
+                    // Sending fails if the caller has disconnected.
                     let _ = call.answer.send(answer);
                 }
             }
             ForwardAction::CloseIdle(server) => self.pool.close(server),
             ForwardAction::PublishSuspect(record) => {
-                let mut news = self.suspects.borrow_mut();
-                news.retain(|known| known.mark != record.mark);
-                news.push(record);
-                drop(news);
+                let mut unpublished = self.unpublished_suspects.borrow_mut();
+                unpublished.retain(|queued| queued.mark != record.mark);
+                unpublished.push(record);
+                drop(unpublished);
                 self.suspects_changed.notify_one();
             }
-            ForwardAction::RecordDecision(event) => self.stories.borrow_mut().take(event),
+            ForwardAction::RecordDecision(event) => self.decision_log.borrow_mut().record(event),
         }
     }
 
-    /// Takes what the control group is to be told of versions.
+    /// Removes and returns the outcome counts of versions that are being rolled out,
+    /// for a report to the control group.
     pub fn take_outcome_counts(&self) -> Vec<VersionTally> {
         self.machine.borrow_mut().take_outcome_counts()
     }
 
-    /// Returns where it comes what another entry is granted.
-    pub fn await_grant(&self, attempt: SlotKey) -> oneshot::Receiver<u32> {
-        let (grant, receiver) = oneshot::channel();
-        self.grants.borrow_mut().insert(attempt, grant);
+    /// Returns the receiver of the raised attempt allowance of a relayed attempt.
+    pub fn subscribe_allowance(&self, attempt: SlotKey) -> oneshot::Receiver<u32> {
+        let (allowance_sender, receiver) = oneshot::channel();
+        self.allowance_senders
+            .borrow_mut()
+            .insert(attempt, allowance_sender);
         receiver
     }
 
-    /// Takes note that an attempt has ended.
-    pub fn drop_grant(&self, attempt: SlotKey) {
-        self.grants.borrow_mut().remove(&attempt);
+    /// Drops the sender of a relayed attempt's raised allowance, because the attempt has
+    /// ended.
+    pub fn unsubscribe_allowance(&self, attempt: SlotKey) {
+        self.allowance_senders.borrow_mut().remove(&attempt);
     }
 
-    /// Waits for news of requests under which servers ended, and takes them.
-    pub async fn next_suspects(&self) -> Vec<SuspectRecord> {
+    /// Waits for records of suspect requests that are not yet sent to the control group,
+    /// and removes and returns them.
+    pub async fn take_unpublished_suspects(&self) -> Vec<SuspectRecord> {
         self.suspects_changed.notified().await;
-        self.suspects.take()
+        self.unpublished_suspects.take()
     }
 
-    /// Renders the metrics.
+    /// Renders the metrics in the Prometheus text format.
     pub fn render_metrics(&self) -> String {
-        let stories = self.stories.borrow();
+        let decision_log = self.decision_log.borrow();
         let machine = self.machine.borrow();
         let counts = DriverCounts {
-            lines_dropped: stories.lines_dropped() + lines_unwritten(),
+            lines_dropped: decision_log.lines_dropped() + lines_unwritten(),
             times_held_up: self.watch.times_held_up(),
             sent_late: self.pool.sent_late(),
         };
-        stories
-            .measures
+        decision_log
+            .metrics
             .render(&machine, self.clock.elapsed(), counts)
     }
 
-    /// Takes a request in and returns where its answer comes.
-    pub fn admit(
+    /// Registers a request, and returns its tag and the receiver of its answer.
+    pub fn register_call(
         self: &Rc<Self>,
         image: RequestImage,
     ) -> (CallTag, oneshot::Receiver<ForwardAnswer>) {
-        let tag = CallTag(self.tags.get());
-        self.tags.set(tag.0 + 1);
+        let tag = CallTag(self.next_tag.get());
+        self.next_tag.set(tag.0 + 1);
         let (answer, receiver) = oneshot::channel();
-        self.stories.borrow_mut().begin(tag, &image.id);
+        self.decision_log.borrow_mut().begin_request(tag, &image.id);
         let image = Rc::new(image);
-        self.calls
+        self.waiting_calls
             .borrow_mut()
             .insert(tag, WaitingCall { answer, image });
         (tag, receiver)
     }
 
-    /// Tells whether a request waits for its answer.
-    pub fn is_at_work(&self, tag: CallTag) -> bool {
-        self.calls.borrow().contains_key(&tag)
+    /// Returns whether the caller of a request still waits for the answer.
+    pub fn is_call_waiting(&self, tag: CallTag) -> bool {
+        self.waiting_calls.borrow().contains_key(&tag)
     }
 
-    /// Takes note that a caller left, unless it was answered.
-    pub fn leave(self: &Rc<Self>, tag: CallTag) {
-        if self.calls.borrow_mut().remove(&tag).is_some() {
+    /// Informs the machine that a caller disconnected, unless the request was answered.
+    pub fn handle_caller_left(self: &Rc<Self>, tag: CallTag) {
+        if self.waiting_calls.borrow_mut().remove(&tag).is_some() {
             self.step(ForwardInput::CallerLeft(tag));
         }
     }
 
-    /// Wakes the machine when its timers are due, until the entry ends.
-    pub async fn keep_time(self: Rc<Self>) {
+    /// Passes [`ForwardInput::Wake`] to the machine whenever a timer of the machine is
+    /// due, until the process ends.
+    pub async fn run_timers(self: Rc<Self>) {
         loop {
             let next = self.machine.borrow().next_wake();
-            self.armed.set(next.unwrap_or(Duration::MAX));
+            self.next_wake_at.set(next.unwrap_or(Duration::MAX));
             match next {
                 Some(next) => {
                     let wait = self.clock.sleep_until(next);
                     tokio::select! {
                         () = tokio::time::sleep(wait) => self.step(ForwardInput::Wake),
-                        () = self.wake.notified() => {}
+                        () = self.wake_changed.notified() => {}
                     }
                 }
-                None => self.wake.notified().await,
+                None => self.wake_changed.notified().await,
             }
         }
     }
--- a/crates/node/src/process/forward/feed.rs
+++ b/crates/node/src/process/forward/feed.rs
@@ -28,8 +28,8 @@
 use wheelmast_wire::pack::unpack;
 
 use crate::connection::frame::{connect, retry_wait, write_frame, FrameReader};
-use crate::process::forward::entry::{EntryDuty, EntryPhase};
-use crate::process::forward::lines::{LineBook, LineState, QUIET_TIME};
+use crate::process::forward::entry::{EntryPhase, ForwardDriver};
+use crate::process::forward::lines::{ControlConnections, ControlStatus, UNRESPONSIVE_TIMEOUT};
 
 /// Interval of signs of life.
 const PING_INTERVAL: Duration = Duration::from_millis(800);
@@ -51,10 +51,10 @@
 /// What an entry has heard.
 #[derive(Debug)]
 pub struct GroupFeed<D> {
-    entry: Rc<EntryDuty<D>>,
+    entry: Rc<ForwardDriver<D>>,
     peer: EntryPeer,
     leaving: Notify,
-    lines: RefCell<LineBook>,
+    lines: RefCell<ControlConnections>,
     /// The entries that the source told of, by identity.
     peers: RefCell<BTreeMap<Box<str>, EntryPeer>>,
     /// Whether a choice of the source is pending.
@@ -74,8 +74,8 @@
 
 impl<D: ForwardDialect> GroupFeed<D> {
     /// Returns a feed for an entry that the others know as `peer`.
-    pub fn new(entry: Rc<EntryDuty<D>>, peer: EntryPeer) -> GroupFeed<D> {
-        let lines = LineBook::new(peer.id(), entry.clock);
+    pub fn new(entry: Rc<ForwardDriver<D>>, peer: EntryPeer) -> GroupFeed<D> {
+        let lines = ControlConnections::new(peer.id(), entry.clock);
         GroupFeed {
             peer,
             leaving: Notify::new(),
@@ -93,7 +93,7 @@
 
     /// Takes note of a control instance that the settings name.
     pub fn follow(self: &Rc<Self>, address: SocketAddr) {
-        self.lines.borrow_mut().learn_site(address, None);
+        self.lines.borrow_mut().record_instance(address, None);
         self.plan_lines();
     }
 
@@ -101,10 +101,10 @@
     fn take_sites(self: &Rc<Self>, sites: Vec<ControlSite>) {
         {
             let mut lines = self.lines.borrow_mut();
-            lines.forget_sites(&sites);
+            lines.forget_lost_instances(&sites);
             for site in sites {
                 let place = self.place_of(&site.domain);
-                lines.learn_site(site.address, Some((site.domain, place)));
+                lines.record_instance(site.address, Some((site.domain, place)));
             }
         }
         self.plan_lines();
@@ -115,13 +115,13 @@
         if *domain == *self.peer.domain {
             return DomainProximity::Domain;
         }
-        self.entry.look(|machine| machine.place_of(domain))
+        self.entry.with_machine(|machine| machine.place_of(domain))
     }
 
     /// Chooses the control instances to be connected to, and follows the new
     /// ones.
     fn plan_lines(self: &Rc<Self>) {
-        let begun = self.lines.borrow_mut().plan();
+        let begun = self.lines.borrow_mut().plan_connections();
         for address in begun {
             tracing::info!(target: "entry", control = %address, "control: followed");
             tokio::task::spawn_local(self.clone().keep_following(address));
@@ -134,32 +134,44 @@
     }
 
     async fn keep_following(self: Rc<Self>, address: SocketAddr) {
-        while self.lines.borrow_mut().keeps_following(address) {
-            let mut heard = false;
-            if let Err(error) = self.listen(address, &mut heard).await {
+        while self.lines.borrow_mut().should_follow(address) {
+            let mut received_message = false;
+            if let Err(error) = self.listen(address, &mut received_message).await {
                 tracing::debug!(target: "entry", "control: {address} lost, {error:#}");
             }
-            if self.lines.borrow_mut().drop_line(address) {
+            if self.lines.borrow_mut().remove_connection(address) {
                 self.reconsider();
             }
-            if !self.lines.borrow_mut().keeps_following(address) {
+            if !self.lines.borrow_mut().should_follow(address) {
                 break;
             }
-            if heard {
+            if received_message {
                 tracing::warn!(target: "entry", control = %address, "control: connection lost");
             }
-            self.lines.borrow_mut().fail_site(address);
+            self.lines.borrow_mut().record_failure(address);
             self.plan_lines();
-            let failures = self.lines.borrow().failures(address);
-            tokio::time::sleep(retry_wait(failures, FIRST_RETRY_TIME, RETRY_TIME)).await;
+            let consecutive_failures = self.lines.borrow().consecutive_failures(address);
+            tokio::time::sleep(retry_wait(
+                consecutive_failures,
+                FIRST_RETRY_TIME,
+                RETRY_TIME,
+            ))
+            .await;
         }
     }
 
-    async fn listen(self: &Rc<Self>, address: SocketAddr, heard: &mut bool) -> anyhow::Result<()> {
+    async fn listen(
+        self: &Rc<Self>,
+        address: SocketAddr,
+        received_message: &mut bool,
+    ) -> anyhow::Result<()> {
         let begun = Instant::now();
         let mut stream = connect(address).await?;
         let connect_time = begun.elapsed();
-        let mut wishes = self.lines.borrow_mut().add_line(address, connect_time);
+        let mut wishes = self
+            .lines
+            .borrow_mut()
+            .add_connection(address, connect_time);
         let subscribe = GroupMessage::Subscribe {
             peer: self.peer.clone(),
             confirm: self.confirmed.get().is_none(),
@@ -180,7 +192,7 @@
                 message = reader.next() => {
                     let message = message?;
                     last = clock.elapsed();
-                    *heard = true;
+                    *received_message = true;
                     self.take(address, message);
                 }
                 wish = wishes.recv() => match wish {
@@ -195,7 +207,7 @@
                     if !self.has_source() {
                         self.reconsider();
                     }
-                    if clock.elapsed() > last + QUIET_TIME {
+                    if clock.elapsed() > last + UNRESPONSIVE_TIMEOUT {
                         self.plan_lines();
                         if self.is_source(address) {
                             self.reconsider();
@@ -223,7 +235,7 @@
     }
 
     fn take(self: &Rc<Self>, address: SocketAddr, message: GroupMessage) {
-        self.lines.borrow_mut().heard(address);
+        self.lines.borrow_mut().received_message(address);
         match message {
             GroupMessage::Notices(notices) => {
                 for notice in notices {
@@ -261,8 +273,8 @@
                 let place = self.place_of(&domain);
                 let is_near = place == DomainProximity::Domain;
                 let place = Some((domain, place));
-                self.lines.borrow_mut().learn_site(address, place);
-                let state = LineState {
+                self.lines.borrow_mut().record_instance(address, place);
+                let state = ControlStatus {
                     is_near,
                     has_quorum: settled,
                     started_recently: fresh,
@@ -271,7 +283,7 @@
                 if settled && self.is_source(address) {
                     self.entry.step(ForwardInput::ControlContact);
                 }
-                if self.lines.borrow_mut().take_state(address, state) {
+                if self.lines.borrow_mut().update_status(address, state) {
                     self.reconsider();
                 }
                 self.plan_lines();
@@ -283,7 +295,7 @@
 
     fn known_suspects(&self) -> Vec<SuspectRecord> {
         let known = |machine: &ForwardMachine| machine.suspect_records().cloned().collect();
-        self.entry.look(known)
+        self.entry.with_machine(known)
     }
 
     /// Takes what others know of requests under which servers ended.
@@ -302,13 +314,13 @@
     /// comes soon after it together. Each of them may be cut off.
     pub async fn tell_suspects(self: Rc<Self>) {
         loop {
-            let records = self.entry.next_suspects().await;
+            let records = self.entry.take_unpublished_suspects().await;
             for record in &records {
                 tracing::warn!(target: "entry", mark = %record.mark, round = record.round, ends = record.ends.len(), tried = record.has_failed_canaries(), "request: suspect, servers ended under it");
             }
             self.lines
                 .borrow()
-                .tell_all(&GroupMessage::Suspects(records));
+                .send_to_all(&GroupMessage::Suspects(records));
             tokio::time::sleep(SUSPECT_REPORT_INTERVAL).await;
         }
     }
@@ -316,11 +328,11 @@
     /// Passes questions for tokens of capped workspaces on to the source, until
     /// the entry ends.
     pub async fn ask_caps(self: Rc<Self>) {
-        let Some(mut orders) = self.entry.caps.take_orders() else {
+        let Some(mut orders) = self.entry.caps.take_request_receiver() else {
             return;
         };
         while let Some(order) = orders.recv().await {
-            self.lines.borrow().tell_source(order);
+            self.lines.borrow().send_to_source(order);
         }
     }
 
@@ -350,14 +362,14 @@
         tokio::task::spawn_local(async move {
             tokio::time::sleep(CHOOSE_PAUSE).await;
             feed.choosing.set(false);
-            feed.choose();
+            feed.select_source();
         });
     }
 
-    fn choose(&self) {
+    fn select_source(&self) {
         let have = self.newest_version().unwrap_or(0);
-        let servers = || self.entry.look(|machine| machine.server_digests());
-        if self.lines.borrow_mut().choose(have, servers) {
+        let servers = || self.entry.with_machine(|machine| machine.server_digests());
+        if self.lines.borrow_mut().select_source(have, servers) {
             // The new source tells of all entries anew.
             self.peers.borrow_mut().clear();
         }
--- a/crates/node/src/process/forward/grant.rs
+++ b/crates/node/src/process/forward/grant.rs
@@ -1,7 +1,10 @@
-//! Requests of other entries: their body, and what they grant behind it.
+//! Body of a relayed request, and the attempt allowance that may follow the body.
 //!
-//! Waiting for what comes behind the body makes the HTTP library send its word
-//! to continue, by which the entry that asks knows that this one is at work.
+//! An entry that relays a request to this one writes the request's body first. Later
+//! it may append a digit that raises the attempt allowance: the number of servers
+//! that this entry may try per shard. Waiting for the digit makes the HTTP library
+//! send `100 Continue`, which the other entry takes as the acknowledgement that this
+//! entry is processing the request.
 
 use std::rc::Rc;
 
@@ -14,67 +17,71 @@
 use wheelmast_core::process::input::CallTag;
 use wheelmast_wire::dialect::ForwardDialect;
 
-use crate::process::forward::entry::EntryDuty;
+use crate::process::forward::entry::ForwardDriver;
 use crate::process::forward::image::{read_grant, GRANT_BYTES};
 
-/// What is left of a request of another entry once its body was read.
+/// Reads the raised attempt allowance that may follow the body of a relayed request.
 #[derive(Debug)]
-pub struct GrantReader {
+pub struct AllowanceReader {
     body: Incoming,
-    /// What was read beyond the body.
-    spare: BytesMut,
+    /// Bytes read beyond the request's own body.
+    buffer: BytesMut,
 }
 
-impl GrantReader {
-    /// Reads the body of a request that another entry passed on, of `most`
-    /// bytes at most.
+impl AllowanceReader {
+    /// Reads the body of a relayed request, of at most `max_bytes` bytes, and returns
+    /// the body with a reader of the allowance.
     ///
     /// # Errors
     ///
-    /// Fails if it is too long, tells no length, or breaks off.
+    /// Fails if the body is too long, has no `content-length`, or ends early.
     pub async fn read_body(
         headers: &HeaderMap,
         mut body: Incoming,
-        most: usize,
-    ) -> anyhow::Result<(Bytes, GrantReader)> {
+        max_bytes: usize,
+    ) -> anyhow::Result<(Bytes, AllowanceReader)> {
         let length = headers
             .get(CONTENT_LENGTH)
             .and_then(|value| value.to_str().ok());
         let length: usize = length
-            .context("could not find the length of a passed on request")?
+            .context("could not find the content length of a relayed request")?
             .parse()?;
-        let own = length.saturating_sub(GRANT_BYTES);
-        if own > most {
-            bail!("could not take a passed on request of {own} bytes");
+        let body_length = length.saturating_sub(GRANT_BYTES);
+        if body_length > max_bytes {
+            bail!("relayed request has a body of {body_length} bytes; the limit is {max_bytes}");
         }
-        let mut spare = BytesMut::new();
-        while spare.len() < own {
-            read_more(&mut body, &mut spare).await?;
+        let mut buffer = BytesMut::new();
+        while buffer.len() < body_length {
+            read_more(&mut body, &mut buffer).await?;
         }
-        let own = spare.split_to(own).freeze();
-        Ok((own, GrantReader { body, spare }))
+        let body_bytes = buffer.split_to(body_length).freeze();
+        Ok((body_bytes, AllowanceReader { body, buffer }))
     }
 
-    /// Waits for what is granted and tells the entry's machine.
-    pub async fn wait<D: ForwardDialect>(mut self, entry: Rc<EntryDuty<D>>, tag: CallTag) {
-        while self.spare.is_empty() {
-            if read_more(&mut self.body, &mut self.spare).await.is_err() {
+    /// Waits for a raised attempt allowance and passes it to the forward machine.
+    pub async fn receive_allowance<D: ForwardDialect>(
+        mut self,
+        entry: Rc<ForwardDriver<D>>,
+        tag: CallTag,
+    ) {
+        while self.buffer.is_empty() {
+            if read_more(&mut self.body, &mut self.buffer).await.is_err() {
                 return;
             }
         }
-        if let Some(attempts) = read_grant(&self.spare) {
+        if let Some(attempts) = read_grant(&self.buffer) {
             entry.step(ForwardInput::AllowanceRaised(tag, attempts));
         }
     }
 }
 
-/// Reads the next bytes of a body.
-async fn read_more(body: &mut Incoming, spare: &mut BytesMut) -> anyhow::Result<()> {
+/// Reads the next frame of a body and appends its data to `buffer`.
+async fn read_more(body: &mut Incoming, buffer: &mut BytesMut) -> anyhow::Result<()> {
     let Some(frame) = body.frame().await else {
-        bail!("could not read a passed on request to its end");
+        bail!("relayed request ended before its whole body was read");
     };
     if let Ok(data) = frame?.into_data() {
-        spare.extend_from_slice(&data);
+        buffer.extend_from_slice(&data);
     }
     Ok(())
 }
--- a/crates/node/src/process/forward/lines.rs
+++ b/crates/node/src/process/forward/lines.rs
@@ -1,6 +1,8 @@
-//! The connections of an entry to control instances, and which of these is its
-//! source. The choice itself is made in
-//! [`wheelmast_core::process::forward::source`].
+//! Connections of an entry to control instances, and the selection of its source.
+//!
+//! Each connected control instance sends small, urgent updates. One of them, the
+//! source, also sends large state: route tables, all servers, all entries.
+//! [`wheelmast_core::process::forward::source`] holds the rules of selection.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -16,190 +18,217 @@
 use crate::process::clock::ProcessClock;
 use crate::ring::{bounded_ring, RingReceiver, RingSender};
 
-/// Time without a message after which an instance is no good source: it says
-/// how it is once a second.
-pub const QUIET_TIME: Duration = Duration::from_millis(1500);
-/// Longest time to wait for a source of the own region.
-const NEAR_TIME: Duration = Duration::from_millis(1500);
-/// Time after the start in which a source is chosen only if it is settled.
-const SETTLE_TIME: Duration = Duration::from_secs(1);
-/// Tries without success after which an instance that nobody names is forgotten.
-const MOST_TRIES: u32 = 60;
-/// Time for which an instance that failed is avoided: a near one that is back is
-/// used again.
-const DOUBT_TIME: Duration = Duration::from_secs(5);
-/// Wishes that may wait for a connection.
-const WISH_RING: usize = 64;
+/// Time without a message after which a control instance counts as unresponsive.
+/// Each instance reports its status once a second.
+pub const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Maximum time to wait for a source in the entry's region.
+const LOCAL_SOURCE_WAIT: Duration = Duration::from_millis(1500);
+/// Time after the process started in which the first source is selected only once some
+/// connected instance has a quorum.
+const INITIAL_QUORUM_WAIT: Duration = Duration::from_secs(1);
+/// Consecutive failures to connect after which an instance is forgotten, if the control
+/// group no longer lists the instance.
+const MAX_CONNECT_FAILURES: u32 = 60;
+/// Time for which an instance that failed is avoided. The time is limited, so that a
+/// near instance is used again once it is back.
+const FAILURE_AVOIDANCE_TIME: Duration = Duration::from_secs(5);
+/// Maximum number of messages queued for a connection.
+const OUTBOUND_RING_LENGTH: usize = 64;
 
-/// What a control instance says of itself.
+/// Status that a control instance reports about itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LineState {
-    /// Whether it stands in the entry's failure domain.
+pub struct ControlStatus {
+    /// Whether the instance is in the entry's failure domain.
     pub is_near: bool,
-    /// Whether it is in contact with the group.
+    /// Whether the instance is connected to a quorum of the control group with a leader.
     pub has_quorum: bool,
-    /// Whether it has started a moment ago.
+    /// Whether the instance has just started, so that it may still lack state that the
+    /// other instances have.
     pub started_recently: bool,
-    /// Version of the route table in force there; 0 for none.
+    /// Version of the route table in force at the instance; 0 for none.
     pub version: u64,
 }
 
 /// A connection to a control instance.
 #[derive(Debug)]
-struct FeedLine {
+struct ControlConnection {
     peer: ControlPeer,
-    version: u64,
-    /// When it was last heard.
-    heard: Duration,
-    wishes: RingSender<GroupMessage>,
+    /// Version of the route table in force at the instance; 0 for none.
+    table_version: u64,
+    /// Time of the last message from the instance.
+    last_seen_at: Duration,
+    /// Messages to the instance.
+    outbound: RingSender<GroupMessage>,
 }
 
-/// A control instance that the entry knows of.
+/// A control instance whose address the entry knows.
 #[derive(Debug, Default)]
-struct KnownSite {
-    /// Its failure domain, and how far off that is, if known.
+struct KnownInstance {
+    /// Failure domain of the instance and its proximity to the entry, if known.
     place: Option<(Box<str>, DomainProximity)>,
-    /// How often in a row it could not be reached.
-    failures: u32,
-    /// When it last failed, or said that it is out of contact with its group,
-    /// unless it was heard to be well since.
+    /// Number of consecutive failures of the connection.
+    consecutive_failures: u32,
+    /// Time at which the connection last failed, or the instance last reported that it
+    /// has no quorum. `None` if the instance has reported a quorum since.
     last_failed_at: Option<Duration>,
-    /// Whether a task keeps the connection to it.
+    /// Whether a task maintains the connection to the instance.
     is_followed: bool,
-    /// Whether a connection to it is wanted.
+    /// Whether the entry wants a connection to the instance.
     is_wanted: bool,
 }
 
-/// The control instances that an entry knows of, and its connections to some.
+/// The control instances that an entry knows, and its connections to some of them.
 #[derive(Debug)]
-pub struct LineBook {
-    own: Box<str>,
-    sites: BTreeMap<SocketAddr, KnownSite>,
-    lines: HashMap<SocketAddr, FeedLine>,
+pub struct ControlConnections {
+    /// Identity of the entry.
+    local_id: Box<str>,
+    /// Known control instances by address.
+    instances: BTreeMap<SocketAddr, KnownInstance>,
+    /// Open connections by the address of the instance.
+    connections: HashMap<SocketAddr, ControlConnection>,
+    /// Address of the current source.
     source: Option<SocketAddr>,
-    /// Since when a source is looked for.
-    lacking_since: Option<Duration>,
+    /// Time at which the entry began to wait for a source in its region; `None` while the
+    /// entry does not wait.
+    awaiting_local_since: Option<Duration>,
     clock: ProcessClock,
 }
 
-impl LineBook {
-    /// Returns a book without connections, by the identity and the clock of an
-    /// entry.
-    pub fn new(own: Box<str>, clock: ProcessClock) -> LineBook {
-        LineBook {
-            own,
-            sites: BTreeMap::new(),
-            lines: HashMap::new(),
+impl ControlConnections {
+    /// Returns an empty set of connections for an entry with this identity and clock.
+    pub fn new(local_id: Box<str>, clock: ProcessClock) -> ControlConnections {
+        ControlConnections {
+            local_id,
+            instances: BTreeMap::new(),
+            connections: HashMap::new(),
             source: None,
-            lacking_since: None,
+            awaiting_local_since: None,
             clock,
         }
     }
 
-    /// Takes note of a control instance, and of where it stands if that is known.
-    pub fn learn_site(&mut self, address: SocketAddr, place: Option<(Box<str>, DomainProximity)>) {
-        let site = self.sites.entry(address).or_default();
+    /// Records a control instance, with its failure domain and proximity if known.
+    pub fn record_instance(
+        &mut self,
+        address: SocketAddr,
+        place: Option<(Box<str>, DomainProximity)>,
+    ) {
+        let instance = self.instances.entry(address).or_default();
         if place.is_some() {
-            site.place = place;
+            instance.place = place;
         }
     }
 
-    /// Forgets the control instances that are not named any more and could not
-    /// be reached for long.
-    pub fn forget_sites(&mut self, named: &[ControlSite]) {
-        self.sites.retain(|address, site| {
-            let is_named = named.iter().any(|named| named.address == *address);
-            is_named || site.is_followed || site.failures < MOST_TRIES
+    /// Forgets the control instances that are not in `listed` and failed at
+    /// least `MAX_CONNECT_FAILURES` times in a row.
+    pub fn forget_lost_instances(&mut self, listed: &[ControlSite]) {
+        self.instances.retain(|address, instance| {
+            let is_listed = listed.iter().any(|site| site.address == *address);
+            is_listed
+                || instance.is_followed
+                || instance.consecutive_failures < MAX_CONNECT_FAILURES
         });
     }
 
-    /// Takes note that an instance could not be reached, or broke off.
-    pub fn fail_site(&mut self, address: SocketAddr) {
-        let site = self.sites.entry(address).or_default();
-        site.failures = site.failures.saturating_add(1);
-        site.last_failed_at = Some(self.clock.elapsed());
+    /// Records that an instance could not be reached, or that its connection broke.
+    pub fn record_failure(&mut self, address: SocketAddr) {
+        let instance = self.instances.entry(address).or_default();
+        instance.consecutive_failures = instance.consecutive_failures.saturating_add(1);
+        instance.last_failed_at = Some(self.clock.elapsed());
     }
 
-    /// Chooses the instances that the entry is connected to. Returns those that
-    /// a task is to follow from now on; connections that are not wanted end.
+    /// Chooses the instances to connect to, and drops unwanted connections. Returns the
+    /// instances for which the caller must start a task that maintains the connection.
     ///
-    /// While fewer than the usual number of the chosen are connected and in
-    /// contact with their group, the others are kept.
-    pub fn plan(&mut self) -> Vec<SocketAddr> {
+    /// While fewer than `CONTROL_CONNECTIONS` of the chosen instances are connected
+    /// with a quorum and responsive, the other open connections are kept.
+    pub fn plan_connections(&mut self) -> Vec<SocketAddr> {
         let now = self.clock.elapsed();
-        let lines = &self.lines;
-        let is_quiet = |address: &SocketAddr| {
-            let line = lines.get(address);
-            line.is_some_and(|line| now > line.heard + QUIET_TIME)
+        let connections = &self.connections;
+        let is_unresponsive = |address: &SocketAddr| {
+            let connection = connections.get(address);
+            connection
+                .is_some_and(|connection| now > connection.last_seen_at + UNRESPONSIVE_TIMEOUT)
         };
-        let candidates = self.sites.iter().map(|(address, site)| {
-            let place = site.place.as_ref();
-            let lately = site
+        let candidates = self.instances.iter().map(|(address, instance)| {
+            let place = instance.place.as_ref();
+            let recent_failure = instance
                 .last_failed_at
-                .filter(|last_failed_at| now < *last_failed_at + DOUBT_TIME);
+                .filter(|last_failed_at| now < *last_failed_at + FAILURE_AVOIDANCE_TIME);
             ControlCandidate {
                 address: *address,
                 place: place.map(|(domain, place)| (&**domain, *place)),
-                last_failed_at: if is_quiet(address) { Some(now) } else { lately },
+                last_failed_at: if is_unresponsive(address) {
+                    Some(now)
+                } else {
+                    recent_failure
+                },
             }
         });
         let candidates: Vec<_> = candidates.collect();
-        let chosen = choose_control_connections(&self.own, &candidates);
-        let is_good = |address: &&SocketAddr| {
-            let line = lines.get(address);
-            line.is_some_and(|line| line.peer.has_quorum) && !is_quiet(address)
+        let chosen = choose_control_connections(&self.local_id, &candidates);
+        let is_healthy = |address: &&SocketAddr| {
+            let connection = connections.get(address);
+            connection.is_some_and(|connection| connection.peer.has_quorum)
+                && !is_unresponsive(address)
         };
-        let good = chosen.iter().filter(is_good).count();
-        let keeps = good < CONTROL_CONNECTIONS.min(self.sites.len());
-        let mut begun = Vec::new();
-        for (address, site) in &mut self.sites {
-            let is_kept = keeps && lines.contains_key(address);
-            site.is_wanted = chosen.contains(address) || is_kept;
-            if site.is_wanted && !site.is_followed {
-                site.is_followed = true;
-                begun.push(*address);
+        let healthy_count = chosen.iter().filter(is_healthy).count();
+        let should_keep_others = healthy_count < CONTROL_CONNECTIONS.min(self.instances.len());
+        let mut newly_wanted = Vec::new();
+        for (address, instance) in &mut self.instances {
+            let is_kept = should_keep_others && connections.contains_key(address);
+            instance.is_wanted = chosen.contains(address) || is_kept;
+            if instance.is_wanted && !instance.is_followed {
+                instance.is_followed = true;
+                newly_wanted.push(*address);
             }
         }
-        let sites = &self.sites;
-        self.lines
-            .retain(|address, _| sites.get(address).is_some_and(|site| site.is_wanted));
+        let instances = &self.instances;
+        self.connections.retain(|address, _| {
+            instances
+                .get(address)
+                .is_some_and(|instance| instance.is_wanted)
+        });
         if self
             .source
-            .is_some_and(|source| !self.lines.contains_key(&source))
+            .is_some_and(|source| !self.connections.contains_key(&source))
         {
             self.source = None;
         }
-        begun
+        newly_wanted
     }
 
-    /// Tells whether an instance is to be followed on. If not, its task ends.
-    pub fn keeps_following(&mut self, address: SocketAddr) -> bool {
-        let Some(site) = self.sites.get_mut(&address) else {
+    /// Returns whether the task of an instance should maintain its connection. If not,
+    /// records that the task ends.
+    pub fn should_follow(&mut self, address: SocketAddr) -> bool {
+        let Some(instance) = self.instances.get_mut(&address) else {
             return false;
         };
-        site.is_followed = site.is_wanted;
-        site.is_wanted
+        instance.is_followed = instance.is_wanted;
+        instance.is_wanted
     }
 
-    /// Returns how often in a row an instance could not be reached.
-    pub fn failures(&self, address: SocketAddr) -> u32 {
-        self.sites.get(&address).map_or(0, |site| site.failures)
+    /// Returns the number of consecutive connection failures of an instance.
+    pub fn consecutive_failures(&self, address: SocketAddr) -> u32 {
+        self.instances
+            .get(&address)
+            .map_or(0, |instance| instance.consecutive_failures)
     }
 
-    /// Returns the source.
+    /// Returns the address of the current source.
     pub fn source(&self) -> Option<SocketAddr> {
         self.source
     }
 
-    /// Adds a connection that was opened in `connect_time`. Returns what is wished
-    /// from it.
-    pub fn add_line(
+    /// Adds a connection that took `connect_time` to open. Returns the receiver of the
+    /// messages to send on it.
+    pub fn add_connection(
         &mut self,
         address: SocketAddr,
         connect_time: Duration,
     ) -> RingReceiver<GroupMessage> {
-        let (wishes, ring) = bounded_ring(WISH_RING);
-        let line = FeedLine {
+        let (outbound, ring) = bounded_ring(OUTBOUND_RING_LENGTH);
+        let connection = ControlConnection {
             peer: ControlPeer {
                 address,
                 is_near: false,
@@ -207,17 +236,17 @@
                 started_recently: true,
                 connect_time,
             },
-            version: 0,
-            heard: self.clock.elapsed(),
-            wishes,
+            table_version: 0,
+            last_seen_at: self.clock.elapsed(),
+            outbound,
         };
-        self.lines.insert(address, line);
+        self.connections.insert(address, connection);
         ring
     }
 
-    /// Drops a connection. Returns whether that was the source's.
-    pub fn drop_line(&mut self, address: SocketAddr) -> bool {
-        self.lines.remove(&address);
+    /// Removes a connection. Returns whether the connection was that of the source.
+    pub fn remove_connection(&mut self, address: SocketAddr) -> bool {
+        self.connections.remove(&address);
         let was_source = self.source == Some(address);
         if was_source {
             self.source = None;
@@ -225,66 +254,70 @@
         was_source
     }
 
-    /// Takes note of a message.
-    pub fn heard(&mut self, address: SocketAddr) {
-        if let Some(line) = self.lines.get_mut(&address) {
-            line.heard = self.clock.elapsed();
+    /// Records that a message was received from an instance.
+    pub fn received_message(&mut self, address: SocketAddr) {
+        if let Some(connection) = self.connections.get_mut(&address) {
+            connection.last_seen_at = self.clock.elapsed();
         }
     }
 
-    /// Takes what an instance says of itself. Returns whether the source
-    /// should be chosen anew.
-    pub fn take_state(&mut self, address: SocketAddr, state: LineState) -> bool {
-        let Some(line) = self.lines.get_mut(&address) else {
+    /// Records the status that an instance reported. Returns whether the source should
+    /// be selected again.
+    pub fn update_status(&mut self, address: SocketAddr, status: ControlStatus) -> bool {
+        let Some(connection) = self.connections.get_mut(&address) else {
             return false;
         };
-        if let Some(site) = self.sites.get_mut(&address) {
-            site.last_failed_at = (!state.has_quorum).then(|| self.clock.elapsed());
-            site.failures = 0;
+        if let Some(instance) = self.instances.get_mut(&address) {
+            instance.last_failed_at = (!status.has_quorum).then(|| self.clock.elapsed());
+            instance.consecutive_failures = 0;
         }
-        let known = line.peer;
-        line.peer.is_near = state.is_near;
-        line.peer.has_quorum = state.has_quorum;
-        line.peer.started_recently = state.started_recently;
-        line.version = state.version;
-        line.peer != known || self.source.is_none()
+        let previous_peer = connection.peer;
+        connection.peer.is_near = status.is_near;
+        connection.peer.has_quorum = status.has_quorum;
+        connection.peer.started_recently = status.started_recently;
+        connection.table_version = status.version;
+        connection.peer != previous_peer || self.source.is_none()
     }
 
-    /// Chooses the source, for an entry that has a table of version `have`.
-    /// Returns whether there is another one now.
-    pub fn choose(&mut self, have: u64, servers: impl FnOnce() -> Vec<u64>) -> bool {
+    /// Selects the source, and subscribes to all state from a new one. Returns whether
+    /// the entry has a new source.
+    ///
+    /// `have` is the version of the entry's route table; `servers` returns the digests
+    /// of the servers that the entry knows.
+    pub fn select_source(&mut self, have: u64, servers: impl FnOnce() -> Vec<u64>) -> bool {
         let now = self.clock.elapsed();
         let peers: Vec<ControlPeer> = self
-            .lines
+            .connections
             .values()
-            .map(|line| ControlPeer {
-                has_quorum: line.peer.has_quorum && now < line.heard + QUIET_TIME,
-                ..line.peer
+            .map(|connection| ControlPeer {
+                has_quorum: connection.peer.has_quorum
+                    && now < connection.last_seen_at + UNRESPONSIVE_TIMEOUT,
+                ..connection.peer
             })
             .collect();
-        let former = self.source;
-        let is_early = now < SETTLE_TIME;
-        if former.is_none() && is_early && !peers.iter().any(|peer| peer.has_quorum) {
-            // All have just started; who is near is not known yet.
+        let previous = self.source;
+        let is_starting = now < INITIAL_QUORUM_WAIT;
+        if previous.is_none() && is_starting && !peers.iter().any(|peer| peer.has_quorum) {
+            // All instances have just started, and it is not known yet which are near.
             return false;
         }
-        let source = choose_source(&peers, former);
-        if source == former {
+        let source = choose_source(&peers, previous);
+        if source == previous {
             return false;
         }
-        if source.is_some_and(|source| self.awaits_nearer(source, now)) {
+        if source.is_some_and(|source| self.should_await_local_source(source, now)) {
             return false;
         }
         self.source = source;
-        self.lacking_since = None;
-        if let Some(line) = former.and_then(|former| self.lines.get(&former)) {
-            // A full ring: the connection stands still and will end.
-            let _ = line.wishes.offer(GroupMessage::Urgent);
+        self.awaiting_local_since = None;
+        if let Some(connection) = previous.and_then(|previous| self.connections.get(&previous)) {
+            // If the ring is full, the connection is stalled and will be closed.
+            let _ = connection.outbound.offer(GroupMessage::Urgent);
         }
-        let Some(line) = source.and_then(|source| self.lines.get(&source)) else {
+        let Some(connection) = source.and_then(|source| self.connections.get(&source)) else {
             return false;
         };
-        let _ = line.wishes.offer(GroupMessage::Whole {
+        let _ = connection.outbound.offer(GroupMessage::Whole {
             have,
             servers: servers(),
         });
@@ -293,62 +326,64 @@
             is_near,
             has_quorum,
             ..
-        } = line.peer;
+        } = connection.peer;
         tracing::info!(target: "entry", control = %address, near = is_near, settled = has_quorum, candidates = peers.len(), "source: chosen");
         true
     }
 
-    /// Tells whether an instance of another region is not to be the source yet, as
-    /// one of the own region is about to be connected: all that is known of the
-    /// servers would cross regions, and be told again by the nearer one.
-    fn awaits_nearer(&mut self, source: SocketAddr, now: Duration) -> bool {
-        let lacking_since = *self.lacking_since.get_or_insert(now);
-        let is_in_region = |site: &KnownSite| {
-            let place = site.place.as_ref();
+    /// Returns whether to wait before `source`, an instance of another region, becomes
+    /// the source, because a connection to an instance of the entry's region is being
+    /// opened. Otherwise the state of all servers would be sent between regions, and
+    /// then once more by the nearer instance.
+    fn should_await_local_source(&mut self, source: SocketAddr, now: Duration) -> bool {
+        let awaiting_local_since = *self.awaiting_local_since.get_or_insert(now);
+        let is_in_region = |instance: &KnownInstance| {
+            let place = instance.place.as_ref();
             place.is_some_and(|(_, place)| *place <= DomainProximity::Region)
         };
-        let is_near = self.sites.get(&source).is_some_and(is_in_region);
-        if is_near || now > lacking_since + NEAR_TIME {
+        let is_near = self.instances.get(&source).is_some_and(is_in_region);
+        if is_near || now > awaiting_local_since + LOCAL_SOURCE_WAIT {
             return false;
         }
-        let mut sites = self.sites.iter();
-        sites.any(|(address, site)| {
-            let is_coming = site.is_wanted && site.failures == 0;
-            is_coming && is_in_region(site) && !self.lines.contains_key(address)
+        let mut instances = self.instances.iter();
+        instances.any(|(address, instance)| {
+            let is_connecting = instance.is_wanted && instance.consecutive_failures == 0;
+            is_connecting && is_in_region(instance) && !self.connections.contains_key(address)
         })
     }
 
-    /// Tells all instances.
-    pub fn tell_all(&self, message: &GroupMessage) {
-        for line in self.lines.values() {
-            // A full ring: the connection stands still and will end, and the
-            // next one begins with all that is known.
-            let _ = line.wishes.offer(message.clone());
+    /// Sends a message to all connected instances.
+    pub fn send_to_all(&self, message: &GroupMessage) {
+        for connection in self.connections.values() {
+            // If the ring is full, the connection is stalled and will be closed. The
+            // next connection starts with the complete state.
+            let _ = connection.outbound.offer(message.clone());
         }
     }
 
-    /// Tells the source.
-    pub fn tell_source(&self, message: GroupMessage) {
-        let line = self.source.and_then(|source| self.lines.get(&source));
-        if let Some(line) = line {
-            // A full ring: the connection stands still and will end.
-            let _ = line.wishes.offer(message);
+    /// Sends a message to the source.
+    pub fn send_to_source(&self, message: GroupMessage) {
+        let connection = self.source.and_then(|source| self.connections.get(&source));
+        if let Some(connection) = connection {
+            // If the ring is full, the connection is stalled and will be closed.
+            let _ = connection.outbound.offer(message);
         }
     }
 
-    /// Asks the nearest instance that has a version, and was not tried, for its
-    /// table. Returns whether there is one.
+    /// Requests the route table from the instance with the shortest connect time that
+    /// has at least `version` and is not in `tried`. Returns whether there is one.
+    ///
+    /// `have` is the version of the entry's own route table.
     pub fn fetch(&self, version: u64, have: u64, tried: &mut HashSet<SocketAddr>) -> bool {
-        let able = self
-            .lines
-            .values()
-            .filter(|line| line.version >= version && !tried.contains(&line.peer.address));
-        let Some(line) = able.min_by_key(|line| line.peer.connect_time) else {
+        let holders = self.connections.values().filter(|connection| {
+            connection.table_version >= version && !tried.contains(&connection.peer.address)
+        });
+        let Some(connection) = holders.min_by_key(|connection| connection.peer.connect_time) else {
             return false;
         };
-        tried.insert(line.peer.address);
-        tracing::warn!(target: "entry", control = %line.peer.address, table_version = version, "table: fetched, as the source did not bring it");
-        let _ = line.wishes.offer(GroupMessage::Fetch { have });
+        tried.insert(connection.peer.address);
+        tracing::warn!(target: "entry", control = %connection.peer.address, table_version = version, "table: fetched, as the source did not bring it");
+        let _ = connection.outbound.offer(GroupMessage::Fetch { have });
         true
     }
 }
--- a/crates/node/src/process/forward/measure.rs
+++ b/crates/node/src/process/forward/measure.rs
@@ -1,7 +1,7 @@
-//! Metrics of an entry.
+//! Prometheus metrics of an entry.
 //!
-//! The machine counts for itself; its counts are copied when somebody asks.
-//! Only the time to an answer is recorded at each request.
+//! The forward machine keeps its own counters, which are copied when the metrics are
+//! scraped. Only the outcome and answer time are recorded at the end of each request.
 
 use std::fmt;
 use std::time::Duration;
@@ -10,61 +10,64 @@
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusRecorder};
 use wheelmast_core::process::forward::machine::ForwardMachine;
 
-/// Upper bounds of the buckets of answer times, in seconds.
-const BUCKETS: [f64; 12] = [
+/// Upper bounds of the histogram buckets of answer times, in seconds.
+const ANSWER_TIME_BUCKETS: [f64; 12] = [
     0.01, 0.02, 0.04, 0.06, 0.08, 0.1, 0.15, 0.2, 0.3, 0.6, 1.0, 2.0,
 ];
-/// Most routes whose answers are counted by name; the others count together.
-const NAMED_ROUTES: usize = 200;
-/// Name that the other routes count under.
-const OTHER_ROUTES: &str = "other";
+/// Maximum number of routes with a `route` label of their own. Later routes share the
+/// label `OTHER_ROUTES_LABEL`.
+const MAX_NAMED_ROUTES: usize = 200;
+/// `route` label shared by the routes beyond `MAX_NAMED_ROUTES`.
+const OTHER_ROUTES_LABEL: &str = "other";
 
-/// What the entry counts beside its machine, since its start.
+/// Counters of the driver (the code around the forward machine), since the process
+/// started.
 #[derive(Debug, Clone, Copy)]
 pub struct DriverCounts {
-    /// Lines that were not told or not written.
+    /// Log lines dropped by the rate limits or not written to the output.
     pub lines_dropped: u64,
-    /// Times that it read late.
+    /// Number of times that the event loop ran late.
     pub times_held_up: u64,
-    /// Attempts that were written long after they were decided on.
+    /// Attempts written to their connection long after the machine ordered them.
     pub sent_late: u64,
 }
 
-/// The metrics of an entry.
-pub struct EntryMeasures {
+/// Recorder of an entry's metrics.
+pub struct EntryMetrics {
     recorder: PrometheusRecorder,
+    /// Routes with a `route` label of their own.
     routes: std::collections::HashSet<Box<str>>,
 }
 
-impl fmt::Debug for EntryMeasures {
+impl fmt::Debug for EntryMetrics {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("EntryMeasures")
+        f.write_str("EntryMetrics")
     }
 }
 
-impl Default for EntryMeasures {
+impl Default for EntryMetrics {
     fn default() -> Self {
         let builder = PrometheusBuilder::new();
-        // There are buckets, so that this cannot fail.
+        // `set_buckets` fails only for an empty list of buckets.
         let builder = builder
-            .set_buckets(&BUCKETS)
+            .set_buckets(&ANSWER_TIME_BUCKETS)
             .unwrap_or_else(|_| PrometheusBuilder::new());
-        EntryMeasures {
+        EntryMetrics {
             recorder: builder.build_recorder(),
             routes: Default::default(),
         }
     }
 }
 
-impl EntryMeasures {
-    /// Takes note of how a request on a route ended.
-    pub fn ended(&mut self, route: &str, outcome: &'static str, after: Duration) {
+impl EntryMetrics {
+    /// Records the outcome of a request on a route, and its answer time.
+    pub fn record_answer(&mut self, route: &str, outcome: &'static str, after: Duration) {
         let is_known = self.routes.contains(route);
-        if !is_known && self.routes.len() < NAMED_ROUTES {
+        if !is_known && self.routes.len() < MAX_NAMED_ROUTES {
             self.routes.insert(route.into());
         }
         let is_named = self.routes.contains(route);
-        let route = if is_named { route } else { OTHER_ROUTES }.to_string();
+        let route = if is_named { route } else { OTHER_ROUTES_LABEL }.to_string();
         with_local_recorder(&self.recorder, || {
             counter!("wheelmast_forward_answers_total", "route" => route.clone(), "outcome" => outcome)
                 .increment(1);
@@ -73,14 +76,15 @@
         });
     }
 
-    /// Renders all metrics.
+    /// Copies the current counters and renders all metrics in the Prometheus text format.
     pub fn render(&self, machine: &ForwardMachine, now: Duration, counts: DriverCounts) -> String {
-        with_local_recorder(&self.recorder, || copy(machine, now, counts));
+        with_local_recorder(&self.recorder, || update_metrics(machine, now, counts));
         self.recorder.handle().render()
     }
 }
 
-fn copy(machine: &ForwardMachine, now: Duration, driver: DriverCounts) {
+/// Copies the counters and gauges of the machine and the driver to the recorder.
+fn update_metrics(machine: &ForwardMachine, now: Duration, driver: DriverCounts) {
     let counts = machine.counters();
     let totals = [
         ("wheelmast_forward_requests_total", counts.calls),
@@ -113,15 +117,15 @@
     gauge!("wheelmast_route_table_version").set(version as f64);
     gauge!("wheelmast_forward_running").set(machine.call_count() as f64);
     for row in machine.expectations().rows() {
-        let cell = [
+        let labels = [
             ("queue", row.queue),
             ("slowness", row.slowness),
             ("age", row.age),
         ];
-        counter!("wheelmast_expected_answers_total", &cell).absolute(row.samples);
-        gauge!("wheelmast_expected_seconds", &cell).set(row.expected);
-        gauge!("wheelmast_real_seconds", &cell).set(row.actual);
-        gauge!("wheelmast_expected_median_error", &cell).set(row.median_error);
+        counter!("wheelmast_expected_answers_total", &labels).absolute(row.samples);
+        gauge!("wheelmast_expected_seconds", &labels).set(row.expected);
+        gauge!("wheelmast_real_seconds", &labels).set(row.actual);
+        gauge!("wheelmast_expected_median_error", &labels).set(row.median_error);
     }
     let (suspects, quarantined) = machine.suspect_counts(now);
     gauge!("wheelmast_forward_suspects").set(suspects as f64);
@@ -135,7 +139,7 @@
         counter!("wheelmast_split_requests_total", &labels).absolute(count);
         gauge!("wheelmast_split_weight", &labels).set(part.weight);
     }
-    for (service, counts, servers, room) in machine.services(now) {
+    for (service, counts, servers, budget_left) in machine.services(now) {
         let service = service.to_string();
         counter!("wheelmast_service_sends_total", "service" => service.clone())
             .absolute(counts.sends);
@@ -144,6 +148,6 @@
         counter!("wheelmast_service_losses_total", "service" => service.clone())
             .absolute(counts.losses);
         gauge!("wheelmast_service_servers", "service" => service.clone()).set(servers as f64);
-        gauge!("wheelmast_service_extra_room", "service" => service).set(room);
+        gauge!("wheelmast_service_extra_room", "service" => service).set(budget_left);
     }
 }
--- a/crates/node/src/process/forward/mod.rs
+++ b/crates/node/src/process/forward/mod.rs
@@ -1,8 +1,8 @@
-//! An entry that forwards requests, all on one thread.
+//! Driver of an entry that forwards requests to upstream servers.
 //!
-//! Callers, decisions and upstream connections are one duty here: a subquery
-//! costs one write, one read and no hand-over between threads. What that gains
-//! is in `docs/design/platform.md`.
+//! Callers' connections, the forward machine's decisions and the upstream
+//! connections share one thread, so that a subquery costs one write, one read and
+//! no hand-over between threads. `docs/design/platform.md` gives the figures.
 
 pub mod callers;
 pub mod cap_gate;
--- a/crates/node/src/process/forward/pool.rs
+++ b/crates/node/src/process/forward/pool.rs
@@ -17,7 +17,7 @@
 use wheelmast_wire::dialect::ForwardDialect;
 
 use crate::connection::exchange::{exchange_in_two, ExchangeFailure, WholeAnswer, DEFAULT_IDLE};
-use crate::process::forward::entry::EntryDuty;
+use crate::process::forward::entry::ForwardDriver;
 use crate::process::forward::image::{
     is_hop, read_suspect, render_grant, RequestImage, SHARDS_HEADER, SUSPECT_HEADER,
 };
@@ -58,7 +58,7 @@
 
 impl ServerPool {
     /// Sends a request on an idle connection, or on a new one.
-    pub fn send<D: ForwardDialect>(&self, entry: &Rc<EntryDuty<D>>, order: UpstreamOrder) {
+    pub fn send<D: ForwardDialect>(&self, entry: &Rc<ForwardDriver<D>>, order: UpstreamOrder) {
         let now = entry.clock.elapsed();
         let mut idle = self.idle.borrow_mut();
         let links = idle.entry(order.order.server).or_default();
@@ -104,7 +104,7 @@
     }
 
     /// Tells the machine how many idle connections to a server can be used.
-    fn tell_idle<D: ForwardDialect>(&self, entry: &Rc<EntryDuty<D>>, server: ServerKey) {
+    fn tell_idle<D: ForwardDialect>(&self, entry: &Rc<ForwardDriver<D>>, server: ServerKey) {
         let now = entry.clock.elapsed();
         let idle = self.idle.borrow();
         let links = idle.get(&server).map(|links| {
@@ -138,7 +138,7 @@
 }
 
 /// Opens a connection and serves requests on it until it ends.
-async fn run_link<D: ForwardDialect>(entry: Rc<EntryDuty<D>>, first: UpstreamOrder) {
+async fn run_link<D: ForwardDialect>(entry: Rc<ForwardDriver<D>>, first: UpstreamOrder) {
     let server = first.order.server;
     let mut order = first;
     let opened = Instant::now();
@@ -191,18 +191,18 @@
 /// its time is over. It may have waited long for its connection and for the loop,
 /// and what was decided since then reaches it only here.
 fn is_withdrawn<D: ForwardDialect>(
-    entry: &EntryDuty<D>,
+    entry: &ForwardDriver<D>,
     order: &mut UpstreamOrder,
     now: Duration,
 ) -> bool {
     let is_cancelled = order.cancelled.try_recv().is_ok();
     let is_over = now >= order.order.until;
-    is_cancelled || is_over || !entry.is_at_work(order.order.call)
+    is_cancelled || is_over || !entry.is_call_waiting(order.order.call)
 }
 
 /// Serves one request that is written at `now`. Returns how long the connection may then be idle.
 async fn serve<D: ForwardDialect>(
-    entry: &Rc<EntryDuty<D>>,
+    entry: &Rc<ForwardDriver<D>>,
     stream: &mut TcpStream,
     buffer: &mut BytesMut,
     order: UpstreamOrder,
@@ -220,7 +220,10 @@
     let request = image.render::<D>(&order, now);
     let attempt = order.attempt;
     let is_whole = Cell::new(order.relay.is_none());
-    let granted = order.relay.as_ref().map(|_| entry.await_grant(attempt));
+    let granted = order
+        .relay
+        .as_ref()
+        .map(|_| entry.subscribe_allowance(attempt));
     let is_told = &is_whole;
     let rest = || async move {
         entry.step(ForwardInput::RelayAcknowledged(attempt));
@@ -251,10 +254,14 @@
     keep.filter(|_| is_whole.get())
 }
 
-fn finish<D: ForwardDialect>(entry: &Rc<EntryDuty<D>>, order: &AttemptOrder, end: AttemptResult) {
+fn finish<D: ForwardDialect>(
+    entry: &Rc<ForwardDriver<D>>,
+    order: &AttemptOrder,
+    end: AttemptResult,
+) {
     let attempt = order.attempt;
-    entry.cancels.borrow_mut().remove(&attempt);
-    entry.drop_grant(attempt);
+    entry.cancel_senders.borrow_mut().remove(&attempt);
+    entry.unsubscribe_allowance(attempt);
     entry.step(ForwardInput::AttemptEnded { attempt, end });
 }
 
--- a/crates/node/src/process/forward/run.rs
+++ b/crates/node/src/process/forward/run.rs
@@ -1,4 +1,4 @@
-//! Running an entry from its start to its end.
+//! Start, main tasks and graceful shutdown of an entry process.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,25 +12,26 @@
 use wheelmast_wire::dialect::ForwardDialect;
 
 use crate::process::expose::expose_metrics;
-use crate::process::forward::callers::{accept, answer_balancer, listen};
-use crate::process::forward::entry::{EntryDuty, EntryPhase};
+use crate::process::forward::callers::{accept_callers, bind_listener, serve_health_checks};
+use crate::process::forward::entry::{EntryPhase, ForwardDriver};
 use crate::process::forward::feed::GroupFeed;
 use crate::process::reload::watch_seeds;
 use crate::settings::role::RoleSettings;
 
-/// Part of the grace time after which no new connections are taken: the
-/// balancer has noticed by then.
-const CLOSE_AFTER: f64 = 0.5;
-/// Part of the grace time after which the process ends, whatever is at work.
-const END_AFTER: f64 = 0.92;
-/// Interval at which an ending entry looks whether it is idle.
-const IDLE_CHECK: Duration = Duration::from_millis(50);
+/// Fraction of the grace period after which the entry accepts no new connections.
+/// The load balancer has noticed by then that the entry is no longer ready.
+const STOP_ACCEPTING_FRACTION: f64 = 0.5;
+/// Fraction of the grace period after which the process exits, even if requests
+/// are still in flight.
+const EXIT_FRACTION: f64 = 0.92;
+/// Interval at which an entry that shuts down checks whether requests are in flight.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs an entry until it is told to end.
+/// Runs an entry until it receives SIGTERM, then shuts it down gracefully.
 ///
 /// # Errors
 ///
-/// Fails if a listener cannot be had.
+/// Fails if a listen address is missing from the settings or cannot be bound.
 pub fn run_entry<D: ForwardDialect>(
     settings: RoleSettings,
     path: std::path::PathBuf,
@@ -38,18 +39,18 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    LocalSet::new().block_on(&runtime, serve::<D>(settings, path))
+    LocalSet::new().block_on(&runtime, run_driver::<D>(settings, path))
 }
 
-async fn serve<D: ForwardDialect>(
+async fn run_driver<D: ForwardDialect>(
     settings: RoleSettings,
     path: std::path::PathBuf,
 ) -> anyhow::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
-    let callers = settings.callers.context("could not find listen.callers")?;
-    let ready = settings.ready.context("could not find listen.ready")?;
-    let callers = listen(callers).await?;
-    let ready = listen(ready).await?;
+    let callers_address = settings.callers.context("could not find listen.callers")?;
+    let ready_address = settings.ready.context("could not find listen.ready")?;
+    let callers = bind_listener(callers_address).await?;
+    let ready = bind_listener(ready_address).await?;
     let peer = EntryPeer {
         instance: settings.instance.as_str().into(),
         incarnation: rand::random(),
@@ -68,41 +69,46 @@
         seed: rand::random(),
         ..ForwardOptions::default()
     };
-    let entry = Rc::new(EntryDuty::<D>::new(options, settings.log_plain_every));
-    let (close, closing) = watch::channel(false);
+    let entry = Rc::new(ForwardDriver::<D>::new(options, settings.log_plain_every));
+    let (close_sender, closing) = watch::channel(false);
     let feed = Rc::new(GroupFeed::new(entry.clone(), peer));
     for seed in settings.seed_peers() {
         feed.follow(seed);
     }
-    tokio::task::spawn_local(entry.clone().keep_time());
+    tokio::task::spawn_local(entry.clone().run_timers());
     tokio::task::spawn_local(feed.clone().tell_suspects());
     tokio::task::spawn_local(feed.clone().ask_caps());
-    tokio::task::spawn_local(answer_balancer(entry.clone(), ready));
+    tokio::task::spawn_local(serve_health_checks(entry.clone(), ready));
     if let Some(address) = settings.metrics {
-        let measured = entry.clone();
-        let render = move || measured.render_metrics();
+        let driver = entry.clone();
+        let render = move || driver.render_metrics();
         tokio::task::spawn_local(expose_metrics(address, render));
     }
-    let accepting = tokio::task::spawn_local(accept(entry.clone(), callers, closing));
-    let follower = feed.clone();
+    let accepting = tokio::task::spawn_local(accept_callers(entry.clone(), callers, closing));
+    let seed_feed = feed.clone();
     tokio::task::spawn_local(watch_seeds(path, move |seeds| {
         for seed in seeds {
-            follower.follow(seed);
+            seed_feed.follow(seed);
         }
     }));
     terminate.recv().await;
     tracing::info!(target: "entry", "entry: leaving");
     entry.set_phase(EntryPhase::Leaving);
     feed.leave();
-    tokio::time::sleep(settings.grace.mul_f64(CLOSE_AFTER)).await;
-    let _ = close.send(true);
+    tokio::time::sleep(settings.grace.mul_f64(STOP_ACCEPTING_FRACTION)).await;
+    let _ = close_sender.send(true);
     let _ = accepting.await;
-    let end = tokio::time::Instant::now() + settings.grace.mul_f64(END_AFTER - CLOSE_AFTER);
-    while entry.look(|machine| machine.call_count()) > 0 && tokio::time::Instant::now() < end {
-        tokio::time::sleep(IDLE_CHECK).await;
+    let deadline = tokio::time::Instant::now()
+        + settings
+            .grace
+            .mul_f64(EXIT_FRACTION - STOP_ACCEPTING_FRACTION);
+    while entry.with_machine(|machine| machine.call_count()) > 0
+        && tokio::time::Instant::now() < deadline
+    {
+        tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
     }
-    // The last answers are still on their way out.
-    tokio::time::sleep(IDLE_CHECK).await;
+    // Leaves time for the last answers to be written to their connections.
+    tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
     tracing::info!(target: "entry", "entry: ended");
     Ok(())
 }
--- a/crates/node/src/process/forward/story.rs
+++ b/crates/node/src/process/forward/story.rs
@@ -1,7 +1,8 @@
-//! What was decided about each request, for the log.
+//! Log of the decisions about each request.
 //!
-//! Lines of a request are kept until it ends. A plain success is told in full
-//! only now and then; whatever was not plain always is.
+//! The decisions about a request are buffered and written when the request ends.
+//! Requests that succeed without incident are logged only at a sampled rate, others
+//! whenever possible. Rate limits bound the number of lines per second.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,36 +11,39 @@
 use wheelmast_core::process::forward::answer::{AttemptCause, ForwardDecision, ForwardEvent};
 use wheelmast_core::process::input::CallTag;
 
-use crate::process::forward::measure::EntryMeasures;
+use crate::process::forward::measure::EntryMetrics;
 
-/// One in so many partial or late gathered answers is told in full; the others
-/// tell their end.
-const PARTIAL_EVERY: u64 = 10;
-/// Lines kept of a request.
-const KEPT_LINES: usize = 160;
-/// Lines told in a second, at most.
-const LINES_PER_SECOND: f64 = 400.0;
-/// Lines on servers that broke off, in a second, at most: apart from the
-/// others, which are most when servers end.
-const BROKEN_PER_SECOND: f64 = 40.0;
+/// One in this many partial or late merged answers is logged in full; for the others
+/// only the final line is written, or none if another entry relayed the request.
+const PARTIAL_LOG_INTERVAL: u64 = 10;
+/// Maximum number of decisions buffered for a request, besides the last.
+const MAX_LINES_PER_REQUEST: usize = 160;
+/// Maximum number of log lines per second for ended requests.
+const MAX_LINES_PER_SECOND: f64 = 400.0;
+/// Maximum number of log lines per second about servers whose connection broke. They
+/// have a limit of their own, because the other lines are most numerous when servers crash.
+const MAX_BROKEN_LINES_PER_SECOND: f64 = 40.0;
 
+/// Buffered decisions about one request.
 #[derive(Debug, Default)]
-struct RequestStory {
+struct RequestLog {
     id: Box<str>,
     decisions: Vec<(Duration, ForwardDecision)>,
-    is_plain: bool,
+    /// Whether all decisions so far are normal for a request without incident.
+    is_routine: bool,
 }
 
-impl RequestStory {
-    /// Tells whether it ended with parts: all of them but late, or not all.
-    fn is_gathered(&self) -> bool {
+impl RequestLog {
+    /// Returns whether the request was answered with the merged parts of several
+    /// shards, of all shards or of only some.
+    fn is_merged_answer(&self) -> bool {
         matches!(
             self.decisions.last(),
             Some((_, ForwardDecision::End { outcome, .. })) if ["partial", "whole"].contains(outcome)
         )
     }
 
-    /// Tells whether another entry asked for it.
+    /// Returns whether another entry relayed the request here.
     fn is_relayed(&self) -> bool {
         let first = self.decisions.first();
         matches!(
@@ -48,213 +52,237 @@
         )
     }
 
-    /// Returns what the story is about.
-    fn subject(&self) -> StorySubject {
-        let mut subject = StorySubject::default();
-        if self.is_plain {
-            return subject;
+    /// Returns the services that the log lines of the request are limited to.
+    fn relevant_services(&self) -> RelevantServices {
+        let mut relevant = RelevantServices::default();
+        if self.is_routine {
+            return relevant;
         }
         for (_, decision) in &self.decisions {
             match decision {
-                ForwardDecision::End { left_out, .. } => subject.left_out.clone_from(left_out),
+                ForwardDecision::End { left_out, .. } => relevant.omitted.clone_from(left_out),
                 ForwardDecision::Slow { service, .. }
                 | ForwardDecision::Lost { service, .. }
                 | ForwardDecision::Reroute { service, .. }
                 | ForwardDecision::Abandon { service, .. } => {
-                    subject.services.push(service.clone());
+                    relevant.services.push(service.clone());
                 }
                 _ => {}
             }
         }
-        subject.services.extend(subject.left_out.iter().cloned());
-        subject
+        relevant.services.extend(relevant.omitted.iter().cloned());
+        relevant
     }
 
-    /// Drops all but the end, which names what was left out.
-    fn keep_end(&mut self) {
+    /// Drops all decisions but the last, which names the omitted shards.
+    fn drop_all_but_end(&mut self) {
         let last = self.decisions.len().saturating_sub(1);
         self.decisions.drain(..last);
     }
 }
 
-/// The services that a story is about.
+/// Services that the log lines of a request are limited to.
 #[derive(Debug, Default)]
-struct StorySubject {
-    /// Those left out of the answer.
-    left_out: Vec<Arc<str>>,
-    /// These, and those with an attempt that was slow, lost or abandoned.
-    /// Empty for all.
+struct RelevantServices {
+    /// Services of the shards omitted from the answer.
+    omitted: Vec<Arc<str>>,
+    /// The omitted services, and the services with an attempt that was slow, lost,
+    /// rerouted or abandoned. Empty if the lines are not limited.
     services: Vec<Arc<str>>,
 }
 
-impl StorySubject {
-    /// Tells whether a decision says something about it: first sends to the
-    /// others do not, nor that an attempt for what was left out is abandoned.
-    fn concerns(&self, decision: &ForwardDecision) -> bool {
+impl RelevantServices {
+    /// Returns whether a decision is to be logged. First sends to other services are
+    /// not, nor is the abandonment of attempts for omitted shards.
+    fn is_relevant(&self, decision: &ForwardDecision) -> bool {
         match decision {
             ForwardDecision::Send { service, cause, .. } if *cause == AttemptCause::First => {
                 self.services.is_empty() || self.services.contains(service)
             }
-            ForwardDecision::Abandon { service, .. } => !self.left_out.contains(service),
+            ForwardDecision::Abandon { service, .. } => !self.omitted.contains(service),
             _ => true,
         }
     }
 }
 
-/// The stories of the requests at work.
+/// Writes the decisions about requests to the log, and keeps the metrics of ended
+/// requests.
 #[derive(Debug)]
-pub struct StoryBook {
-    /// The metrics of the requests that ended.
-    pub measures: EntryMeasures,
-    stories: HashMap<CallTag, RequestStory>,
-    /// One in so many plain successes is told in full.
-    plain_every: u32,
-    plain: u64,
-    partial: u64,
-    stories_left: LineAllowance,
-    broken_left: LineAllowance,
-    dropped: u64,
-    dropped_ever: u64,
+pub struct DecisionLog {
+    /// Metrics of the ended requests.
+    pub metrics: EntryMetrics,
+    /// Buffered decisions of the requests in flight.
+    requests: HashMap<CallTag, RequestLog>,
+    /// One in this many requests that succeed without incident is logged in full.
+    routine_log_interval: u32,
+    /// Number of requests that succeeded without incident.
+    routine_count: u64,
+    /// Number of partial or late merged answers.
+    partial_count: u64,
+    /// Limit of the lines about ended requests.
+    request_lines_limit: LineRateLimit,
+    /// Limit of the lines about servers whose connection broke.
+    broken_lines_limit: LineRateLimit,
+    /// Lines dropped by the rate limits since the log last reported them.
+    unreported_dropped: u64,
+    /// Lines dropped by the rate limits since the start.
+    dropped_total: u64,
 }
 
-impl StoryBook {
-    /// Returns a book that tells one in `plain_every` plain successes.
-    pub fn new(plain_every: u32) -> StoryBook {
-        StoryBook {
-            measures: EntryMeasures::default(),
-            stories: HashMap::new(),
-            plain_every: plain_every.max(1),
-            plain: 0,
-            partial: 0,
-            stories_left: LineAllowance::new(LINES_PER_SECOND),
-            broken_left: LineAllowance::new(BROKEN_PER_SECOND),
-            dropped: 0,
-            dropped_ever: 0,
+impl DecisionLog {
+    /// Returns a log that writes one in `routine_log_interval` requests that succeed
+    /// without incident.
+    pub fn new(routine_log_interval: u32) -> DecisionLog {
+        DecisionLog {
+            metrics: EntryMetrics::default(),
+            requests: HashMap::new(),
+            routine_log_interval: routine_log_interval.max(1),
+            routine_count: 0,
+            partial_count: 0,
+            request_lines_limit: LineRateLimit::new(MAX_LINES_PER_SECOND),
+            broken_lines_limit: LineRateLimit::new(MAX_BROKEN_LINES_PER_SECOND),
+            unreported_dropped: 0,
+            dropped_total: 0,
         }
     }
 
-    /// Begins the story of a request.
-    pub fn begin(&mut self, call: CallTag, id: &str) {
-        let story = RequestStory {
+    /// Starts to buffer the decisions about a request.
+    pub fn begin_request(&mut self, call: CallTag, id: &str) {
+        let request_log = RequestLog {
             id: id.into(),
             decisions: Vec::with_capacity(24),
-            is_plain: true,
+            is_routine: true,
         };
-        self.stories.insert(call, story);
+        self.requests.insert(call, request_log);
     }
 
-    /// Takes a decision.
-    pub fn take(&mut self, event: ForwardEvent) {
+    /// Records a decision, and writes the request's lines if the request has ended.
+    pub fn record(&mut self, event: ForwardEvent) {
         if matches!(event.decision, ForwardDecision::ServerBrokeOff { .. }) {
-            return self.tell_broken(&event);
+            return self.log_broken_server(&event);
         }
-        let Some(story) = self.stories.get_mut(&event.call) else {
+        let Some(request_log) = self.requests.get_mut(&event.call) else {
             return;
         };
         let is_end = matches!(event.decision, ForwardDecision::End { .. });
-        story.is_plain &= is_plain(&event.decision);
-        if story.decisions.len() < KEPT_LINES || is_end {
-            story.decisions.push((event.at, event.decision));
+        request_log.is_routine &= is_routine(&event.decision);
+        if request_log.decisions.len() < MAX_LINES_PER_REQUEST || is_end {
+            request_log.decisions.push((event.at, event.decision));
         }
         if is_end {
-            self.end(event.call, event.at);
+            self.end_request(event.call, event.at);
         }
     }
 
-    /// Returns the number of lines that were not told.
+    /// Returns the number of lines that the rate limits dropped since the start.
     pub fn lines_dropped(&self) -> u64 {
-        self.dropped_ever
+        self.dropped_total
     }
 
-    fn measure(&mut self, decisions: &[(Duration, ForwardDecision)]) {
+    /// Records the outcome and answer time of an ended request in the metrics.
+    fn record_metrics(&mut self, decisions: &[(Duration, ForwardDecision)]) {
         let route = match decisions.first() {
             Some((_, ForwardDecision::Admit { route, .. })) => route,
             _ => "none",
         };
         if let Some((_, ForwardDecision::End { outcome, after, .. })) = decisions.last() {
-            self.measures.ended(route, outcome, *after);
+            self.metrics.record_answer(route, outcome, *after);
         }
     }
 
-    fn end(&mut self, call: CallTag, now: Duration) {
-        let Some(mut story) = self.stories.remove(&call) else {
+    /// Removes an ended request, and writes its lines unless they are sampled out or
+    /// over the rate limit.
+    fn end_request(&mut self, call: CallTag, now: Duration) {
+        let Some(mut request_log) = self.requests.remove(&call) else {
             return;
         };
-        self.measure(&story.decisions);
-        if story.is_plain {
-            self.plain += 1;
-            if !self.plain.is_multiple_of(u64::from(self.plain_every)) {
+        self.record_metrics(&request_log.decisions);
+        if request_log.is_routine {
+            self.routine_count += 1;
+            if !self
+                .routine_count
+                .is_multiple_of(u64::from(self.routine_log_interval))
+            {
                 return;
             }
         }
-        if !story.is_plain && story.is_gathered() {
-            self.partial += 1;
-            if self.partial % PARTIAL_EVERY != 1 {
-                if story.is_relayed() {
-                    // The entry that asked tells what is left out.
+        if !request_log.is_routine && request_log.is_merged_answer() {
+            self.partial_count += 1;
+            if self.partial_count % PARTIAL_LOG_INTERVAL != 1 {
+                if request_log.is_relayed() {
+                    // The entry that relayed the request logs the omitted shards.
                     return;
                 }
-                story.keep_end();
+                request_log.drop_all_but_end();
             }
         }
-        if !self.stories_left.take(story.decisions.len(), now) {
-            self.dropped += story.decisions.len() as u64;
-            self.dropped_ever += story.decisions.len() as u64;
+        if !self
+            .request_lines_limit
+            .try_consume(request_log.decisions.len(), now)
+        {
+            self.unreported_dropped += request_log.decisions.len() as u64;
+            self.dropped_total += request_log.decisions.len() as u64;
             return;
         }
-        let dropped = std::mem::take(&mut self.dropped);
-        if dropped > 0 {
-            tracing::warn!(target: "entry", lines = dropped, "log: lines dropped");
+        let unreported_dropped = std::mem::take(&mut self.unreported_dropped);
+        if unreported_dropped > 0 {
+            tracing::warn!(target: "entry", lines = unreported_dropped, "log: lines dropped");
         }
-        // Lines are written when a request ends; each says how long after its
-        // arrival the decision was made.
-        let arrived = story
+        // All lines are written at the end of the request; `at_ms` gives the time of
+        // the decision since the arrival.
+        let arrived_at = request_log
             .decisions
             .first()
             .map_or(Duration::ZERO, |(at, _)| *at);
-        let subject = story.subject();
-        for (at, decision) in &story.decisions {
-            if subject.concerns(decision) {
-                tell(&story.id, millis(*at - arrived), decision);
+        let relevant = request_log.relevant_services();
+        for (at, decision) in &request_log.decisions {
+            if relevant.is_relevant(decision) {
+                write_decision(&request_log.id, millis(*at - arrived_at), decision);
             }
         }
     }
 
-    /// Tells at once that a server broke off: the story may be told late, or not
-    /// at all.
-    fn tell_broken(&mut self, event: &ForwardEvent) {
-        if !self.broken_left.take(1, event.at) {
-            self.dropped += 1;
-            self.dropped_ever += 1;
+    /// Writes at once that the connection to a server broke: the request's other lines
+    /// are written late or not at all.
+    fn log_broken_server(&mut self, event: &ForwardEvent) {
+        if !self.broken_lines_limit.try_consume(1, event.at) {
+            self.unreported_dropped += 1;
+            self.dropped_total += 1;
             return;
         }
-        let story = self.stories.get(&event.call);
-        tell(story.map_or("", |story| &story.id), 0.0, &event.decision);
+        let request_log = self.requests.get(&event.call);
+        write_decision(
+            request_log.map_or("", |request_log| &request_log.id),
+            0.0,
+            &event.decision,
+        );
     }
 }
 
-/// Lines that may be told: as many as come in a second, and no more at once.
+/// Token bucket that limits log lines: the bucket holds the lines of one second.
 #[derive(Debug)]
-struct LineAllowance {
+struct LineRateLimit {
     per_second: f64,
+    /// Number of lines that may be written now.
     left: f64,
-    /// When it was last asked.
-    at: Duration,
+    /// Time of the last call of `try_consume`.
+    refilled_at: Duration,
 }
 
-impl LineAllowance {
-    fn new(per_second: f64) -> LineAllowance {
-        LineAllowance {
+impl LineRateLimit {
+    fn new(per_second: f64) -> LineRateLimit {
+        LineRateLimit {
             per_second,
             left: per_second,
-            at: Duration::ZERO,
+            refilled_at: Duration::ZERO,
         }
     }
 
-    /// Takes so many lines out, if they are there.
-    fn take(&mut self, lines: usize, now: Duration) -> bool {
-        let elapsed = now.saturating_sub(self.at).as_secs_f64();
-        self.at = now;
+    /// Takes this number of lines out of the bucket. Returns false, and takes none, if
+    /// the bucket holds fewer.
+    fn try_consume(&mut self, lines: usize, now: Duration) -> bool {
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = now;
         self.left = (self.left + elapsed * self.per_second).min(self.per_second);
         if self.left < lines as f64 {
             return false;
@@ -264,7 +292,8 @@
     }
 }
 
-fn is_plain(decision: &ForwardDecision) -> bool {
+/// Returns whether a decision is normal for a request that succeeds without incident.
+fn is_routine(decision: &ForwardDecision) -> bool {
     match decision {
         ForwardDecision::Admit { .. } => true,
         ForwardDecision::Send { cause, .. } => *cause != AttemptCause::Retry,
@@ -281,7 +310,8 @@
     }
 }
 
-fn tell(request: &str, at_ms: f64, decision: &ForwardDecision) {
+/// Writes the log line of a decision, `at_ms` milliseconds after the request arrived.
+fn write_decision(request: &str, at_ms: f64, decision: &ForwardDecision) {
     match decision {
         ForwardDecision::Admit {
             route,
@@ -303,7 +333,7 @@
             outstanding,
         } => {
             let expected_ms = millis(*expected);
-            let (cause, place) = (cause_word(*cause), place.word());
+            let (cause, place) = (cause_label(*cause), place.word());
             tracing::info!(target: "entry", request, at_ms, %service, server = %instance, cause, place, expected_ms, candidates, outstanding, "route: sent");
         }
         ForwardDecision::Lost {
@@ -381,7 +411,8 @@
     }
 }
 
-fn cause_word(cause: AttemptCause) -> &'static str {
+/// Returns the label of a cause in the log.
+fn cause_label(cause: AttemptCause) -> &'static str {
     match cause {
         AttemptCause::First => "first",
         AttemptCause::Retry => "retry",
@@ -390,6 +421,7 @@
     }
 }
 
+/// Returns a duration in milliseconds, rounded to a tenth.
 fn millis(duration: Duration) -> f64 {
     (duration.as_secs_f64() * 1e4).round() / 10.0
 }
--- a/crates/node/src/process/group/run.rs
+++ b/crates/node/src/process/group/run.rs
@@ -14,7 +14,7 @@
 
 use crate::process::clock::ProcessClock;
 use crate::process::expose::expose_metrics;
-use crate::process::forward::callers::listen;
+use crate::process::forward::callers::bind_listener;
 use crate::process::group::answer::accept_calls;
 use crate::process::group::disk::start_disk;
 use crate::process::group::inbound::accept_peers;
@@ -79,8 +79,8 @@
         ..GroupState::default()
     };
     let control = settings.control.context("could not find listen.control")?;
-    let calls = listen(control).await?;
-    let peers = listen(settings.peer_address()).await?;
+    let calls = bind_listener(control).await?;
+    let peers = bind_listener(settings.peer_address()).await?;
     let seeds = settings.seed_peers();
     let founds = settings.first_start && seeds.iter().min() == Some(&me.address);
     let node = Rc::new(GroupNode::new(
--- a/crates/node/tests/feed.rs
+++ b/crates/node/tests/feed.rs
@@ -15,7 +15,7 @@
 use wheelmast_core::process::forward::input::EntryPeer;
 use wheelmast_core::process::forward::machine::ForwardOptions;
 use wheelmast_node::connection::frame::{write_frame, FrameReader};
-use wheelmast_node::process::forward::entry::{EntryDuty, EntryPhase};
+use wheelmast_node::process::forward::entry::{EntryPhase, ForwardDriver};
 use wheelmast_node::process::forward::feed::GroupFeed;
 use wheelmast_wire::group::GroupMessage;
 use wheelmast_wire::native::NativeDialect;
@@ -112,7 +112,7 @@
     }
 }
 
-type Entry = Rc<EntryDuty<NativeDialect>>;
+type Entry = Rc<ForwardDriver<NativeDialect>>;
 
 fn entry_at(controls: &[&FakeControl]) -> Entry {
     let (entry, feed) = lone_entry();
@@ -124,7 +124,7 @@
 
 /// Returns an entry that knows of no control instance, and what tells it of them.
 fn lone_entry() -> (Entry, Rc<GroupFeed<NativeDialect>>) {
-    let entry = Rc::new(EntryDuty::<NativeDialect>::new(
+    let entry = Rc::new(ForwardDriver::<NativeDialect>::new(
         ForwardOptions::default(),
         1,
     ));
@@ -139,7 +139,7 @@
 }
 
 fn version(entry: &Entry) -> u64 {
-    entry.look(|machine| machine.table().map_or(0, |table| table.version()))
+    entry.with_machine(|machine| machine.table().map_or(0, |table| table.version()))
 }
 
 async fn until(what: &str, good: impl Fn() -> bool) {
@@ -223,7 +223,7 @@
             cold_ms: 0,
         };
         near.say(&GroupMessage::Notices(vec![notice.clone()])).await;
-        let count = || entry.look(|machine| machine.server_count());
+        let count = || entry.with_machine(|machine| machine.server_count());
         until("it takes work", || count() == 1).await;
         let leaves = ServerAnnouncement {
             standing: ServerLifecycle::Draining,
--- a/crates/node/tests/held_up/main.rs
+++ b/crates/node/tests/held_up/main.rs
@@ -243,7 +243,7 @@
             tokio::time::sleep(SETTLE).await;
             let heads = asked(&stage.server, "gone");
             assert!(heads.is_empty(), "{}: {heads:?}", case.name);
-            let left = stage.entry.look(|machine| machine.counters().left);
+            let left = stage.entry.with_machine(|machine| machine.counters().left);
             assert_eq!(left, 1, "{}", case.name);
         });
     }
--- a/crates/node/tests/held_up/stage.rs
+++ b/crates/node/tests/held_up/stage.rs
@@ -17,8 +17,8 @@
 use wheelmast_core::request::mark::{CallerFingerprint, ContentFingerprint, RequestFingerprint};
 use wheelmast_core::version::route_table::{RouteDraft, RouteTable};
 use wheelmast_fake::shard::FakeShard;
-use wheelmast_node::process::forward::callers::{accept, listen};
-use wheelmast_node::process::forward::entry::{EntryDuty, EntryPhase};
+use wheelmast_node::process::forward::callers::{accept_callers, bind_listener};
+use wheelmast_node::process::forward::entry::{EntryPhase, ForwardDriver};
 use wheelmast_node::process::forward::image::RequestImage;
 use wheelmast_wire::native::NativeDialect;
 
@@ -41,7 +41,7 @@
        "time_limit_ms": 9000, "objective_ms": 4000, "attempts": 1,
        "target": {"service": "s"}}]}"#;
 
-type Entry = Rc<EntryDuty<NativeDialect>>;
+type Entry = Rc<ForwardDriver<NativeDialect>>;
 
 /// An entry on this thread, a server and another entry on others.
 pub(crate) struct Stage {
@@ -60,8 +60,8 @@
             local_id: "own#1".into(),
             ..ForwardOptions::default()
         };
-        let entry: Entry = Rc::new(EntryDuty::new(options, 1));
-        tokio::task::spawn_local(entry.clone().keep_time());
+        let entry: Entry = Rc::new(ForwardDriver::new(options, 1));
+        tokio::task::spawn_local(entry.clone().run_timers());
         let draft: RouteDraft = serde_json::from_str(TABLE).expect("a draft");
         let table = RouteTable::check(draft).expect("a table");
         entry.step(ForwardInput::Table(table.into()));
@@ -82,10 +82,12 @@
             address: far.address,
         }]));
         entry.set_phase(EntryPhase::Serving);
-        let listener = listen(([127, 0, 0, 1], 0).into()).await.expect("a port");
+        let listener = bind_listener(([127, 0, 0, 1], 0).into())
+            .await
+            .expect("a port");
         let front = listener.local_addr().expect("an address");
         let (keep, closing) = watch::channel(false);
-        tokio::task::spawn_local(accept(entry.clone(), listener, closing));
+        tokio::task::spawn_local(accept_callers(entry.clone(), listener, closing));
         Stage {
             entry,
             front,
@@ -117,7 +119,7 @@
             id,
             Bytes::new(),
         );
-        let (tag, _answer) = self.entry.admit(image);
+        let (tag, _answer) = self.entry.register_call(image);
         self.entry.step(ForwardInput::Call(ForwardCall {
             tag,
             host: "h".into(),
@@ -131,7 +133,7 @@
             time_left: Some(PATIENCE),
             relayed: None,
         }));
-        self.entry.leave(tag);
+        self.entry.handle_caller_left(tag);
     }
 
     /// Holds the loop up.
@@ -147,7 +149,7 @@
         tokio::task::spawn_local(async move {
             // It always waits to run, and so runs before what the decision begins.
             let decided = std::future::poll_fn(|context| {
-                if entry.look(|machine| machine.call_count()) > 0 {
+                if entry.with_machine(|machine| machine.call_count()) > 0 {
                     return Poll::Ready(());
                 }
                 context.waker().wake_by_ref();
--- a/crates/node/tests/stories.rs
+++ b/crates/node/tests/stories.rs
@@ -1,5 +1,7 @@
-//! What the log tells of requests: in full where it was not plain, bounded in
-//! any case. The stories in `docs/stories/` are what this test writes.
+//! Tests of the log lines about requests: their content, sampling and rate limit.
+//!
+//! The example logs in `docs/stories/` are the output of this test, which compares
+//! them with what the entry writes now.
 
 use std::io::Write;
 use std::path::Path;
@@ -17,12 +19,12 @@
 use wheelmast_core::process::input::CallTag;
 use wheelmast_core::request::mark::{CallerFingerprint, ContentFingerprint, RequestFingerprint};
 use wheelmast_core::version::route_table::{RouteDraft, RouteTable};
-use wheelmast_node::process::forward::story::StoryBook;
+use wheelmast_node::process::forward::story::DecisionLog;
 
-/// Set to write the stories anew instead of comparing them.
-const WRITE_VARIABLE: &str = "WHEELMAST_WRITE_STORIES";
+/// Environment variable that makes the test rewrite the examples before it compares.
+const UPDATE_VARIABLE: &str = "WHEELMAST_WRITE_STORIES";
 
-/// Collects what a subscriber writes.
+/// Writer that collects the output of a log subscriber.
 #[derive(Clone, Default)]
 struct Lines(Arc<Mutex<Vec<u8>>>);
 
@@ -45,8 +47,8 @@
     }
 }
 
-/// Runs `act` and returns the lines it writes to the log, without times.
-fn lines_of(act: impl FnOnce()) -> String {
+/// Runs `act` and returns the lines that `act` writes to the log, without timestamps.
+fn capture_log(act: impl FnOnce()) -> String {
     let lines = Lines::default();
     let subscriber = tracing_subscriber::fmt()
         .json()
@@ -71,31 +73,32 @@
     {"name": "old", "host": "h", "prefix": "/f/", "idempotent": true, "rank": 0,
      "time_limit_ms": 1000, "objective_ms": 100, "attempts": 2, "target": {"service": "former"}}]}"#;
 
-/// A machine with its servers, and the book of its stories.
-struct Teller {
+/// A forward machine with a few servers, and the log of its decisions.
+struct StoryHarness {
     machine: ForwardMachine,
-    book: StoryBook,
+    log: DecisionLog,
     now: Duration,
+    /// Attempts sent so far, in order.
     sends: Vec<wheelmast_core::arena::SlotKey>,
 }
 
-impl Teller {
-    fn new() -> Teller {
+impl StoryHarness {
+    fn new() -> StoryHarness {
         let options = ForwardOptions {
             domain: "oulu".into(),
             ..ForwardOptions::default()
         };
-        let mut teller = Teller {
+        let mut harness = StoryHarness {
             machine: ForwardMachine::new(options),
-            book: StoryBook::new(64),
+            log: DecisionLog::new(64),
             now: Duration::from_secs(60),
             sends: Vec::new(),
         };
         let draft: RouteDraft = serde_json::from_str(TABLE).expect("a draft");
         let table = RouteTable::check(draft).expect("a table");
-        teller.step(ForwardInput::Table(Arc::new(table)));
+        harness.step(ForwardInput::Table(Arc::new(table)));
         for (port, service) in [(1, "s0"), (2, "s1"), (3, "s1"), (4, "orders")] {
-            teller.step(ForwardInput::Announcement(ServerAnnouncement {
+            harness.step(ForwardInput::Announcement(ServerAnnouncement {
                 id: format!("{service}-{port}").into(),
                 service: service.into(),
                 address: Some(([127, 0, 0, 1], port).into()),
@@ -108,7 +111,7 @@
                 cold_ms: 0,
             }));
         }
-        teller
+        harness
     }
 
     fn step(&mut self, input: ForwardInput) {
@@ -116,16 +119,17 @@
         self.machine.step(self.now, input, &mut out);
         for action in out {
             match action {
-                ForwardAction::RecordDecision(event) => self.book.take(event),
+                ForwardAction::RecordDecision(event) => self.log.record(event),
                 ForwardAction::Send(order) => self.sends.push(order.attempt),
                 _ => {}
             }
         }
     }
 
+    /// Sends a request with this path and id.
     fn call(&mut self, path: &str, id: &str) {
         let tag = CallTag(self.sends.len() as u64 + 100);
-        self.book.begin(tag, id);
+        self.log.begin_request(tag, id);
         self.step(ForwardInput::Call(ForwardCall {
             tag,
             host: "h".into(),
@@ -141,12 +145,17 @@
         }));
     }
 
-    fn end(&mut self, send: usize, end: AttemptResult) {
+    /// Ends the attempt with this index in `sends`.
+    fn end_attempt(&mut self, send: usize, result: AttemptResult) {
         let attempt = self.sends[send];
-        self.step(ForwardInput::AttemptEnded { attempt, end });
+        self.step(ForwardInput::AttemptEnded {
+            attempt,
+            end: result,
+        });
     }
 
-    fn pass(&mut self, millis: u64) {
+    /// Advances the time, and runs the machine's timers that are due by then.
+    fn advance(&mut self, millis: u64) {
         let end = self.now + Duration::from_millis(millis);
         while let Some(next) = self.machine.next_wake().filter(|next| *next <= end) {
             self.now = self.now.max(next);
@@ -157,7 +166,8 @@
     }
 }
 
-fn good() -> AttemptResult {
+/// Returns a complete, successful answer.
+fn good_answer() -> AttemptResult {
     AttemptResult::Answer(ServerAnswer {
         status: 200,
         stamp: Some("stamp".into()),
@@ -168,9 +178,10 @@
     })
 }
 
-fn good_under_load() -> AttemptResult {
-    let AttemptResult::Answer(answer) = good() else {
-        unreachable!("it is an answer");
+/// Returns a successful answer whose server reports a long queue.
+fn loaded_answer() -> AttemptResult {
+    let AttemptResult::Answer(answer) = good_answer() else {
+        unreachable!("the result is an answer");
     };
     AttemptResult::Answer(ServerAnswer {
         load: Some(LoadReport {
@@ -183,24 +194,25 @@
     })
 }
 
+/// A request played on the machine, and texts that the resulting log must contain.
 struct StoryCase {
     name: &'static str,
-    play: fn(&mut Teller),
-    says: &'static [&'static str],
+    run: fn(&mut StoryHarness),
+    expected_parts: &'static [&'static str],
 }
 
 #[test]
-fn the_stories_are_those_in_the_docs() {
+fn log_lines_match_the_documented_stories() {
     let cases = [
         StoryCase {
             name: "partial",
-            play: |teller| {
-                teller.call("/q/x", "request-partial");
-                teller.pass(8);
-                teller.end(0, good());
-                teller.pass(100);
+            run: |harness| {
+                harness.call("/q/x", "request-partial");
+                harness.advance(8);
+                harness.end_attempt(0, good_answer());
+                harness.advance(100);
             },
-            says: &[
+            expected_parts: &[
                 "\"cause\":\"hedge\"",
                 "\"outcome\":\"partial\"",
                 "\"left_out\":\"s1\"",
@@ -208,12 +220,12 @@
         },
         StoryCase {
             name: "late",
-            play: |teller| {
-                teller.call("/o/x", "request-late");
-                teller.pass(140);
-                teller.end(0, good_under_load());
+            run: |harness| {
+                harness.call("/o/x", "request-late");
+                harness.advance(140);
+                harness.end_attempt(0, loaded_answer());
             },
-            says: &[
+            expected_parts: &[
                 "route: slow answer",
                 "\"waiting\":7",
                 "\"outcome\":\"served\",\"late\":true",
@@ -221,12 +233,12 @@
         },
         StoryCase {
             name: "left",
-            play: |teller| {
-                teller.call("/q/x", "request-left");
-                teller.pass(40);
-                teller.step(ForwardInput::CallerLeft(CallTag(100)));
+            run: |harness| {
+                harness.call("/q/x", "request-left");
+                harness.advance(40);
+                harness.step(ForwardInput::CallerLeft(CallTag(100)));
             },
-            says: &[
+            expected_parts: &[
                 "\"cause\":\"hedge\"",
                 "route: attempt abandoned",
                 "\"outcome\":\"caller_left\"",
@@ -234,8 +246,8 @@
         },
         StoryCase {
             name: "refusal",
-            play: |teller| teller.call("/f/x", "request-refusal"),
-            says: &[
+            run: |harness| harness.call("/f/x", "request-refusal"),
+            expected_parts: &[
                 "no server to ask",
                 "\"service\":\"former\"",
                 "\"outcome\":\"no_server\"",
@@ -243,12 +255,12 @@
         },
         StoryCase {
             name: "unknown",
-            play: |teller| {
-                teller.call("/o/x", "request-unknown");
-                teller.pass(20);
-                teller.end(0, AttemptResult::Broken);
+            run: |harness| {
+                harness.call("/o/x", "request-unknown");
+                harness.advance(20);
+                harness.end_attempt(0, AttemptResult::Broken);
             },
-            says: &[
+            expected_parts: &[
                 "route: server broke off",
                 "\"reason\":\"broken\"",
                 "\"outcome\":\"failed\"",
@@ -256,47 +268,52 @@
         },
     ];
     for case in cases {
-        let told = lines_of(|| (case.play)(&mut Teller::new()));
-        for part in case.says {
-            assert!(told.contains(part), "{}: {part} in {told}", case.name);
+        let logged = capture_log(|| (case.run)(&mut StoryHarness::new()));
+        for part in case.expected_parts {
+            assert!(logged.contains(part), "{}: {part} in {logged}", case.name);
         }
         let file = Path::new(env!("CARGO_MANIFEST_DIR"))
             .join("../../docs/stories")
             .join(format!("{}.jsonl", case.name));
-        if std::env::var_os(WRITE_VARIABLE).is_some() {
-            std::fs::write(&file, &told).expect("written");
+        if std::env::var_os(UPDATE_VARIABLE).is_some() {
+            std::fs::write(&file, &logged).expect("written");
         }
-        let kept = std::fs::read_to_string(&file).expect("the story in the docs");
+        let expected = std::fs::read_to_string(&file).expect("an example log in docs/stories");
         assert_eq!(
-            told, kept,
-            "{}: set {WRITE_VARIABLE} to write it anew",
+            logged, expected,
+            "{}: set {UPDATE_VARIABLE} to rewrite the example",
             case.name
         );
     }
 }
 
 #[test]
-fn a_plain_success_is_told_now_and_then() {
-    let told = lines_of(|| {
-        let mut teller = Teller::new();
+fn one_in_64_routine_successes_is_logged() {
+    let logged = capture_log(|| {
+        let mut harness = StoryHarness::new();
         for number in 0..128 {
-            teller.call("/q/x", &format!("plain-{number}"));
-            let last = teller.sends.len();
-            teller.end(last - 2, good());
-            teller.end(last - 1, good());
+            harness.call("/q/x", &format!("plain-{number}"));
+            let last = harness.sends.len();
+            harness.end_attempt(last - 2, good_answer());
+            harness.end_attempt(last - 1, good_answer());
         }
     });
-    assert_eq!(told.matches("\"outcome\":\"whole\"").count(), 2, "1 in 64");
+    assert_eq!(
+        logged.matches("\"outcome\":\"whole\"").count(),
+        2,
+        "1 in 64"
+    );
 }
 
 #[test]
-fn lines_are_bounded_under_ten_times_the_load() {
-    // Each story has 20 lines; 4,000 lines in a moment, where 400 may be told.
-    let mut book = StoryBook::new(64);
-    let told = lines_of(|| {
+fn log_lines_are_limited_to_400_per_second() {
+    // 200 requests of 20 lines each end at the same moment: 4,000 lines, ten times the
+    // limit of 400 per second.
+    let mut log = DecisionLog::new(64);
+    let logged = capture_log(|| {
         for number in 0..200 {
             let call = CallTag(number);
-            book.begin(call, &format!("flood-{number}"));
+            log.begin_request(call, &format!("flood-{number}"));
             for line in 0..20 {
                 let decision = if line == 19 {
                     ForwardDecision::End {
@@ -313,7 +330,7 @@
                         service: "s".into(),
                     }
                 };
-                book.take(ForwardEvent {
+                log.record(ForwardEvent {
                     at: Duration::ZERO,
                     call,
                     decision,
@@ -321,7 +338,10 @@
             }
         }
     });
-    let lines = told.lines().filter(|line| line.contains("flood-")).count();
+    let lines = logged
+        .lines()
+        .filter(|line| line.contains("flood-"))
+        .count();
     assert_eq!(lines, 400);
-    assert_eq!(book.lines_dropped(), 3600);
+    assert_eq!(log.lines_dropped(), 3600);
 }
--- a/crates/node/tests/suspended.rs
+++ b/crates/node/tests/suspended.rs
@@ -1,10 +1,10 @@
-//! An entry whose machine is suspended for some time.
+//! Tests of an entry whose host machine is suspended for some time.
 //!
-//! The steady clock of the system stands still meanwhile, and so did all that an
-//! entry timed by it: a caller that had left was still worked for, with more
-//! time than it had ever given; a connection that the server had closed long ago
-//! still counted as open; a control instance that had not been heard for
-//! seconds counted as heard. The clock of the process counts the suspension.
+//! The system's monotonic clock stops during a suspension. An entry that used this
+//! clock went on with requests of callers that had left, and gave them more time than
+//! the caller had allowed; reused connections that the server had closed long ago; and
+//! took a control instance for responsive after seconds without a message. The
+//! process clock counts the time of the suspension.
 
 mod support;
 
@@ -25,19 +25,19 @@
 use wheelmast_core::request::mark::{CallerFingerprint, ContentFingerprint, RequestFingerprint};
 use wheelmast_core::version::route_table::{RouteDraft, RouteTable};
 use wheelmast_node::process::clock::ProcessClock;
-use wheelmast_node::process::forward::entry::EntryDuty;
+use wheelmast_node::process::forward::entry::ForwardDriver;
 use wheelmast_node::process::forward::feed::GroupFeed;
 use wheelmast_node::process::forward::image::RequestImage;
 use wheelmast_wire::native::NativeDialect;
 
 use crate::support::play;
 
-/// How long the machine is suspended.
-const SUSPENSION: Duration = Duration::from_secs(30);
-/// Time within which an entry finds out that it was.
-const NOTICE_TIME: Duration = Duration::from_secs(2);
-/// Time that a caller gives.
-const CALLER_TIME: Duration = Duration::from_secs(10);
+/// Duration of the simulated suspension.
+const SUSPENSION_TIME: Duration = Duration::from_secs(30);
+/// Time within which an entry must react to the suspension.
+const DETECTION_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time that the caller allows for the answer.
+const CALLER_TIMEOUT: Duration = Duration::from_secs(10);
 
 const TABLE: &str = r#"{"version": 1, "services": [{"name": "desk", "connections": 9}],
     "routes": [{"name": "d", "host": "h", "prefix": "/", "idempotent": false, "rank": 0,
@@ -45,25 +45,28 @@
       "target": {"service": "desk"}}]}"#;
 
 thread_local! {
-    static BEGIN: Instant = Instant::now();
-    static SUSPENDED: Cell<Duration> = const { Cell::new(Duration::ZERO) };
+    static CLOCK_START: Instant = Instant::now();
+    static SUSPENDED_TIME: Cell<Duration> = const { Cell::new(Duration::ZERO) };
 }
 
+/// Returns the time of the simulated process clock.
 fn read_clock() -> Duration {
-    BEGIN.with(Instant::elapsed) + SUSPENDED.get()
+    CLOCK_START.with(Instant::elapsed) + SUSPENDED_TIME.get()
 }
 
+/// Simulates a suspension by moving the process clock ahead.
 fn suspend() {
-    SUSPENDED.set(SUSPENDED.get() + SUSPENSION);
+    SUSPENDED_TIME.set(SUSPENDED_TIME.get() + SUSPENSION_TIME);
 }
 
-type Entry = Rc<EntryDuty<NativeDialect>>;
+type Entry = Rc<ForwardDriver<NativeDialect>>;
 
-fn entry_for(server: SocketAddr) -> Entry {
+/// Starts an entry that knows one server.
+fn start_entry(server: SocketAddr) -> Entry {
     let clock = ProcessClock::start_with(read_clock);
     let options = ForwardOptions::default();
-    let entry = Rc::new(EntryDuty::with_clock(options, 1, clock));
-    tokio::task::spawn_local(entry.clone().keep_time());
+    let entry = Rc::new(ForwardDriver::with_clock(options, 1, clock));
+    tokio::task::spawn_local(entry.clone().run_timers());
     let draft: RouteDraft = serde_json::from_str(TABLE).expect("a draft");
     let table = RouteTable::check(draft).expect("a table");
     entry.step(ForwardInput::Table(table.into()));
@@ -82,12 +85,13 @@
     entry
 }
 
-/// Asks the entry; a request of another name each time.
-fn ask(entry: &Entry, id: &str) -> tokio::sync::oneshot::Receiver<ForwardAnswer> {
+/// Sends the request `id` to the entry and returns the receiver of the answer. Each
+/// call needs another id.
+fn send_request(entry: &Entry, id: &str) -> tokio::sync::oneshot::Receiver<ForwardAnswer> {
     let uri = "/x".parse().expect("a path");
     let headers = HeaderMap::new();
     let image = RequestImage::new::<NativeDialect>(&Method::GET, &uri, &headers, id, Bytes::new());
-    let (tag, answer) = entry.admit(image);
+    let (tag, answer) = entry.register_call(image);
     entry.step(ForwardInput::Call(ForwardCall {
         tag,
         host: "h".into(),
@@ -98,22 +102,22 @@
         },
         key: None,
         arrived_at: entry.clock.elapsed(),
-        time_left: Some(CALLER_TIME),
+        time_left: Some(CALLER_TIMEOUT),
         relayed: None,
     }));
     answer
 }
 
 #[test]
-fn a_caller_whose_time_ran_out_meanwhile_is_answered_at_once() {
+fn a_caller_that_timed_out_during_the_suspension_is_answered_at_once() {
     play(async {
-        // It takes connections and answers nothing.
+        // The server accepts connections and never answers.
         let server = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let entry = entry_for(server.local_addr().expect("an address"));
-        let answer = ask(&entry, "one");
+        let entry = start_entry(server.local_addr().expect("an address"));
+        let answer = send_request(&entry, "one");
         tokio::time::sleep(Duration::from_millis(50)).await;
         suspend();
-        let answer = tokio::time::timeout(NOTICE_TIME, answer).await;
+        let answer = tokio::time::timeout(DETECTION_TIMEOUT, answer).await;
         let answer = answer.expect("answered in time").expect("an answer");
         let failure = match answer {
             ForwardAnswer::Failure { failure, .. } => failure,
@@ -124,10 +128,10 @@
 }
 
 #[test]
-fn a_connection_that_its_server_closed_meanwhile_is_not_used() {
+fn a_connection_that_expired_during_the_suspension_is_not_reused() {
     play(async {
         let server = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let entry = entry_for(server.local_addr().expect("an address"));
+        let entry = start_entry(server.local_addr().expect("an address"));
         let opened = Rc::new(Cell::new(0));
         let count = opened.clone();
         tokio::task::spawn_local(async move {
@@ -151,24 +155,24 @@
             }
         });
         for (id, connections) in [("one", 1), ("two", 1)] {
-            ask(&entry, id).await.expect("an answer");
+            send_request(&entry, id).await.expect("an answer");
             assert_eq!(opened.get(), connections, "{id}");
         }
         suspend();
-        ask(&entry, "three").await.expect("an answer");
+        send_request(&entry, "three").await.expect("an answer");
         assert_eq!(
             opened.get(),
             2,
-            "the server has closed the first one by now"
+            "the first connection has exceeded its keep-alive time"
         );
     });
 }
 
 #[test]
-fn a_control_instance_that_was_not_heard_meanwhile_is_asked_anew() {
+fn a_control_connection_without_contact_during_the_suspension_is_replaced() {
     play(async {
         let control = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let entry = entry_for(([127, 0, 0, 1], 9).into());
+        let entry = start_entry(([127, 0, 0, 1], 9).into());
         let peer = EntryPeer {
             instance: "entry".into(),
             incarnation: 1,
@@ -180,19 +184,23 @@
         let (_first, _) = control.accept().await.expect("a connection");
         tokio::time::sleep(Duration::from_millis(100)).await;
         suspend();
-        let second = tokio::time::timeout(NOTICE_TIME, control.accept()).await;
-        assert!(second.is_ok(), "it follows anew");
+        let second = tokio::time::timeout(DETECTION_TIMEOUT, control.accept()).await;
+        assert!(
+            second.is_ok(),
+            "the entry reconnects to the control instance"
+        );
     });
 }
 
 #[test]
-fn the_clock_of_a_process_goes_on_at_least_as_the_steady_one() {
+fn the_process_clock_runs_at_least_as_fast_as_the_monotonic_clock() {
     let clock = ProcessClock::start();
     let begin = Instant::now();
     std::thread::sleep(Duration::from_millis(30));
-    let steady = begin.elapsed();
-    assert!(clock.elapsed() >= steady);
-    // What is due in a long time is looked for again and again until then.
-    let far = clock.elapsed() + SUSPENSION;
-    assert!(clock.sleep_until(far) < NOTICE_TIME);
+    let monotonic = begin.elapsed();
+    assert!(clock.elapsed() >= monotonic);
+    // A sleep until a distant time is split into short ones, so that a suspension is
+    // noticed soon.
+    let distant = clock.elapsed() + SUSPENSION_TIME;
+    assert!(clock.sleep_until(distant) < DETECTION_TIMEOUT);
 }
