--- a/crates/node/src/process/forward/callers.rs
+++ b/crates/node/src/process/forward/callers.rs
@@ -90,7 +90,7 @@
                 caller,
                 limits,
                 arrived_at: arrival.take(),
-                arrival: arrival.clone(),
+                arrival_mark: arrival.clone(),
             };
             let response = handle_request(entry, request, origin).await;
             arrival.end();
@@ -120,7 +120,7 @@
     /// Earliest possible arrival time of the request, since the process started.
     arrived_at: Duration,
     /// Tracker of the arrival times of the connection's requests.
-    arrival: Rc<ArrivalMark>,
+    arrival_mark: Rc<ArrivalMark>,
 }
 
 /// Returns the fingerprint of the caller, which is the same for all connections from
@@ -172,7 +172,7 @@
         caller,
         limits,
         arrived_at,
-        arrival,
+        arrival_mark: arrival,
     } = origin;
     if entry.phase() == EntryPhase::Learning {
         return failure_response(ForwardFailure::NoTable, Some(Duration::from_millis(200)));
--- a/crates/node/src/process/forward/measure.rs
+++ b/crates/node/src/process/forward/measure.rs
@@ -41,7 +41,7 @@
 
 impl fmt::Debug for EntryMetrics {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("EntryMetrics")
+        f.write_str("EntryMeasures")
     }
 }
 
