--- a/crates/node/src/connection/listener.rs
+++ b/crates/node/src/connection/listener.rs
@@ -18,7 +18,8 @@
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 /// Maximum number of headers in a request.
 const MAX_HEADERS: usize = 64;
-/// Maximum size of the head of a request, in bytes.
+/// Maximum size of the head of an HTTP/1 request, and of the headers of an HTTP/2 request,
+/// in bytes.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
 /// Maximum number of concurrent requests on an HTTP/2 connection.
 const MAX_STREAMS: u32 = 256;
