--- a/crates/node/src/process/forward/pool.rs
+++ b/crates/node/src/process/forward/pool.rs
@@ -94,17 +94,17 @@
     }
 
     /// Counts and logs an attempt that is written at `now`, if that is late.
-    fn record_late_send(&self, request: &UpstreamRequest, now: Duration) {
-        let late = now.saturating_sub(request.ordered_at);
+    fn record_late_send(&self, upstream_request: &UpstreamRequest, now: Duration) {
+        let late = now.saturating_sub(upstream_request.ordered_at);
         if late < LATE_SEND_THRESHOLD {
             return;
         }
         self.sent_late.set(self.sent_late.get() + 1);
-        let (request_id, server) = (&request.image.id, &request.order.instance);
-        let time_left = request.order.until.saturating_sub(now);
+        let (request, server) = (&upstream_request.image.id, &upstream_request.order.instance);
+        let time_left = upstream_request.order.until.saturating_sub(now);
         let time_left_ms = time_left.as_millis() as u64;
         let late_ms = late.as_millis() as u64;
-        tracing::warn!(target: "entry", request = %request_id, %server, late_ms, time_left_ms, "route: sent late");
+        tracing::warn!(target: "entry", %request, %server, late_ms, time_left_ms, "route: sent late");
     }
 
     /// Closes the idle connections to a server.
@@ -273,20 +273,17 @@
     keep_alive.filter(|_| is_fully_sent.get())
 }
 
-/// Reports the result of an attempt to the state machine, and drops the senders of its
+/// Reports the result `end` of an attempt to the state machine, and drops the senders of its
 /// cancellation and allowance.
 fn report_result<D: ForwardDialect>(
     entry: &Rc<EntryDuty<D>>,
     order: &AttemptOrder,
-    result: AttemptResult,
+    end: AttemptResult,
 ) {
     let attempt = order.attempt;
     entry.cancels.borrow_mut().remove(&attempt);
     entry.drop_grant(attempt);
-    entry.step(ForwardInput::AttemptEnded {
-        attempt,
-        end: result,
-    });
+    entry.step(ForwardInput::AttemptEnded { attempt, end });
 }
 
 /// Converts an answer of a server. An answer without the id of this request cannot be
--- a/crates/node/tests/attempt_time.rs
+++ b/crates/node/tests/attempt_time.rs
@@ -43,7 +43,7 @@
 
 /// Returns an order to send a subquery to `address`.
 fn build_order(address: SocketAddr, deadline: Duration) -> SendOrder {
-    let request = RequestId {
+    let request_id = RequestId {
         incarnation: 1,
         sequence: 1,
     };
@@ -53,7 +53,7 @@
             incarnation: 1,
             sequence: 1,
         },
-        request,
+        request: request_id,
         server: KeyArena::<ServerKey, ()>::default().push(()),
         address,
         shard: 1,
