--- a/crates/node/src/process/forward/callers.rs
+++ b/crates/node/src/process/forward/callers.rs
@@ -30,17 +30,17 @@
 use wheelmast_core::version::workspace::KeyDigest;
 use wheelmast_wire::dialect::ForwardDialect;
 
-use crate::connection::accept::next_stream;
+use crate::connection::accept::accept_connection;
 use crate::connection::arrival::{ArrivalMark, ArrivalStream};
 use crate::connection::http::{
-    say_retry_after, serve_http, typed_response, FullResponse, PLAIN_TYPE,
+    serve_http, set_retry_after, typed_response, FullResponse, TEXT_CONTENT_TYPE,
 };
 use crate::process::forward::cap_gate::CapVerdict;
 use crate::process::forward::entry::{EntryPhase, ForwardDriver};
 use crate::process::forward::grant::AllowanceReader;
 use crate::process::forward::image::{
-    read_mark, read_order, render_suspect, RequestImage, RELAY_HEADER, SHARDS_HEADER,
-    SUSPECT_HEADER,
+    parse_fingerprint, parse_relay_order, render_suspect, RequestImage, RELAY_HEADER,
+    SHARDS_HEADER, SUSPECT_HEADER,
 };
 
 /// Minimum size of a connection's buffer that the HTTP library accepts, in bytes.
@@ -63,7 +63,7 @@
     tokio::task::spawn_local(async move { watch.keep().await });
     loop {
         let stream = tokio::select! {
-            stream = next_stream(&listener) => stream,
+            stream = accept_connection(&listener) => stream,
             _ = closed.wait_for(|closing| *closing) => return,
         };
         let (entry, closing) = (entry.clone(), closing.clone());
@@ -89,11 +89,11 @@
             let origin = RequestOrigin {
                 caller,
                 limits,
-                arrived_at: arrival.take(),
+                arrived_at: arrival.take_arrival(),
                 arrival_mark: arrival.clone(),
             };
             let response = handle_request(entry, request, origin).await;
-            arrival.end();
+            arrival.end_request();
             Ok::<_, Infallible>(response)
         }
     });
@@ -206,7 +206,11 @@
         match Limited::new(body, limits.body_bytes).collect().await {
             Ok(body) => body.to_bytes(),
             Err(error) if error.is::<http_body_util::LengthLimitError>() => {
-                return typed_response(StatusCode::PAYLOAD_TOO_LARGE, PLAIN_TYPE, "body too large");
+                return typed_response(
+                    StatusCode::PAYLOAD_TOO_LARGE,
+                    TEXT_CONTENT_TYPE,
+                    "body too large",
+                );
             }
             Err(_) => return unreadable_response(),
         }
@@ -217,14 +221,16 @@
         parts.headers.remove(CONTENT_LENGTH);
     }
     let relay_headers = is_relayed.then_some(&parts.headers);
-    let fingerprint = relay_headers.and_then(read_mark).unwrap_or_else(|| {
-        let target = parts.uri.path_and_query();
-        let target = target.map_or("/", |target| target.as_str());
-        RequestFingerprint {
-            content: ContentFingerprint::of(parts.method.as_str(), &host, target, &body),
-            caller,
-        }
-    });
+    let fingerprint = relay_headers
+        .and_then(parse_fingerprint)
+        .unwrap_or_else(|| {
+            let target = parts.uri.path_and_query();
+            let target = target.map_or("/", |target| target.as_str());
+            RequestFingerprint {
+                content: ContentFingerprint::of(parts.method.as_str(), &host, target, &body),
+                caller,
+            }
+        });
     let call = ForwardCall {
         tag: CallTag(0),
         host,
@@ -243,7 +249,7 @@
         tracing::warn!(target: "entry", request = id, unread_ms, "route: read late");
     }
     let image = RequestImage::new::<D>(&parts.method, &parts.uri, &parts.headers, &id, body);
-    let image = image.with_mark(fingerprint);
+    let image = image.with_fingerprint(fingerprint);
     let workspace_with_cap = entry.with_machine(|machine| machine.find_capped_workspace(&call));
     if let Some(workspace) = &workspace_with_cap {
         match entry.caps.acquire(workspace).await {
@@ -268,7 +274,7 @@
             allowance.await;
             // The allowance may arrive after the answer. Its bytes belong to this
             // request, not to the next one.
-            arrival.end();
+            arrival.end_request();
         });
     }
     let answer = receiver.await;
@@ -295,7 +301,7 @@
 fn unreadable_response() -> FullResponse {
     typed_response(
         StatusCode::BAD_REQUEST,
-        PLAIN_TYPE,
+        TEXT_CONTENT_TYPE,
         "body could not be read",
     )
 }
@@ -339,7 +345,8 @@
     );
     let workspace = header_text(D::HEADERS.workspace);
     let order_text = value.to_str().ok();
-    let order = order_text.and_then(|order_text| read_order(order_text, workspace, arrived_at));
+    let order =
+        order_text.and_then(|order_text| parse_relay_order(order_text, workspace, arrived_at));
     Ok(Some(order.context(
         "could not parse the relay order of another entry",
     )?))
@@ -394,9 +401,9 @@
         ForwardFailure::Failed => StatusCode::BAD_GATEWAY,
         _ => StatusCode::SERVICE_UNAVAILABLE,
     };
-    let mut response = typed_response(status, PLAIN_TYPE, failure.label());
+    let mut response = typed_response(status, TEXT_CONTENT_TYPE, failure.label());
     if let Some(after) = retry_after {
-        say_retry_after(&mut response, after);
+        set_retry_after(&mut response, after);
     }
     response
 }
@@ -425,14 +432,18 @@
     listener: TcpListener,
 ) {
     loop {
-        let stream = next_stream(&listener).await;
+        let stream = accept_connection(&listener).await;
         let entry = entry.clone();
         tokio::task::spawn_local(async move {
             let answer = |_| {
                 let response = if entry.phase() == EntryPhase::Serving {
-                    typed_response(StatusCode::OK, PLAIN_TYPE, "ready")
+                    typed_response(StatusCode::OK, TEXT_CONTENT_TYPE, "ready")
                 } else {
-                    typed_response(StatusCode::SERVICE_UNAVAILABLE, PLAIN_TYPE, "not ready")
+                    typed_response(
+                        StatusCode::SERVICE_UNAVAILABLE,
+                        TEXT_CONTENT_TYPE,
+                        "not ready",
+                    )
                 };
                 async move { response }
             };
--- a/crates/node/src/process/forward/grant.rs
+++ b/crates/node/src/process/forward/grant.rs
@@ -18,7 +18,7 @@
 use wheelmast_wire::dialect::ForwardDialect;
 
 use crate::process::forward::entry::ForwardDriver;
-use crate::process::forward::image::{read_grant, GRANT_BYTES};
+use crate::process::forward::image::{parse_allowance, ALLOWANCE_BYTES};
 
 /// Reads the raised attempt allowance that may follow the body of a relayed request.
 #[derive(Debug)]
@@ -46,7 +46,7 @@
         let length: usize = length
             .context("could not find the content length of a relayed request")?
             .parse()?;
-        let body_length = length.saturating_sub(GRANT_BYTES);
+        let body_length = length.saturating_sub(ALLOWANCE_BYTES);
         if body_length > max_bytes {
             bail!("relayed request has a body of {body_length} bytes; the limit is {max_bytes}");
         }
@@ -69,7 +69,7 @@
                 return;
             }
         }
-        if let Some(attempts) = read_grant(&self.buffer) {
+        if let Some(attempts) = parse_allowance(&self.buffer) {
             entry.step(ForwardInput::AllowanceRaised(tag, attempts));
         }
     }
--- a/crates/node/src/process/forward/run.rs
+++ b/crates/node/src/process/forward/run.rs
@@ -73,11 +73,11 @@
     let (close_sender, closing) = watch::channel(false);
     let feed = Rc::new(GroupFeed::new(entry.clone(), peer));
     for seed in settings.seed_peers() {
-        feed.follow(seed);
+        feed.add_control_instance(seed);
     }
     tokio::task::spawn_local(entry.clone().run_timers());
-    tokio::task::spawn_local(feed.clone().tell_suspects());
-    tokio::task::spawn_local(feed.clone().ask_caps());
+    tokio::task::spawn_local(feed.clone().publish_suspects());
+    tokio::task::spawn_local(feed.clone().forward_cap_requests());
     tokio::task::spawn_local(serve_health_checks(entry.clone(), ready));
     if let Some(address) = settings.metrics {
         let driver = entry.clone();
@@ -88,13 +88,13 @@
     let seed_feed = feed.clone();
     tokio::task::spawn_local(watch_seeds(path, move |seeds| {
         for seed in seeds {
-            seed_feed.follow(seed);
+            seed_feed.add_control_instance(seed);
         }
     }));
     terminate.recv().await;
     tracing::info!(target: "entry", "entry: leaving");
     entry.set_phase(EntryPhase::Leaving);
-    feed.leave();
+    feed.announce_leaving();
     tokio::time::sleep(settings.grace.mul_f64(STOP_ACCEPTING_FRACTION)).await;
     let _ = close_sender.send(true);
     let _ = accepting.await;
