--- a/crates/cli/src/measure/control.rs
+++ b/crates/cli/src/measure/control.rs
@@ -16,7 +16,7 @@
     ClusterSettings, InstanceHandle, InstanceSettings, InstanceSetup, KeySource, PeerSettings,
 };
 use wheelmast_node::process::clock::ProcessClock;
-use wheelmast_node::process::member::{initialize, open_replica};
+use wheelmast_node::process::member::{initialize_data_folder, open_replica};
 use wheelmast_wire::prelude::{ApplyBody, TableChange, TableStatus};
 
 use crate::client::{HttpClient, ServiceCall};
@@ -98,7 +98,7 @@
         };
         for node in 0..INSTANCES {
             if node < REPLICAS {
-                initialize(&cluster_of(&group.folder, node), &format!("m{node}"))?;
+                initialize_data_folder(&cluster_of(&group.folder, node), &format!("m{node}"))?;
             }
             group.start_node(node)?;
         }
@@ -257,7 +257,7 @@
         data_folder: Some(folder.clone()),
         ..cluster_of(&folder, 0)
     };
-    initialize(&cluster, "m0")?;
+    initialize_data_folder(&cluster, "m0")?;
     let opened = open_replica(&cluster, "m0", ProcessClock::start())?;
     let mut duty = opened.context("could not open the folder")?;
     for index in 1..=changes {
--- a/crates/node/src/connection/arrival.rs
+++ b/crates/node/src/connection/arrival.rs
@@ -13,7 +13,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-use crate::process::loop_watch::LoopWatch;
+use crate::process::loop_watch::LoopDelayMonitor;
 
 /// When what was read on a connection may have come; since the process started.
 #[derive(Debug, Default)]
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub struct ArrivalStream {
     stream: TcpStream,
-    watch: Rc<LoopWatch>,
+    watch: Rc<LoopDelayMonitor>,
     mark: Rc<ArrivalMark>,
     accepted: Duration,
     /// When it may have been opened at the earliest.
@@ -58,7 +58,7 @@
 
 impl ArrivalStream {
     /// Returns a connection that has just been accepted.
-    pub fn new(stream: TcpStream, watch: Rc<LoopWatch>) -> ArrivalStream {
+    pub fn new(stream: TcpStream, watch: Rc<LoopDelayMonitor>) -> ArrivalStream {
         ArrivalStream {
             stream,
             mark: Rc::default(),
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -13,8 +13,8 @@
 };
 use wheelmast_node::process::forward::run::run_entry;
 use wheelmast_node::process::group::run::run_control;
-use wheelmast_node::process::member::initialize;
-use wheelmast_node::process::output::start_output;
+use wheelmast_node::process::member::initialize_data_folder;
+use wheelmast_node::process::output::start_log_output;
 use wheelmast_node::settings::read::{read_any_file, AnySettings};
 use wheelmast_node::settings::role::{DialectKind, RoleKind, RoleSettings};
 use wheelmast_platform::PlatformDialect;
@@ -104,7 +104,7 @@
         println!("{}: no findings", path.display());
         return Ok(ExitCode::SUCCESS);
     }
-    let _writer = start_output(&settings.log_level)?;
+    let _writer = start_log_output(&settings.log_level)?;
     tracing::info!(
         version = clap::crate_version!(),
         instance = %settings.instance,
@@ -133,7 +133,7 @@
 fn make_folder(settings: &InstanceSettings) -> anyhow::Result<ExitCode> {
     let cluster = settings.cluster.as_ref();
     let cluster = cluster.context("could not initialize: the settings name no cluster")?;
-    initialize(cluster, &settings.instance)?;
+    initialize_data_folder(cluster, &settings.instance)?;
     println!("{}: data folder made", settings.instance);
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/node/src/process/announce.rs
+++ b/crates/node/src/process/announce.rs
@@ -11,18 +11,18 @@
 use wheelmast_wire::upstream::{read_announcement, ANNOUNCE_PATH};
 
 use crate::process::entry::EntryMessage;
-use crate::process::gossip::GossipOrder;
+use crate::process::gossip::GossipCommand;
 use crate::request::respond::respond_problem;
 use crate::ring::RingSender;
 
 /// Largest announcement, in bytes.
-const ANNOUNCEMENT_BYTES: usize = 64 * 1024;
+const MAX_ANNOUNCEMENT_BYTES: usize = 64 * 1024;
 
 /// Returns the routes towards upstream servers.
 pub fn announce_router(state: AnnounceState) -> Router {
     Router::new()
-        .route(ANNOUNCE_PATH, post(announce))
-        .layer(DefaultBodyLimit::max(ANNOUNCEMENT_BYTES))
+        .route(ANNOUNCE_PATH, post(handle_announcement))
+        .layer(DefaultBodyLimit::max(MAX_ANNOUNCEMENT_BYTES))
         .with_state(state)
 }
 
@@ -32,22 +32,22 @@
     /// The entry thread, for an instance that is alone.
     pub entry: RingSender<EntryMessage>,
     /// The gossip thread, which tells the other instances.
-    pub gossip: Option<RingSender<GossipOrder>>,
+    pub gossip: Option<RingSender<GossipCommand>>,
 }
 
-async fn announce(
+async fn handle_announcement(
     State(state): State<AnnounceState>,
     Json(body): Json<AnnouncementBody>,
 ) -> Response {
     match read_announcement(body) {
-        Ok(news) => {
+        Ok(announcement) => {
             match &state.gossip {
                 Some(gossip) => {
-                    let input = Box::new(GossipInput::Announced(news));
-                    gossip.put(GossipOrder::Input(input)).await;
+                    let input = Box::new(GossipInput::Announced(announcement));
+                    gossip.put(GossipCommand::Input(input)).await;
                 }
                 None => {
-                    let input = EntryInput::Announce(news);
+                    let input = EntryInput::Announce(announcement);
                     state.entry.put(EntryMessage::Input(input)).await;
                 }
             }
--- a/crates/node/src/process/callers.rs
+++ b/crates/node/src/process/callers.rs
@@ -19,23 +19,23 @@
 use wheelmast_wire::prelude::ProblemBody;
 
 use crate::process::entry::EntryMessage;
-use crate::process::fence::{claim_end, FenceDesk, FenceStop};
+use crate::process::fence::{execution_result, ClaimRejection, FenceClient};
 use crate::process::ready::ReadyFlag;
 use crate::request::call::{make_call, CallError, CallRequest};
 use crate::request::respond::{respond_kept, respond_outcome, respond_problem};
 use crate::ring::RingSender;
 
 /// Largest body of a request, in bytes.
-pub const REQUEST_BYTES: usize = 1024 * 1024;
+pub const MAX_REQUEST_BYTES: usize = 1024 * 1024;
 /// Most requests held at a time, those whose bodies still come in among them;
-/// together with [`REQUEST_BYTES`] this bounds the memory of bodies.
-const REQUESTS: usize = 2048;
+/// together with [`MAX_REQUEST_BYTES`] this bounds the memory of bodies.
+const MAX_REQUESTS: usize = 2048;
 /// Time a caller may take to send its body.
-const BODY_TIME: Duration = Duration::from_secs(5);
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 /// Longest idempotency key or fetch key, in bytes.
-const KEY_LENGTH: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 /// Longest deadline a caller may name, in milliseconds.
-const LONGEST_DEADLINE_MS: u64 = 600_000;
+const MAX_DEADLINE_MS: u64 = 600_000;
 
 /// What the handlers share.
 #[derive(Debug, Clone)]
@@ -45,16 +45,16 @@
     /// Whether new requests are wanted; false once the instance leaves.
     pub ready: ReadyFlag,
     /// Claims idempotency keys, if the instance is not alone.
-    pub fence: Option<FenceDesk>,
+    pub fence: Option<FenceClient>,
 }
 
 /// Returns the routes towards callers.
 pub fn caller_router(state: CallerState) -> Router {
     Router::new()
-        .route("/v1/query/{service}", post(query))
-        .route("/v1/fetch/{service}/{key}", get(fetch))
-        .route("/v1/submit/{service}", post(submit))
-        .route("/ready", get(ready))
+        .route("/v1/query/{service}", post(handle_query))
+        .route("/v1/fetch/{service}/{key}", get(handle_fetch))
+        .route("/v1/submit/{service}", post(handle_submit))
+        .route("/ready", get(handle_ready))
         .fallback(unknown_path)
         .layer(
             ServiceBuilder::new()
@@ -62,7 +62,7 @@
                     respond_busy()
                 }))
                 .load_shed()
-                .concurrency_limit(REQUESTS),
+                .concurrency_limit(MAX_REQUESTS),
         )
         .layer(from_fn_with_state(state.clone(), close_when_leaving))
         .with_state(state)
@@ -83,7 +83,7 @@
     response
 }
 
-async fn ready(State(state): State<CallerState>) -> StatusCode {
+async fn handle_ready(State(state): State<CallerState>) -> StatusCode {
     if state.ready.is_ready() {
         StatusCode::OK
     } else {
@@ -99,7 +99,7 @@
     ))
 }
 
-async fn query(
+async fn handle_query(
     State(state): State<CallerState>,
     Path(service): Path<String>,
     headers: HeaderMap,
@@ -107,23 +107,23 @@
 ) -> Response {
     let request = read_json(body)
         .await
-        .and_then(|payload| call_request(&service, RequestKind::Query, None, payload, &headers));
+        .and_then(|payload| build_call(&service, RequestKind::Query, None, payload, &headers));
     run_call(&state, &service, request).await
 }
 
-async fn fetch(
+async fn handle_fetch(
     State(state): State<CallerState>,
     Path((service, key)): Path<(String, String)>,
     headers: HeaderMap,
 ) -> Response {
     let request = check_key(&key).and_then(|()| {
         let payload = Box::from(&b"null"[..]);
-        call_request(&service, RequestKind::Fetch, Some(key), payload, &headers)
+        build_call(&service, RequestKind::Fetch, Some(key), payload, &headers)
     });
     run_call(&state, &service, request).await
 }
 
-async fn submit(
+async fn handle_submit(
     State(state): State<CallerState>,
     Path(service): Path<String>,
     headers: HeaderMap,
@@ -131,8 +131,8 @@
 ) -> Response {
     let payload = read_json(body).await;
     let request = payload.and_then(|payload| {
-        let key = idempotency_key(&headers)?;
-        call_request(&service, RequestKind::NonRepeatable, key, payload, &headers)
+        let key = read_idempotency_key(&headers)?;
+        build_call(&service, RequestKind::NonRepeatable, key, payload, &headers)
     });
     match (&state.fence, request) {
         (Some(fence), Ok(request)) if request.body.key.is_some() => {
@@ -152,25 +152,27 @@
 /// becomes of it is kept for whoever comes with the same key.
 async fn run_fenced(
     state: CallerState,
-    fence: FenceDesk,
+    fence: FenceClient,
     service: String,
     request: CallRequest,
 ) -> Response {
     let claim = match fence.claim(&service, &request.body).await {
         Ok(claim) => claim,
-        Err(FenceStop::Ended(body)) => return respond_kept(body),
-        Err(FenceStop::Problem(problem)) => return respond_problem(&problem),
+        Err(ClaimRejection::AlreadyRan(body)) => return respond_kept(body),
+        Err(ClaimRejection::Problem(problem)) => return respond_problem(&problem),
     };
     let outcome = match make_call(&state.entry, request).await {
         Ok(outcome) => outcome,
         Err(error) => {
             let is_unsent = error == CallError::Busy;
             let end = (!is_unsent).then_some(ClaimEnd::Unknown);
-            fence.end(claim, end).await;
+            fence.record_result(claim, end).await;
             return respond_call_error(error);
         }
     };
-    fence.end(claim, claim_end(&service, &outcome)).await;
+    fence
+        .record_result(claim, execution_result(&service, &outcome))
+        .await;
     respond_outcome(&service, outcome)
 }
 
@@ -206,7 +208,7 @@
     }
 }
 
-fn call_request(
+fn build_call(
     service: &str,
     kind: RequestKind,
     key: Option<String>,
@@ -226,20 +228,24 @@
 
 /// Reads a body that must be one JSON value.
 async fn read_json(body: Body) -> Result<Box<[u8]>, Box<ProblemBody>> {
-    let read = tokio::time::timeout(BODY_TIME, to_bytes(body, REQUEST_BYTES)).await;
+    let read = tokio::time::timeout(BODY_TIMEOUT, to_bytes(body, MAX_REQUEST_BYTES)).await;
     let Ok(read) = read else {
-        return Err(early(408, "slow-body", "the body did not come within 5 s"));
+        return Err(early_problem(
+            408,
+            "slow-body",
+            "the body did not come within 5 s",
+        ));
     };
     let bytes = read.map_err(|_| {
-        early(
+        early_problem(
             413,
             "body-unreadable",
-            format!("the body broke off or is over {REQUEST_BYTES} bytes"),
+            format!("the body broke off or is over {MAX_REQUEST_BYTES} bytes"),
         )
     })?;
     if let Err(error) = serde_json::from_slice::<&RawValue>(&bytes) {
         let detail = format!("the body is not JSON: {error}");
-        return Err(early(400, "malformed-json", detail));
+        return Err(early_problem(400, "malformed-json", detail));
     }
     Ok(bytes.to_vec().into_boxed_slice())
 }
@@ -254,17 +260,17 @@
         .and_then(|text| text.parse::<i64>().ok());
     let Some(millis) = millis else {
         let detail = format!("{DEADLINE_HEADER} is the time left in whole milliseconds");
-        return Err(early(400, "malformed-deadline", detail));
+        return Err(early_problem(400, "malformed-deadline", detail));
     };
     if millis <= 0 {
         let detail = "the deadline had passed on arrival";
-        return Err(early(504, "deadline-passed", detail));
+        return Err(early_problem(504, "deadline-passed", detail));
     }
-    let millis = (millis as u64).min(LONGEST_DEADLINE_MS);
+    let millis = (millis as u64).min(MAX_DEADLINE_MS);
     Ok(Some(Duration::from_millis(millis)))
 }
 
-fn idempotency_key(headers: &HeaderMap) -> Result<Option<String>, Box<ProblemBody>> {
+fn read_idempotency_key(headers: &HeaderMap) -> Result<Option<String>, Box<ProblemBody>> {
     let Some(value) = headers.get(IDEMPOTENCY_HEADER) else {
         return Ok(None);
     };
@@ -273,14 +279,14 @@
     Ok(Some(key))
 }
 
-fn early(status: u16, word: &str, detail: impl Into<String>) -> Box<ProblemBody> {
+fn early_problem(status: u16, word: &str, detail: impl Into<String>) -> Box<ProblemBody> {
     Box::new(ProblemBody::early(status, word, detail))
 }
 
 fn check_key(key: &str) -> Result<(), Box<ProblemBody>> {
-    if key.is_empty() || key.len() > KEY_LENGTH {
-        let detail = format!("a key is 1 to {KEY_LENGTH} visible characters");
-        return Err(early(400, "malformed-key", detail));
+    if key.is_empty() || key.len() > MAX_KEY_BYTES {
+        let detail = format!("a key is 1 to {MAX_KEY_BYTES} visible characters");
+        return Err(early_problem(400, "malformed-key", detail));
     }
     Ok(())
 }
--- a/crates/node/src/process/change.rs
+++ b/crates/node/src/process/change.rs
@@ -15,13 +15,13 @@
 use crate::ring::RingSender;
 
 /// Longest time an instance tries to find the leader.
-const APPLY_TIME: Duration = Duration::from_secs(4);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Pause between two rounds of asking all replicas.
-const ROUND_PAUSE: Duration = Duration::from_millis(60);
+const ROUND_INTERVAL: Duration = Duration::from_millis(60);
 
 /// Reaches the control group from any instance.
 #[derive(Debug, Clone)]
-pub struct ChangeDesk {
+pub struct ControlClient {
     /// The control thread of this instance.
     pub control: RingSender<ControlMessage>,
     /// The other replicas of the control group.
@@ -39,10 +39,10 @@
     Unknown,
 }
 
-impl ChangeDesk {
+impl ControlClient {
     /// Applies a change, at whatever replica leads. A change that was decided
     /// before gets its first outcome again.
-    pub async fn apply(&self, change: TableChange) -> ChangeResult {
+    pub async fn apply_change(&self, change: TableChange) -> ChangeResult {
         if let Err(findings) = ServiceTable::parse(&change.csv, 1) {
             let findings = findings.items().iter().map(ToString::to_string);
             return ChangeResult::Decided(ApplyBody::Rejected {
@@ -55,8 +55,10 @@
             note: change.note,
             csv: change.csv,
         };
-        match self.command(&command, APPLY_TIME).await {
-            CommandReply::Done(CommandOutcome::Change(outcome)) => self.decided(outcome).await,
+        match self.commit_command(&command, CHANGE_TIMEOUT).await {
+            CommandReply::Done(CommandOutcome::Change(outcome)) => {
+                self.to_change_result(outcome).await
+            }
             CommandReply::NotLeader => ChangeResult::NoLeader,
             CommandReply::Done(_) | CommandReply::Unknown => ChangeResult::Unknown,
         }
@@ -64,49 +66,51 @@
 
     /// Has a command committed, at whatever replica leads, within `time`. It
     /// may be sent more than once, so the command must be idempotent.
-    pub async fn command(&self, command: &ControlCommand, time: Duration) -> CommandReply {
-        let until = Instant::now() + time;
+    pub async fn commit_command(&self, command: &ControlCommand, time: Duration) -> CommandReply {
+        let deadline = Instant::now() + time;
         let mut last = CommandReply::NotLeader;
-        while Instant::now() < until {
-            match self.round(command).await {
+        while Instant::now() < deadline {
+            match self.try_replicas(command).await {
                 CommandReply::NotLeader => {}
                 CommandReply::Unknown => last = CommandReply::Unknown,
                 done => return done,
             }
-            tokio::time::sleep(ROUND_PAUSE).await;
+            tokio::time::sleep(ROUND_INTERVAL).await;
         }
         last
     }
 
     /// Returns the versions of the table that are kept, oldest first.
-    pub async fn history(&self) -> Vec<TableVersion> {
-        let mut best = match self.ask_own(PeerRequest::AskHistory).await {
+    pub async fn fetch_history(&self) -> Vec<TableVersion> {
+        let mut newest_history = match self.send_to_local(PeerRequest::AskHistory).await {
             Some(PeerReply::History(history)) => history,
             _ => Vec::new(),
         };
         for peer in &self.replicas {
             if let Ok(PeerReply::History(history)) = peer.ask(PeerRequest::AskHistory).await {
-                if newest(&history) > newest(&best) {
-                    best = history;
+                if newest_version(&history) > newest_version(&newest_history) {
+                    newest_history = history;
                 }
             }
         }
-        best
+        newest_history
     }
 
     /// Returns the table in force at this instance.
-    pub async fn table(&self) -> Option<TableVersion> {
-        match self.ask_own(PeerRequest::AskTable { have: 0 }).await {
+    pub async fn fetch_table(&self) -> Option<TableVersion> {
+        match self.send_to_local(PeerRequest::AskTable { have: 0 }).await {
             Some(PeerReply::Table(table)) => table,
             _ => None,
         }
     }
 
     /// Asks this instance, then the other replicas, until one leads.
-    async fn round(&self, command: &ControlCommand) -> CommandReply {
+    async fn try_replicas(&self, command: &ControlCommand) -> CommandReply {
         let mut last = CommandReply::NotLeader;
-        let own = self.ask_own(PeerRequest::Command(command.clone())).await;
-        if let Some(PeerReply::Command(reply)) = own {
+        let local_reply = self
+            .send_to_local(PeerRequest::Command(command.clone()))
+            .await;
+        if let Some(PeerReply::Command(reply)) = local_reply {
             if reply != CommandReply::NotLeader {
                 return reply;
             }
@@ -122,21 +126,21 @@
         last
     }
 
-    async fn decided(&self, outcome: ChangeOutcome) -> ChangeResult {
+    async fn to_change_result(&self, outcome: ChangeOutcome) -> ChangeResult {
         ChangeResult::Decided(match outcome {
             ChangeOutcome::Accepted(version) => ApplyBody::Accepted { version },
             ChangeOutcome::Conflict(version) => {
-                let history = self.history().await;
-                let stands = history.iter().find(|table| table.version == version);
+                let history = self.fetch_history().await;
+                let current = history.iter().find(|table| table.version == version);
                 ApplyBody::Conflict {
                     version,
-                    csv: stands.map(|table| table.csv.clone()).unwrap_or_default(),
+                    csv: current.map(|table| table.csv.clone()).unwrap_or_default(),
                 }
             }
         })
     }
 
-    async fn ask_own(&self, request: PeerRequest) -> Option<PeerReply> {
+    async fn send_to_local(&self, request: PeerRequest) -> Option<PeerReply> {
         let (reply, answer) = oneshot::channel();
         self.control
             .put(ControlMessage::Peer { request, reply })
@@ -146,6 +150,6 @@
 }
 
 /// Returns the newest version of a history; 0 for none.
-fn newest(history: &[TableVersion]) -> u64 {
+fn newest_version(history: &[TableVersion]) -> u64 {
     history.last().map_or(0, |table| table.version)
 }
--- a/crates/node/src/process/control.rs
+++ b/crates/node/src/process/control.rs
@@ -22,11 +22,11 @@
 use crate::ring::{RingReceiver, RingSender};
 
 /// Messages handled together, with one sync for all of them.
-const BATCH: usize = 256;
+const MAX_BATCH: usize = 256;
 /// Interval at which a random peer is asked for a newer table.
-const ASK_INTERVAL: Duration = Duration::from_millis(500);
+const FETCH_INTERVAL: Duration = Duration::from_millis(500);
 /// Peers that are asked one after the other until one answers.
-const ASKED_PEERS: usize = 4;
+const MAX_FETCH_PEERS: usize = 4;
 
 /// A message to the control thread.
 #[derive(Debug)]
@@ -39,12 +39,12 @@
         reply: oneshot::Sender<PeerReply>,
     },
     /// A table that a peer told when it was asked.
-    Told(TableVersion),
+    Fetched(TableVersion),
 }
 
 /// The replica of an instance with a disk.
 #[derive(Debug)]
-pub struct ReplicaDuty {
+pub struct StoredReplica {
     /// The replica.
     pub machine: ReplicaMachine,
     /// What it keeps.
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 pub struct ControlDriver {
     /// The replica, if this instance is one.
-    pub replica: Option<ReplicaDuty>,
+    pub replica: Option<StoredReplica>,
     /// The table in force here.
     pub table: Option<TableVersion>,
     /// The other instances.
@@ -63,62 +63,62 @@
     /// Its messages.
     pub ring: RingReceiver<ControlMessage>,
     /// The sending end of its ring.
-    pub own: RingSender<ControlMessage>,
+    pub self_sender: RingSender<ControlMessage>,
     /// The entry thread.
     pub entry: RingSender<EntryMessage>,
     /// When the process started.
-    pub started: ProcessClock,
+    pub process_clock: ProcessClock,
     /// Proposals that wait for their end.
-    pub waiting: HashMap<u64, oneshot::Sender<PeerReply>>,
+    pub pending_proposals: HashMap<u64, oneshot::Sender<PeerReply>>,
     /// Counts the proposals.
-    pub proposals: u64,
+    pub last_proposal_tag: u64,
 }
 
 impl ControlDriver {
     /// Runs until the instance ends.
     pub async fn run(mut self) {
-        self.adopt_kept().await;
-        let mut ask = tokio::time::interval(ASK_INTERVAL);
-        let mut messages = Vec::with_capacity(BATCH);
+        self.apply_stored_table().await;
+        let mut fetch_timer = tokio::time::interval(FETCH_INTERVAL);
+        let mut messages = Vec::with_capacity(MAX_BATCH);
         loop {
-            let wake = self.wake_time();
+            let wake = self.time_until_wake();
             tokio::select! {
-                count = self.ring.recv_many(&mut messages, BATCH) => {
+                count = self.ring.recv_many(&mut messages, MAX_BATCH) => {
                     if count == 0 {
                         return;
                     }
-                    self.take_all(&mut messages).await;
+                    self.handle_messages(&mut messages).await;
                 }
                 () = tokio::time::sleep(wake) => self.step_replica(vec![ReplicaInput::Wake]).await,
-                _ = ask.tick() => self.ask_peer(),
+                _ = fetch_timer.tick() => self.fetch_newer_table(),
             }
         }
     }
 
-    fn wake_time(&self) -> Duration {
+    fn time_until_wake(&self) -> Duration {
         let Some(replica) = &self.replica else {
-            return ASK_INTERVAL;
+            return FETCH_INTERVAL;
         };
         let wake = replica.machine.next_wake();
-        self.started.sleep_until(wake)
+        self.process_clock.sleep_time_until(wake)
     }
 
     /// Puts what was in force before a restart in force again.
-    async fn adopt_kept(&mut self) {
-        let kept = self.replica.as_ref();
-        let current = kept.and_then(|replica| replica.machine.state().current().cloned());
+    async fn apply_stored_table(&mut self) {
+        let replica = self.replica.as_ref();
+        let current = replica.and_then(|replica| replica.machine.state().current().cloned());
         if let Some(table) = current {
-            self.adopt(table).await;
+            self.apply_table(table).await;
         }
     }
 
-    async fn take_all(&mut self, messages: &mut Vec<ControlMessage>) {
+    async fn handle_messages(&mut self, messages: &mut Vec<ControlMessage>) {
         let mut inputs = Vec::new();
         for message in messages.drain(..) {
             match message {
-                ControlMessage::Told(table) => self.adopt(table).await,
+                ControlMessage::Fetched(table) => self.apply_table(table).await,
                 ControlMessage::Peer { request, reply } => {
-                    let input = self.take_request(request, reply).await;
+                    let input = self.handle_request(request, reply).await;
                     inputs.extend(input);
                 }
             }
@@ -129,7 +129,7 @@
     }
 
     /// Answers a request, or turns it into an input of the replica.
-    async fn take_request(
+    async fn handle_request(
         &mut self,
         request: PeerRequest,
         reply: oneshot::Sender<PeerReply>,
@@ -141,14 +141,14 @@
                 return Some(ReplicaInput::Message { from, message });
             }
             PeerRequest::Table(table) => {
-                self.adopt(table).await;
+                self.apply_table(table).await;
                 PeerReply::Taken
             }
             PeerRequest::AskTable { have } => {
                 let newer = self.table.as_ref().filter(|table| table.version > have);
                 PeerReply::Table(newer.cloned())
             }
-            PeerRequest::AskHistory => PeerReply::History(self.history()),
+            PeerRequest::AskHistory => PeerReply::History(self.list_versions()),
             // The peers thread hands these to the gossip thread.
             PeerRequest::Gossip(_) => PeerReply::Taken,
             PeerRequest::Command(command) => return self.propose(command, reply),
@@ -157,7 +157,7 @@
         None
     }
 
-    fn history(&self) -> Vec<TableVersion> {
+    fn list_versions(&self) -> Vec<TableVersion> {
         match &self.replica {
             Some(replica) => replica.machine.state().history().cloned().collect(),
             None => self.table.iter().cloned().collect(),
@@ -169,15 +169,15 @@
         command: ControlCommand,
         reply: oneshot::Sender<PeerReply>,
     ) -> Option<ReplicaInput> {
-        let leads = self.replica.as_ref().is_some_and(|r| r.machine.is_leader());
-        if !leads {
+        let is_leader = self.replica.as_ref().is_some_and(|r| r.machine.is_leader());
+        if !is_leader {
             let _ = reply.send(PeerReply::Command(CommandReply::NotLeader));
             return None;
         }
-        self.proposals += 1;
-        self.waiting.insert(self.proposals, reply);
+        self.last_proposal_tag += 1;
+        self.pending_proposals.insert(self.last_proposal_tag, reply);
         Some(ReplicaInput::Propose {
-            tag: self.proposals,
+            tag: self.last_proposal_tag,
             command,
         })
     }
@@ -185,7 +185,7 @@
     /// Steps the replica through inputs: all that is to be kept is synced once
     /// before anything is answered or sent.
     async fn step_replica(&mut self, inputs: Vec<ReplicaInput>) {
-        let now = self.started.elapsed();
+        let now = self.process_clock.elapsed();
         let Some(replica) = &mut self.replica else {
             return;
         };
@@ -193,7 +193,7 @@
         for input in inputs {
             replica.machine.step(now, input, &mut actions);
         }
-        if let Err(error) = keep_all(&mut replica.store, &actions) {
+        if let Err(error) = persist_actions(&mut replica.store, &actions) {
             // What is on the disk is not known any more: a sync that failed
             // must not be tried again as if it could still succeed.
             tracing::error!("control: replica steps aside, {error:#}");
@@ -201,15 +201,15 @@
             return;
         }
         for action in actions {
-            self.act(action).await;
+            self.perform(action).await;
         }
     }
 
-    async fn act(&mut self, action: ReplicaAction) {
+    async fn perform(&mut self, action: ReplicaAction) {
         match action {
             ReplicaAction::Send { to, message } => self.send(to, message),
             ReplicaAction::Complete { tag, result } => {
-                if let Some(reply) = self.waiting.remove(&tag) {
+                if let Some(reply) = self.pending_proposals.remove(&tag) {
                     let _ = reply.send(PeerReply::Command(command_reply(result)));
                 }
             }
@@ -217,8 +217,8 @@
                 let replica = self.replica.as_ref();
                 let current = replica.and_then(|r| r.machine.state().current().cloned());
                 if let Some(table) = current {
-                    self.adopt(table.clone()).await;
-                    self.push(&table);
+                    self.apply_table(table.clone()).await;
+                    self.push_table(&table);
                 }
             }
             ReplicaAction::RoleChanged { term, leads } => {
@@ -244,7 +244,7 @@
     }
 
     /// Tells every other instance of a table.
-    fn push(&self, table: &TableVersion) {
+    fn push_table(&self, table: &TableVersion) {
         for peer in &self.peers {
             peer.tell(PeerRequest::Table(table.clone()));
         }
@@ -254,18 +254,20 @@
     /// of it this way. Peers that do not answer are passed over: where two of
     /// three were gone, a start found the table after up to 3.0 s without this,
     /// and within 1 s with it (`tests/cluster.rs`).
-    fn ask_peer(&self) {
-        let peers = self.peers.choose_multiple(&mut rand::rng(), ASKED_PEERS);
+    fn fetch_newer_table(&self) {
+        let peers = self
+            .peers
+            .choose_multiple(&mut rand::rng(), MAX_FETCH_PEERS);
         let peers: Vec<PeerLink> = peers.cloned().collect();
         let have = self.table.as_ref().map_or(0, |table| table.version);
-        let own = self.own.clone();
+        let self_sender = self.self_sender.clone();
         tokio::spawn(async move {
             for peer in peers {
                 let Ok(reply) = peer.ask(PeerRequest::AskTable { have }).await else {
                     continue;
                 };
                 if let PeerReply::Table(Some(table)) = reply {
-                    own.put(ControlMessage::Told(table)).await;
+                    self_sender.put(ControlMessage::Fetched(table)).await;
                 }
                 return;
             }
@@ -273,7 +275,7 @@
     }
 
     /// Puts a table in force, unless a newer one is.
-    async fn adopt(&mut self, table: TableVersion) {
+    async fn apply_table(&mut self, table: TableVersion) {
         let have = self.table.as_ref().map_or(0, |table| table.version);
         if table.version <= have {
             return;
@@ -291,7 +293,7 @@
     }
 }
 
-fn keep_all(store: &mut ReplicaStore, actions: &[ReplicaAction]) -> anyhow::Result<()> {
+fn persist_actions(store: &mut ReplicaStore, actions: &[ReplicaAction]) -> anyhow::Result<()> {
     for action in actions {
         store.keep(action)?;
     }
--- a/crates/node/src/process/duty.rs
+++ b/crates/node/src/process/duty.rs
@@ -10,7 +10,7 @@
 use crate::connection::listener::BoundListener;
 
 /// Waits for the end of threads.
-pub fn join_all(threads: Vec<JoinHandle<()>>) {
+pub fn join_threads(threads: Vec<JoinHandle<()>>) {
     for thread in threads {
         if thread.join().is_err() {
             tracing::error!("instance: a thread panicked");
@@ -35,13 +35,13 @@
 
 /// Starts the threads of duties.
 #[derive(Debug, Clone)]
-pub struct DutyStarter {
+pub struct ThreadSpawner {
     /// Turns true when the instance is killed.
     pub killed: watch::Receiver<bool>,
 }
 
-impl DutyStarter {
-    /// Starts a thread that runs `duty` on a runtime of its own, until its end
+impl ThreadSpawner {
+    /// Starts a thread that runs `task` on a runtime of its own, until its end
     /// or until the instance is killed.
     ///
     /// # Errors
@@ -50,7 +50,7 @@
     pub fn start(
         &self,
         name: &str,
-        duty: impl std::future::Future<Output = ()> + Send + 'static,
+        task: impl std::future::Future<Output = ()> + Send + 'static,
     ) -> anyhow::Result<JoinHandle<()>> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -60,7 +60,7 @@
         start_thread(name, move || {
             runtime.block_on(async move {
                 tokio::select! {
-                    () = duty => {}
+                    () = task => {}
                     Ok(_) = killed.wait_for(|killed| *killed) => {}
                 }
             });
@@ -70,19 +70,19 @@
 
 /// A listener that is to run in a thread of its own.
 #[derive(Debug)]
-pub struct ListenPlan {
+pub struct ListenerThread {
     name: &'static str,
     address: SocketAddr,
-    connections: usize,
+    max_connections: usize,
 }
 
-impl ListenPlan {
-    /// Returns a plan for at most `connections` connections.
-    pub fn new(name: &'static str, address: SocketAddr, connections: usize) -> ListenPlan {
-        ListenPlan {
+impl ListenerThread {
+    /// Returns a plan for at most `max_connections` connections.
+    pub fn new(name: &'static str, address: SocketAddr, max_connections: usize) -> ListenerThread {
+        ListenerThread {
             name,
             address,
-            connections,
+            max_connections,
         }
     }
 
@@ -96,13 +96,13 @@
         self,
         router: Router,
         stop: watch::Receiver<bool>,
-        duties: &DutyStarter,
+        spawner: &ThreadSpawner,
         threads: &mut Vec<JoinHandle<()>>,
     ) -> anyhow::Result<(SocketAddr, oneshot::Receiver<()>)> {
         let (bound_sender, bound) = std::sync::mpsc::sync_channel(1);
         let (end_sender, end) = oneshot::channel();
-        let duty = async move {
-            match BoundListener::bind(self.address, self.connections).await {
+        let task = async move {
+            match BoundListener::bind(self.address, self.max_connections).await {
                 Ok(listener) => {
                     let _ = bound_sender.send(listener.address());
                     listener.serve(router, stop).await;
@@ -113,7 +113,7 @@
             }
             let _ = end_sender.send(());
         };
-        threads.push(duties.start(self.name, duty)?);
+        threads.push(spawner.start(self.name, task)?);
         let address = bound.recv().context("could not start a listener")??;
         Ok((address, end))
     }
--- a/crates/node/src/process/entry.rs
+++ b/crates/node/src/process/entry.rs
@@ -14,14 +14,14 @@
 
 use crate::process::clock::ProcessClock;
 use crate::process::journal::JournalSender;
-use crate::process::status::{describe, EntryReport};
+use crate::process::status::{describe_entry, EntryReport};
 use crate::process::upstreams::UpstreamCommand;
 use crate::ring::{RingReceiver, RingSender};
 
 /// Messages taken between two looks at the clock.
-const BATCH: usize = 64;
+const MAX_BATCH: usize = 64;
 /// Longest sleep of the entry thread.
-const LONGEST_SLEEP: Duration = Duration::from_secs(1);
+const MAX_SLEEP: Duration = Duration::from_secs(1);
 
 /// A message to the entry thread.
 #[derive(Debug)]
@@ -53,27 +53,27 @@
     /// Decisions to the journal thread.
     pub journal: JournalSender,
     /// When the process started.
-    pub started: ProcessClock,
+    pub process_clock: ProcessClock,
     /// Told once the last request has ended after a leave.
-    pub left: Option<oneshot::Sender<()>>,
+    pub left_sender: Option<oneshot::Sender<()>>,
     /// Set once the instance knows enough to serve.
-    pub learned: Arc<AtomicBool>,
+    pub entry_ready: Arc<AtomicBool>,
     /// Where outcomes go.
-    pub outcomes: HashMap<CallTag, oneshot::Sender<QueryOutcome>>,
+    pub outcome_senders: HashMap<CallTag, oneshot::Sender<QueryOutcome>>,
 }
 
 impl<P: RoutePolicy> EntryDriver<P> {
     /// Runs until it is told to end.
     pub async fn run(mut self) {
         let mut actions = Vec::new();
-        let mut messages = Vec::with_capacity(BATCH);
+        let mut messages = Vec::with_capacity(MAX_BATCH);
         loop {
             let sleep = self.sleep_time();
             let received = tokio::select! {
-                count = self.ring.recv_many(&mut messages, BATCH) => count,
+                count = self.ring.recv_many(&mut messages, MAX_BATCH) => count,
                 () = tokio::time::sleep(sleep) => {
                     self.step(EntryInput::Wake, &mut actions);
-                    self.look_learned();
+                    self.update_readiness();
                     continue;
                 }
             };
@@ -84,56 +84,57 @@
                 if matches!(message, EntryMessage::End) {
                     return;
                 }
-                self.take(message, &mut actions);
+                self.handle_message(message, &mut actions);
             }
-            self.look_learned();
+            self.update_readiness();
         }
     }
 
-    fn look_learned(&self) {
-        let known = self.learned.load(Ordering::Relaxed);
-        if !known && self.machine.is_learned(self.started.elapsed()) {
-            self.learned.store(true, Ordering::Relaxed);
+    fn update_readiness(&self) {
+        let known = self.entry_ready.load(Ordering::Relaxed);
+        if !known && self.machine.is_learned(self.process_clock.elapsed()) {
+            self.entry_ready.store(true, Ordering::Relaxed);
         }
     }
 
     fn sleep_time(&self) -> Duration {
         let wake = self.machine.next_wake();
-        let sleep = wake.map(|at| at.saturating_sub(self.started.elapsed()));
-        sleep.unwrap_or(LONGEST_SLEEP).min(LONGEST_SLEEP)
+        let sleep = wake.map(|at| at.saturating_sub(self.process_clock.elapsed()));
+        sleep.unwrap_or(MAX_SLEEP).min(MAX_SLEEP)
     }
 
-    fn take(&mut self, message: EntryMessage, actions: &mut Vec<EntryAction>) {
+    fn handle_message(&mut self, message: EntryMessage, actions: &mut Vec<EntryAction>) {
         match message {
             EntryMessage::Input(input) => self.step(input, actions),
             EntryMessage::Call { request, outcome } => {
-                self.outcomes.insert(request.call, outcome);
+                self.outcome_senders.insert(request.call, outcome);
                 self.step(EntryInput::Submit(request), actions);
             }
             EntryMessage::Inspect(reply) => {
-                let _ = reply.send(describe(&self.machine, self.started.elapsed()));
+                let _ = reply.send(describe_entry(&self.machine, self.process_clock.elapsed()));
             }
             EntryMessage::End => {}
         }
     }
 
     fn step(&mut self, input: EntryInput, actions: &mut Vec<EntryAction>) {
-        self.machine.step(self.started.elapsed(), input, actions);
-        let mut unsent = Vec::new();
+        self.machine
+            .step(self.process_clock.elapsed(), input, actions);
+        let mut unsent_orders = Vec::new();
         for action in actions.drain(..) {
-            self.act(action, &mut unsent);
+            self.perform(action, &mut unsent_orders);
         }
-        for order in unsent {
-            self.step(never_sent(&order), actions);
+        for order in unsent_orders {
+            self.step(unsent_reply(&order), actions);
         }
     }
 
-    fn act(&mut self, action: EntryAction, unsent: &mut Vec<SendOrder>) {
+    fn perform(&mut self, action: EntryAction, unsent_orders: &mut Vec<SendOrder>) {
         match action {
             EntryAction::Send(order) => {
                 let command = UpstreamCommand::Send(order);
                 if let Err(UpstreamCommand::Send(order)) = self.upstreams.offer(command) {
-                    unsent.push(order);
+                    unsent_orders.push(order);
                 }
             }
             EntryAction::Cancel { attempt, .. } => {
@@ -141,21 +142,21 @@
                 let _ = self.upstreams.offer(UpstreamCommand::Cancel(attempt));
             }
             EntryAction::Finish { call, outcome } => {
-                if let Some(sender) = self.outcomes.remove(&call) {
+                if let Some(sender) = self.outcome_senders.remove(&call) {
                     let _ = sender.send(outcome);
                 }
             }
             EntryAction::RecordDecision(event) => self.journal.record(*event),
             EntryAction::Left => {
-                if let Some(left) = self.left.take() {
-                    let _ = left.send(());
+                if let Some(sender) = self.left_sender.take() {
+                    let _ = sender.send(());
                 }
             }
         }
     }
 }
 
-fn never_sent(order: &SendOrder) -> EntryInput {
+fn unsent_reply(order: &SendOrder) -> EntryInput {
     EntryInput::Reply(AttemptReply {
         attempt: order.attempt,
         status: ReplyStatus::NeverSent,
@@ -164,14 +165,14 @@
 }
 
 /// Asks the entry thread for the instance's state.
-pub async fn inspect(ring: &RingSender<EntryMessage>) -> Option<EntryReport> {
+pub async fn request_report(ring: &RingSender<EntryMessage>) -> Option<EntryReport> {
     let (sender, receiver) = oneshot::channel();
     ring.put(EntryMessage::Inspect(sender)).await;
     receiver.await.ok()
 }
 
 /// Fills in what the entry thread does not know of its instance.
-pub fn complete_status(report: EntryReport, instance: &str, domain: &str) -> InstanceStatus {
+pub fn add_identity(report: EntryReport, instance: &str, domain: &str) -> InstanceStatus {
     InstanceStatus {
         instance: instance.to_string(),
         domain: domain.to_string(),
--- a/crates/node/src/process/expose.rs
+++ b/crates/node/src/process/expose.rs
@@ -11,9 +11,9 @@
 use crate::connection::http::{serve_http, typed_response};
 
 /// Format of what is rendered.
-const TEXT_FORMAT: &str = "text/plain; version=0.0.4";
+const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4";
 /// Longest time that a reader may take for the head of its question.
-const HEAD_TIME: Duration = Duration::from_secs(10);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Answers readers of metrics until the process ends.
 ///
@@ -33,10 +33,10 @@
         let render = render.clone();
         tokio::task::spawn_local(async move {
             let answer = |_| {
-                let response = typed_response(StatusCode::OK, TEXT_FORMAT, render());
+                let response = typed_response(StatusCode::OK, METRICS_CONTENT_TYPE, render());
                 async move { response }
             };
-            serve_http(stream, HEAD_TIME, answer).await;
+            serve_http(stream, HEAD_TIMEOUT, answer).await;
         });
     }
 }
--- a/crates/node/src/process/fence.rs
+++ b/crates/node/src/process/fence.rs
@@ -10,18 +10,18 @@
 use wheelmast_wire::prelude::{AnswerBody, ProblemBody};
 use xxhash_rust::xxh3::xxh3_128;
 
-use crate::process::change::ChangeDesk;
+use crate::process::change::ControlClient;
 
 /// Longest time a claim may take; then the submission is refused, not run.
-const CLAIM_TIME: Duration = Duration::from_millis(1500);
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Longest time to record an end; the caller does not wait beyond it.
-const END_TIME: Duration = Duration::from_millis(500);
+const RESULT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Claims keys in the control group.
 #[derive(Debug, Clone)]
-pub struct FenceDesk {
+pub struct FenceClient {
     /// Reaches the control group.
-    pub desk: ChangeDesk,
+    pub control_client: ControlClient,
 }
 
 /// A claim that was granted, or that is not needed.
@@ -34,18 +34,18 @@
 
 /// Why a submission is not run now.
 #[derive(Debug)]
-pub enum FenceStop {
+pub enum ClaimRejection {
     /// It ran before; this is what its caller got.
-    Ended(String),
+    AlreadyRan(String),
     /// It is refused.
     Problem(Box<ProblemBody>),
 }
 
-fn stop(status: u16, word: &str, detail: &str) -> FenceStop {
-    FenceStop::Problem(Box::new(ProblemBody::early(status, word, detail)))
+fn reject(status: u16, word: &str, detail: &str) -> ClaimRejection {
+    ClaimRejection::Problem(Box::new(ProblemBody::early(status, word, detail)))
 }
 
-impl FenceDesk {
+impl FenceClient {
     /// Claims the key of a submission.
     ///
     /// # Errors
@@ -55,7 +55,7 @@
         &self,
         service: &str,
         body: &RequestBody,
-    ) -> Result<GrantedClaim, FenceStop> {
+    ) -> Result<GrantedClaim, ClaimRejection> {
         let key = format!("{service}/{}", body.key.as_deref().unwrap_or_default());
         let request = ClaimRequest {
             key: key.clone(),
@@ -69,16 +69,20 @@
             is_fenced: true,
         };
         let command = ControlCommand::Claim(request);
-        match self.desk.command(&command, CLAIM_TIME).await {
-            CommandReply::Done(CommandOutcome::Claim(outcome)) => standing(outcome, claim),
+        match self
+            .control_client
+            .commit_command(&command, CLAIM_TIMEOUT)
+            .await
+        {
+            CommandReply::Done(CommandOutcome::Claim(outcome)) => evaluate_claim(outcome, claim),
             CommandReply::Done(_) | CommandReply::Unknown | CommandReply::NotLeader => {
-                self.without_quorum(service, claim).await
+                self.handle_missing_quorum(service, claim).await
             }
         }
     }
 
     /// Records what became of a submission; `None` if it did not run.
-    pub async fn end(&self, claim: GrantedClaim, end: Option<ClaimEnd>) {
+    pub async fn record_result(&self, claim: GrantedClaim, end: Option<ClaimEnd>) {
         if !claim.is_fenced {
             return;
         }
@@ -87,19 +91,24 @@
             claimant: claim.claimant,
             end,
         };
-        if self.desk.command(&command, END_TIME).await == CommandReply::NotLeader {
+        if self
+            .control_client
+            .commit_command(&command, RESULT_TIMEOUT)
+            .await
+            == CommandReply::NotLeader
+        {
             // A second arrival is told "in progress", and later "unknown".
             tracing::warn!("fence: the end of a claim could not be recorded");
         }
     }
 
     /// Decides by the table what happens without a quorum.
-    async fn without_quorum(
+    async fn handle_missing_quorum(
         &self,
         service: &str,
         claim: GrantedClaim,
-    ) -> Result<GrantedClaim, FenceStop> {
-        if self.unfenced_rule(service).await == UnfencedRule::Run {
+    ) -> Result<GrantedClaim, ClaimRejection> {
+        if self.find_unfenced_rule(service).await == UnfencedRule::Run {
             tracing::warn!("fence: {service} runs unfenced, no quorum in reach");
             return Ok(GrantedClaim {
                 is_fenced: false,
@@ -107,16 +116,16 @@
             });
         }
         // The claim may have been recorded all the same; give it back.
-        let desk = self.clone();
-        tokio::spawn(async move { desk.end(claim, None).await });
+        let client = self.clone();
+        tokio::spawn(async move { client.record_result(claim, None).await });
         let detail = "no quorum of the control group is in reach to claim the key";
         let mut problem = ProblemBody::early(503, "no-quorum", detail);
         problem.retry_after_ms = Some(1000);
-        Err(FenceStop::Problem(Box::new(problem)))
+        Err(ClaimRejection::Problem(Box::new(problem)))
     }
 
-    async fn unfenced_rule(&self, service: &str) -> UnfencedRule {
-        let table = self.desk.table().await;
+    async fn find_unfenced_rule(&self, service: &str) -> UnfencedRule {
+        let table = self.control_client.fetch_table().await;
         let parsed = table.and_then(|table| {
             wheelmast_core::prelude::ServiceTable::parse(&table.csv, table.version).ok()
         });
@@ -125,33 +134,37 @@
     }
 }
 
-fn standing(outcome: ClaimOutcome, claim: GrantedClaim) -> Result<GrantedClaim, FenceStop> {
+fn evaluate_claim(
+    outcome: ClaimOutcome,
+    claim: GrantedClaim,
+) -> Result<GrantedClaim, ClaimRejection> {
     match outcome {
         ClaimOutcome::Granted => Ok(claim),
-        ClaimOutcome::Ended(ClaimEnd::Ran(Some(body))) => Err(FenceStop::Ended(body)),
-        ClaimOutcome::Ended(ClaimEnd::Ran(None)) => Err(ran(
+        ClaimOutcome::Ended(ClaimEnd::Ran(Some(body))) => Err(ClaimRejection::AlreadyRan(body)),
+        ClaimOutcome::Ended(ClaimEnd::Ran(None)) => Err(reject_possibly_run(
             200,
             "ran-before",
             "it ran; its answer was too large to be kept",
         )),
-        ClaimOutcome::Ended(ClaimEnd::Unknown) => Err(ran(
+        ClaimOutcome::Ended(ClaimEnd::Unknown) => Err(reject_possibly_run(
             502,
             "outcome-unknown",
             "it was sent before, and whether it ran is not known",
         )),
         ClaimOutcome::InProgress => {
-            let mut stop = ran(409, "in-progress", "a request with this key is at work");
-            if let FenceStop::Problem(problem) = &mut stop {
+            let mut rejection =
+                reject_possibly_run(409, "in-progress", "a request with this key is at work");
+            if let ClaimRejection::Problem(problem) = &mut rejection {
                 problem.retry_after_ms = Some(1000);
             }
-            Err(stop)
+            Err(rejection)
         }
-        ClaimOutcome::OtherContent => Err(stop(
+        ClaimOutcome::OtherContent => Err(reject(
             422,
             "key-reused",
             "this key was used for a request of other content",
         )),
-        ClaimOutcome::Full => Err(stop(
+        ClaimOutcome::Full => Err(reject(
             503,
             "fence-full",
             "no more claims can be kept; the oldest expire within a day",
@@ -160,14 +173,14 @@
 }
 
 /// Returns a stop whose outcome is not "not run".
-fn ran(status: u16, word: &str, detail: &str) -> FenceStop {
+fn reject_possibly_run(status: u16, word: &str, detail: &str) -> ClaimRejection {
     let mut problem = ProblemBody::early(status, word, detail);
     problem.outcome = OUTCOME_UNKNOWN.to_string();
-    FenceStop::Problem(Box::new(problem))
+    ClaimRejection::Problem(Box::new(problem))
 }
 
 /// Returns what is recorded of an outcome; `None` if it did not run.
-pub fn claim_end(service: &str, outcome: &QueryOutcome) -> Option<ClaimEnd> {
+pub fn execution_result(service: &str, outcome: &QueryOutcome) -> Option<ClaimEnd> {
     match outcome {
         QueryOutcome::Answer(answer) => {
             let body = AnswerBody::new(service, answer.clone());
@@ -180,6 +193,6 @@
 
 /// Returns the wall clock in milliseconds since 1970.
 pub fn wall_clock_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |since| since.as_millis() as u64)
+    let time_since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    time_since_epoch.map_or(0, |time_since_epoch| time_since_epoch.as_millis() as u64)
 }
--- a/crates/node/src/process/forward/callers.rs
+++ b/crates/node/src/process/forward/callers.rs
@@ -57,7 +57,7 @@
 ) {
     let mut closed = closing.clone();
     let watch = entry.watch.clone();
-    tokio::task::spawn_local(async move { watch.keep().await });
+    tokio::task::spawn_local(async move { watch.run().await });
     loop {
         let stream = tokio::select! {
             stream = next_stream(&listener) => stream,
--- a/crates/node/src/process/forward/entry.rs
+++ b/crates/node/src/process/forward/entry.rs
@@ -22,8 +22,8 @@
 use crate::process::forward::measure::DriverCounts;
 use crate::process::forward::pool::{ServerPool, UpstreamOrder};
 use crate::process::forward::story::StoryBook;
-use crate::process::loop_watch::LoopWatch;
-use crate::process::output::lines_unwritten;
+use crate::process::loop_watch::LoopDelayMonitor;
+use crate::process::output::count_dropped_lines;
 
 /// A request that waits for its answer.
 #[derive(Debug)]
@@ -63,7 +63,7 @@
     /// The time since the process started.
     pub clock: ProcessClock,
     /// How late the entry reads what comes.
-    pub watch: Rc<LoopWatch>,
+    pub watch: Rc<LoopDelayMonitor>,
     armed: Cell<Duration>,
     wake: Notify,
     /// What the control group is to be told of requests under which servers
@@ -99,7 +99,7 @@
             tags: Cell::new(0),
             phase: Cell::new(EntryPhase::Learning),
             clock,
-            watch: Rc::new(LoopWatch::new(clock)),
+            watch: Rc::new(LoopDelayMonitor::new(clock)),
             armed: Cell::new(Duration::MAX),
             wake: Notify::new(),
             suspects: RefCell::default(),
@@ -228,8 +228,8 @@
         let stories = self.stories.borrow();
         let machine = self.machine.borrow();
         let counts = DriverCounts {
-            lines_dropped: stories.lines_dropped() + lines_unwritten(),
-            times_held_up: self.watch.times_held_up(),
+            lines_dropped: stories.lines_dropped() + count_dropped_lines(),
+            late_rounds: self.watch.late_rounds(),
             sent_late: self.pool.sent_late(),
         };
         stories
@@ -272,7 +272,7 @@
             self.armed.set(next.unwrap_or(Duration::MAX));
             match next {
                 Some(next) => {
-                    let wait = self.clock.sleep_until(next);
+                    let wait = self.clock.sleep_time_until(next);
                     tokio::select! {
                         () = tokio::time::sleep(wait) => self.step(ForwardInput::Wake),
                         () = self.wake.notified() => {}
--- a/crates/node/src/process/forward/measure.rs
+++ b/crates/node/src/process/forward/measure.rs
@@ -25,7 +25,7 @@
     /// Lines that were not told or not written.
     pub lines_dropped: u64,
     /// Times that it read late.
-    pub times_held_up: u64,
+    pub late_rounds: u64,
     /// Attempts that were written long after they were decided on.
     pub sent_late: u64,
 }
@@ -103,7 +103,7 @@
         ("wheelmast_forward_cancels_total", counts.cancels),
         ("wheelmast_forward_broken_total", counts.broken),
         ("wheelmast_forward_sent_late_total", driver.sent_late),
-        ("wheelmast_held_up_total", driver.times_held_up),
+        ("wheelmast_held_up_total", driver.late_rounds),
         ("wheelmast_log_lines_dropped_total", driver.lines_dropped),
     ];
     for (name, total) in totals {
--- a/crates/node/src/process/gossip.rs
+++ b/crates/node/src/process/gossip.rs
@@ -19,14 +19,14 @@
 use crate::ring::{RingReceiver, RingSender};
 
 /// Messages handled together.
-const BATCH: usize = 256;
+const MAX_BATCH: usize = 256;
 /// Time a member's share of the servers is held after it was lost, before the
 /// others take it.
-const SHARE_LEASE: Duration = Duration::from_secs(5);
+const DECREASE_DELAY: Duration = Duration::from_secs(5);
 
 /// A message to the gossip thread.
 #[derive(Debug)]
-pub enum GossipOrder {
+pub enum GossipCommand {
     /// An input of the machine.
     Input(Box<GossipInput>),
     /// Asks for the members.
@@ -39,30 +39,30 @@
     /// The machine.
     pub machine: GossipMachine,
     /// Its messages.
-    pub ring: RingReceiver<GossipOrder>,
+    pub ring: RingReceiver<GossipCommand>,
     /// The entry thread.
     pub entry: RingSender<EntryMessage>,
     /// The cluster's key.
     pub key: Arc<str>,
     /// When the process started.
-    pub started: ProcessClock,
+    pub process_clock: ProcessClock,
     /// Links to members by address.
     pub links: HashMap<SocketAddr, PeerLink>,
     /// How the servers' limits are divided just now.
-    pub shares: ShareCount,
+    pub limit_divisor: LimitDivisor,
 }
 
 /// The number of instances that a server's limits are divided by.
 #[derive(Debug)]
-pub struct ShareCount {
+pub struct LimitDivisor {
     count: u32,
     fewer_since: Option<Duration>,
 }
 
-impl ShareCount {
+impl LimitDivisor {
     /// Returns a count that starts with all instances that may be there.
-    pub fn new(count: u32) -> ShareCount {
-        ShareCount {
+    pub fn new(count: u32) -> LimitDivisor {
+        LimitDivisor {
             count,
             fewer_since: None,
         }
@@ -72,50 +72,50 @@
     /// the limits are to be divided anew: at once for more members, and for
     /// fewer only once they have been fewer for a lease, so that a member that
     /// was cut off does not share with those that took its part.
-    pub fn update(&mut self, there: u32, now: Duration) -> Option<u32> {
-        if there >= self.count {
+    pub fn update(&mut self, member_count: u32, now: Duration) -> Option<u32> {
+        if member_count >= self.count {
             self.fewer_since = None;
-            let is_more = there > self.count;
-            self.count = there;
-            return is_more.then_some(there);
+            let has_increased = member_count > self.count;
+            self.count = member_count;
+            return has_increased.then_some(member_count);
         }
         let since = *self.fewer_since.get_or_insert(now);
-        if now.saturating_sub(since) < SHARE_LEASE {
+        if now.saturating_sub(since) < DECREASE_DELAY {
             return None;
         }
         self.fewer_since = None;
-        self.count = there;
-        Some(there)
+        self.count = member_count;
+        Some(member_count)
     }
 }
 
 impl GossipDriver {
     /// Runs until the instance ends.
     pub async fn run(mut self) {
-        let mut orders = Vec::with_capacity(BATCH);
+        let mut commands = Vec::with_capacity(MAX_BATCH);
         loop {
             let wake = self.machine.next_wake();
-            let sleep = self.started.sleep_until(wake);
+            let sleep = self.process_clock.sleep_time_until(wake);
             tokio::select! {
-                count = self.ring.recv_many(&mut orders, BATCH) => {
+                count = self.ring.recv_many(&mut commands, MAX_BATCH) => {
                     if count == 0 {
                         return;
                     }
-                    for order in orders.drain(..) {
-                        self.take(order).await;
+                    for command in commands.drain(..) {
+                        self.handle_command(command).await;
                     }
                 }
                 () = tokio::time::sleep(sleep) => self.step(GossipInput::Wake).await,
             }
-            self.divide().await;
+            self.update_limit_divisor().await;
         }
     }
 
-    async fn take(&mut self, order: GossipOrder) {
-        match order {
-            GossipOrder::Input(input) => self.step(*input).await,
-            GossipOrder::Members(reply) => {
-                let _ = reply.send(self.members());
+    async fn handle_command(&mut self, command: GossipCommand) {
+        match command {
+            GossipCommand::Input(input) => self.step(*input).await,
+            GossipCommand::Members(reply) => {
+                let _ = reply.send(self.list_members());
             }
         }
     }
@@ -123,34 +123,37 @@
     async fn step(&mut self, input: GossipInput) {
         let mut actions = Vec::new();
         self.machine
-            .step(self.started.elapsed(), input, &mut actions);
+            .step(self.process_clock.elapsed(), input, &mut actions);
         for action in actions {
             match action {
                 GossipAction::Send { to, message } => {
                     let link = self.link(to);
                     link.tell(PeerRequest::Gossip(Box::new(message)));
                 }
-                GossipAction::Server(news) => self.hand_on(EntryInput::Announce(news)).await,
-                GossipAction::Expired(name) => self.hand_on(EntryInput::Expired(name)).await,
-                GossipAction::Vouch(names) => self.hand_on(EntryInput::Vouch(names)).await,
+                GossipAction::Server(news) => self.send_to_entry(EntryInput::Announce(news)).await,
+                GossipAction::Expired(name) => self.send_to_entry(EntryInput::Expired(name)).await,
+                GossipAction::Vouch(names) => self.send_to_entry(EntryInput::Vouch(names)).await,
                 GossipAction::Member(news) => {
-                    let standing = standing_word(news.standing);
+                    let standing = lifecycle_label(news.standing);
                     tracing::info!("member: {} of {} is {standing}", news.name, news.domain);
                 }
             }
         }
     }
 
-    async fn hand_on(&self, input: EntryInput) {
+    async fn send_to_entry(&self, input: EntryInput) {
         self.entry.put(EntryMessage::Input(input)).await;
     }
 
     /// Divides the servers' limits anew if the members call for it.
-    async fn divide(&mut self) {
-        let there = self.machine.others().count() as u32 + 1;
-        if let Some(count) = self.shares.update(there, self.started.elapsed()) {
+    async fn update_limit_divisor(&mut self) {
+        let member_count = self.machine.others().count() as u32 + 1;
+        if let Some(count) = self
+            .limit_divisor
+            .update(member_count, self.process_clock.elapsed())
+        {
             tracing::info!("share: servers' limits divided by {count} instances");
-            self.hand_on(EntryInput::Instances(count)).await;
+            self.send_to_entry(EntryInput::Instances(count)).await;
         }
     }
 
@@ -164,20 +167,20 @@
         })
     }
 
-    fn members(&self) -> Vec<MemberStatus> {
+    fn list_members(&self) -> Vec<MemberStatus> {
         let others = self.machine.members();
         let members = others.chain([self.machine.own()]).map(|news| MemberStatus {
             name: news.name.clone(),
             domain: news.domain.clone(),
             address: news.address,
             incarnation: news.incarnation,
-            standing: standing_word(news.standing).to_string(),
+            standing: lifecycle_label(news.standing).to_string(),
         });
         members.collect()
     }
 }
 
-fn standing_word(standing: MemberStanding) -> &'static str {
+fn lifecycle_label(standing: MemberStanding) -> &'static str {
     match standing {
         MemberStanding::Alive => "alive",
         MemberStanding::Suspect => "suspect",
--- a/crates/node/src/process/group/replica.rs
+++ b/crates/node/src/process/group/replica.rs
@@ -347,7 +347,7 @@
                 self.wake.notified().await;
                 continue;
             };
-            let wait = self.clock.sleep_until(next);
+            let wait = self.clock.sleep_time_until(next);
             tokio::select! {
                 () = tokio::time::sleep(wait) => self.step_replica(ReplicaInput::Wake),
                 () = self.wake.notified() => {}
--- a/crates/node/src/process/instance.rs
+++ b/crates/node/src/process/instance.rs
@@ -16,16 +16,16 @@
 
 use crate::process::announce::{announce_router, AnnounceState};
 use crate::process::callers::{caller_router, CallerState};
-use crate::process::change::ChangeDesk;
+use crate::process::change::ControlClient;
 use crate::process::clock::ProcessClock;
 use crate::process::control::ControlDriver;
-use crate::process::duty::{join_all, start_thread, DutyStarter, ListenPlan};
+use crate::process::duty::{join_threads, start_thread, ListenerThread, ThreadSpawner};
 use crate::process::entry::{EntryDriver, EntryMessage};
-use crate::process::fence::{wall_clock_ms, FenceDesk};
-use crate::process::gossip::{GossipDriver, GossipOrder, ShareCount};
+use crate::process::fence::{wall_clock_ms, FenceClient};
+use crate::process::gossip::{GossipCommand, GossipDriver, LimitDivisor};
 use crate::process::journal::new_journal;
-use crate::process::measures::MeasureBook;
-use crate::process::member::{make_links, open_replica, read_key};
+use crate::process::measures::InstanceMetrics;
+use crate::process::member::{create_links, open_replica, read_key};
 use crate::process::operators::{operator_router, OperatorState};
 use crate::process::peers::{peer_router, PeerState};
 use crate::process::ready::ReadyFlag;
@@ -34,21 +34,21 @@
 use crate::settings::model::{ClusterSettings, InstanceSettings};
 
 /// Room of the ring into the entry thread.
-const ENTRY_RING: usize = 8_192;
+const ENTRY_RING_LENGTH: usize = 8_192;
 /// Room of the ring into the upstreams thread.
-const UPSTREAM_RING: usize = 16_384;
+const UPSTREAM_RING_LENGTH: usize = 16_384;
 /// Most connections of operators.
-const OPERATOR_CONNECTIONS: usize = 64;
+const MAX_OPERATOR_CONNECTIONS: usize = 64;
 /// Room of the ring into the gossip thread.
-const GOSSIP_RING: usize = 8_192;
+const GOSSIP_RING_LENGTH: usize = 8_192;
 /// Room of the ring into the control thread.
-const CONTROL_RING: usize = 4_096;
+const CONTROL_RING_LENGTH: usize = 4_096;
 /// Time the news of a leave gets to reach the other members.
-const FAREWELL_TIME: Duration = Duration::from_millis(100);
+const LEAVE_SEND_TIME: Duration = Duration::from_millis(100);
 /// Most connections of other instances.
-const PEER_CONNECTIONS: usize = 1_024;
+const MAX_PEER_CONNECTIONS: usize = 1_024;
 /// Most connections of upstream servers.
-const ANNOUNCE_CONNECTIONS: usize = 4_096;
+const MAX_ANNOUNCE_CONNECTIONS: usize = 4_096;
 
 /// What an instance is started with.
 #[derive(Debug)]
@@ -74,14 +74,14 @@
     pub upstreams: SocketAddr,
     /// Where other instances reach it, if it is not alone.
     pub peers: Option<SocketAddr>,
-    gossip: Option<RingSender<GossipOrder>>,
+    gossip: Option<RingSender<GossipCommand>>,
     entry: RingSender<EntryMessage>,
     ready: ReadyFlag,
-    notice: Duration,
+    drain_notice: Duration,
     stop_callers: watch::Sender<bool>,
     stop_others: watch::Sender<bool>,
     callers_ended: oneshot::Receiver<()>,
-    left: oneshot::Receiver<()>,
+    entry_left: oneshot::Receiver<()>,
     kill: watch::Sender<bool>,
     threads: Vec<JoinHandle<()>>,
 }
@@ -96,15 +96,15 @@
         setup: InstanceSetup<P>,
     ) -> anyhow::Result<InstanceHandle> {
         let settings = setup.settings;
-        let (entry, entry_ring) = bounded_ring(ENTRY_RING);
-        let (upstreams, upstream_ring) = bounded_ring(UPSTREAM_RING);
-        let (journal, book, writer) = new_journal(settings.log.decisions);
-        let (left_sender, left) = oneshot::channel();
+        let (entry, entry_ring) = bounded_ring(ENTRY_RING_LENGTH);
+        let (upstreams, upstream_ring) = bounded_ring(UPSTREAM_RING_LENGTH);
+        let (journal, decisions, writer) = new_journal(settings.log.decisions);
+        let (left_sender, entry_left) = oneshot::channel();
         let (stop_callers, callers_stop) = watch::channel(false);
         let (stop_others, others_stop) = watch::channel(false);
         let ready = ReadyFlag::default();
         let (kill, killed) = watch::channel(false);
-        let duties = DutyStarter { killed };
+        let spawner = ThreadSpawner { killed };
 
         let mut threads = vec![start_thread("journal", move || writer.run())?];
         let options = EntryOptions::builder()
@@ -116,24 +116,24 @@
             .guards(setup.guards)
             .build();
         let clock = ProcessClock::start();
-        let driver = EntryDriver {
+        let entry_driver = EntryDriver {
             machine: EntryMachine::new(options, setup.policy),
             ring: entry_ring,
             upstreams,
             journal,
-            started: clock,
-            left: Some(left_sender),
-            learned: ready.learned.clone(),
-            outcomes: HashMap::new(),
+            process_clock: clock,
+            left_sender: Some(left_sender),
+            entry_ready: ready.entry_ready.clone(),
+            outcome_senders: HashMap::new(),
         };
-        threads.push(duties.start("entry", driver.run())?);
-        let driver = UpstreamDriver {
+        threads.push(spawner.start("entry", entry_driver.run())?);
+        let upstream_driver = UpstreamDriver {
             ring: upstream_ring,
             entry: entry.clone(),
             source: settings.source,
             clock,
         };
-        threads.push(duties.start("upstreams", driver.run())?);
+        threads.push(spawner.start("upstreams", upstream_driver.run())?);
         if let Some(table) = setup.table {
             let message = EntryMessage::Input(EntryInput::Table(table));
             if entry.offer(message).is_err() {
@@ -141,50 +141,54 @@
             }
         }
 
-        let started = ProcessClock::start();
-        let mut desk = None;
+        let process_clock = ProcessClock::start();
+        let mut control_client = None;
         let mut peers = None;
         let mut gossip = None;
         if let Some(cluster) = &settings.cluster {
-            let place = MemberPlace {
+            let cluster_start = ClusterStart {
                 cluster,
                 settings: &settings,
                 entry: &entry,
                 stop: others_stop.clone(),
-                started,
+                process_clock,
             };
-            let parts = place.start(&duties, &mut threads)?;
-            desk = Some(parts.desk);
-            peers = Some(parts.address);
-            gossip = Some(parts.gossip);
+            let cluster_parts = cluster_start.start(&spawner, &mut threads)?;
+            control_client = Some(cluster_parts.control_client);
+            peers = Some(cluster_parts.address);
+            gossip = Some(cluster_parts.gossip);
         }
         let router = caller_router(CallerState {
             entry: entry.clone(),
             ready: ready.clone(),
-            fence: desk.clone().map(|desk| FenceDesk { desk }),
+            fence: control_client
+                .clone()
+                .map(|control_client| FenceClient { control_client }),
         });
-        let listen = ListenPlan::new("callers", settings.callers, settings.connections as usize);
-        let (callers, callers_ended) = listen.start(router, callers_stop, &duties, &mut threads)?;
-        let listen = ListenPlan::new("announce", settings.upstreams, ANNOUNCE_CONNECTIONS);
+        let listen =
+            ListenerThread::new("callers", settings.callers, settings.connections as usize);
+        let (callers, callers_ended) =
+            listen.start(router, callers_stop, &spawner, &mut threads)?;
+        let listen = ListenerThread::new("announce", settings.upstreams, MAX_ANNOUNCE_CONNECTIONS);
         let router = announce_router(AnnounceState {
             entry: entry.clone(),
             gossip: gossip.clone(),
         });
-        let (upstreams, _) = listen.start(router, others_stop.clone(), &duties, &mut threads)?;
+        let (upstreams, _) = listen.start(router, others_stop.clone(), &spawner, &mut threads)?;
         let token = settings.operator_token.as_ref().map(read_key).transpose()?;
         let router = operator_router(OperatorState {
-            desk,
+            control_client,
             gossip: gossip.clone(),
             token,
             instance: settings.instance.as_str().into(),
             domain: settings.domain.as_str().into(),
             entry: entry.clone(),
-            book,
-            measures: Arc::new(MeasureBook::new(&settings.instance)),
+            decisions,
+            metrics: Arc::new(InstanceMetrics::new(&settings.instance)),
             ready: ready.clone(),
         });
-        let listen = ListenPlan::new("operators", settings.operators, OPERATOR_CONNECTIONS);
-        let (operators, _) = listen.start(router, others_stop, &duties, &mut threads)?;
+        let listen = ListenerThread::new("operators", settings.operators, MAX_OPERATOR_CONNECTIONS);
+        let (operators, _) = listen.start(router, others_stop, &spawner, &mut threads)?;
         tracing::info!(
             "instance: {} listens for callers on {callers}, operators on {operators}, \
              upstreams on {upstreams}",
@@ -198,11 +202,11 @@
             gossip,
             entry,
             ready,
-            notice: settings.drain_notice,
+            drain_notice: settings.drain_notice,
             stop_callers,
             stop_others,
             callers_ended,
-            left,
+            entry_left,
             kill,
             threads,
         })
@@ -211,24 +215,24 @@
     /// Leaves gracefully: not ready, then no new connections, then to the end
     /// of the last request, then gone. Cuts off no request.
     pub async fn shut_down(self) {
-        self.ready.leave();
-        tracing::info!("instance: not ready, leaving in {:.1?}", self.notice);
-        tokio::time::sleep(self.notice).await;
+        self.ready.start_leaving();
+        tracing::info!("instance: not ready, leaving in {:.1?}", self.drain_notice);
+        tokio::time::sleep(self.drain_notice).await;
         let _ = self.stop_callers.send(true);
         // Fails only if the thread has ended already.
         let _ = self.callers_ended.await;
         self.entry.put(EntryMessage::Input(EntryInput::Leave)).await;
-        let _ = self.left.await;
+        let _ = self.entry_left.await;
         if let Some(gossip) = &self.gossip {
             let leave = Box::new(GossipInput::Leave);
-            gossip.put(GossipOrder::Input(leave)).await;
-            tokio::time::sleep(FAREWELL_TIME).await;
+            gossip.put(GossipCommand::Input(leave)).await;
+            tokio::time::sleep(LEAVE_SEND_TIME).await;
         }
         let _ = self.stop_others.send(true);
         tracing::info!("instance: left");
         self.entry.put(EntryMessage::End).await;
         let threads = self.threads;
-        let joined = tokio::task::spawn_blocking(move || join_all(threads)).await;
+        let joined = tokio::task::spawn_blocking(move || join_threads(threads)).await;
         if joined.is_err() {
             tracing::error!("instance: a thread ended badly");
         }
@@ -237,7 +241,7 @@
     /// Ends all threads where they stand, as a crash would; for tests.
     pub fn kill(self) {
         let _ = self.kill.send(true);
-        join_all(self.threads);
+        join_threads(self.threads);
     }
 }
 
@@ -249,69 +253,69 @@
 }
 
 /// What an instance's part in the deployment is started with.
-struct MemberPlace<'a> {
+struct ClusterStart<'a> {
     cluster: &'a ClusterSettings,
     settings: &'a InstanceSettings,
     entry: &'a RingSender<EntryMessage>,
     stop: watch::Receiver<bool>,
-    started: ProcessClock,
+    process_clock: ProcessClock,
 }
 
 /// The parts of an instance that the others reach.
-struct MemberParts {
-    desk: ChangeDesk,
-    gossip: RingSender<GossipOrder>,
+struct ClusterParts {
+    control_client: ControlClient,
+    gossip: RingSender<GossipCommand>,
     address: SocketAddr,
 }
 
-impl MemberPlace<'_> {
+impl ClusterStart<'_> {
     /// Starts the control and the gossip thread, and the listener for other
     /// instances.
     fn start(
         self,
-        duties: &DutyStarter,
+        spawner: &ThreadSpawner,
         threads: &mut Vec<JoinHandle<()>>,
-    ) -> anyhow::Result<MemberParts> {
+    ) -> anyhow::Result<ClusterParts> {
         let key = read_key(&self.cluster.key)?;
-        let (links, tellers) = make_links(self.cluster, &key);
-        let replica = open_replica(self.cluster, &self.settings.instance, self.started)?;
-        let (control, ring) = bounded_ring(CONTROL_RING);
-        let (gossip, gossip_ring) = bounded_ring(GOSSIP_RING);
+        let (links, tellers) = create_links(self.cluster, &key);
+        let replica = open_replica(self.cluster, &self.settings.instance, self.process_clock)?;
+        let (control, ring) = bounded_ring(CONTROL_RING_LENGTH);
+        let (gossip, gossip_ring) = bounded_ring(GOSSIP_RING_LENGTH);
         let router = peer_router(PeerState {
             control: control.clone(),
             gossip: gossip.clone(),
             key: key.clone(),
         });
-        let listen = ListenPlan::new("peers", self.cluster.listen, PEER_CONNECTIONS);
-        let (address, _) = listen.start(router, self.stop.clone(), duties, threads)?;
+        let listen = ListenerThread::new("peers", self.cluster.listen, MAX_PEER_CONNECTIONS);
+        let (address, _) = listen.start(router, self.stop.clone(), spawner, threads)?;
         let driver = ControlDriver {
             replica,
             table: None,
             peers: links.clone(),
             ring,
-            own: control.clone(),
+            self_sender: control.clone(),
             entry: self.entry.clone(),
-            started: self.started,
-            waiting: HashMap::new(),
-            proposals: 0,
+            process_clock: self.process_clock,
+            pending_proposals: HashMap::new(),
+            last_proposal_tag: 0,
         };
-        let duty = async move {
+        let task = async move {
             for teller in tellers {
                 tokio::spawn(teller.run());
             }
             driver.run().await;
         };
-        threads.push(duties.start("control", until_stopped(duty, self.stop.clone()))?);
+        threads.push(spawner.start("control", until_stopped(task, self.stop.clone()))?);
         let driver = self.gossip_driver(gossip_ring, address, key);
-        let duty = until_stopped(driver.run(), self.stop);
-        threads.push(duties.start("gossip", duty)?);
+        let task = until_stopped(driver.run(), self.stop);
+        threads.push(spawner.start("gossip", task)?);
         let replicas = links.into_iter().filter(|link| link.replica.is_some());
-        let desk = ChangeDesk {
+        let control_client = ControlClient {
             control,
             replicas: replicas.collect(),
         };
-        Ok(MemberParts {
-            desk,
+        Ok(ClusterParts {
+            control_client,
             gossip,
             address,
         })
@@ -319,11 +323,11 @@
 
     fn gossip_driver(
         &self,
-        ring: RingReceiver<GossipOrder>,
+        ring: RingReceiver<GossipCommand>,
         address: SocketAddr,
         key: Arc<str>,
     ) -> GossipDriver {
-        let own = MemberNews {
+        let local_member = MemberNews {
             name: self.settings.instance.clone(),
             address,
             domain: self.settings.domain.clone(),
@@ -332,21 +336,26 @@
         };
         let seeds = self.cluster.peers.iter().map(|peer| peer.address).collect();
         GossipDriver {
-            machine: GossipMachine::new(own, seeds, rand::random(), self.started.elapsed()),
+            machine: GossipMachine::new(
+                local_member,
+                seeds,
+                rand::random(),
+                self.process_clock.elapsed(),
+            ),
             ring,
             entry: self.entry.clone(),
             key,
-            started: self.started,
+            process_clock: self.process_clock,
             links: HashMap::new(),
-            shares: ShareCount::new(instance_count(self.settings)),
+            limit_divisor: LimitDivisor::new(instance_count(self.settings)),
         }
     }
 }
 
 /// Runs a duty until its end or until the instance stops.
-async fn until_stopped(duty: impl Future<Output = ()>, mut stop: watch::Receiver<bool>) {
+async fn until_stopped(task: impl Future<Output = ()>, mut stop: watch::Receiver<bool>) {
     tokio::select! {
-        () = duty => {}
+        () = task => {}
         _ = stop.wait_for(|stop| *stop) => {}
     }
 }
--- a/crates/node/src/process/journal.rs
+++ b/crates/node/src/process/journal.rs
@@ -10,11 +10,11 @@
 use wheelmast_wire::prelude::DecisionLine;
 
 /// Decisions that may wait for the journal thread.
-const RING_LENGTH: usize = 16_384;
+const QUEUE_LENGTH: usize = 16_384;
 /// Decisions kept to be looked up.
-const KEPT: usize = 50_000;
+const MAX_STORED_DECISIONS: usize = 50_000;
 /// Decisions a slow watcher may lag behind before it misses some.
-const WATCH_LENGTH: usize = 4_096;
+const WATCHER_QUEUE_LENGTH: usize = 4_096;
 
 /// The sending end of the journal; decisions that find it full are counted
 /// and not recorded, so that the request path never waits.
@@ -35,36 +35,36 @@
 
 /// The decisions of an instance, as far as they are kept.
 #[derive(Debug, Clone)]
-pub struct JournalBook {
-    kept: Arc<Mutex<VecDeque<DecisionEvent>>>,
+pub struct DecisionHistory {
+    stored: Arc<Mutex<VecDeque<DecisionEvent>>>,
     watchers: broadcast::Sender<Arc<DecisionLine>>,
     dropped: Arc<AtomicU64>,
 }
 
-impl JournalBook {
-    fn kept(&self) -> MutexGuard<'_, VecDeque<DecisionEvent>> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+impl DecisionHistory {
+    fn stored(&self) -> MutexGuard<'_, VecDeque<DecisionEvent>> {
+        self.stored.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns the decisions of one request, oldest first.
     pub fn explain(&self, request: RequestId) -> Vec<DecisionLine> {
-        let kept = self.kept();
-        let events = kept.iter();
+        let stored = self.stored();
+        let events = stored.iter();
         events
             .filter(|event| event.request == Some(request))
-            .map(line_of)
+            .map(to_decision_line)
             .collect()
     }
 
     /// Returns the last decisions, oldest first.
-    pub fn last(&self, count: usize) -> Vec<DecisionLine> {
-        let kept = self.kept();
-        let skipped = kept.len().saturating_sub(count);
-        kept.iter().skip(skipped).map(line_of).collect()
+    pub fn list_latest(&self, count: usize) -> Vec<DecisionLine> {
+        let stored = self.stored();
+        let skipped = stored.len().saturating_sub(count);
+        stored.iter().skip(skipped).map(to_decision_line).collect()
     }
 
     /// Returns a stream of the decisions to come.
-    pub fn watch(&self) -> broadcast::Receiver<Arc<DecisionLine>> {
+    pub fn subscribe(&self) -> broadcast::Receiver<Arc<DecisionLine>> {
         self.watchers.subscribe()
     }
 
@@ -73,12 +73,12 @@
         self.dropped.load(Ordering::Relaxed)
     }
 
-    fn keep(&self, event: DecisionEvent) {
-        let mut kept = self.kept();
-        if kept.len() == KEPT {
-            kept.pop_front();
+    fn store(&self, event: DecisionEvent) {
+        let mut stored = self.stored();
+        if stored.len() == MAX_STORED_DECISIONS {
+            stored.pop_front();
         }
-        kept.push_back(event);
+        stored.push_back(event);
     }
 }
 
@@ -86,52 +86,55 @@
 #[derive(Debug)]
 pub struct JournalWriter {
     receiver: Receiver<DecisionEvent>,
-    book: JournalBook,
-    logs: bool,
+    history: DecisionHistory,
+    writes_log: bool,
 }
 
-/// Makes a journal. With `logs`, each decision is a log line as well.
-pub fn new_journal(logs: bool) -> (JournalSender, JournalBook, JournalWriter) {
-    let (sender, receiver) = sync_channel(RING_LENGTH);
+/// Makes a journal. With `writes_log`, each decision is a log line as well.
+pub fn new_journal(writes_log: bool) -> (JournalSender, DecisionHistory, JournalWriter) {
+    let (sender, receiver) = sync_channel(QUEUE_LENGTH);
     let dropped = Arc::new(AtomicU64::new(0));
-    let (watchers, _) = broadcast::channel(WATCH_LENGTH);
-    let book = JournalBook {
-        kept: Arc::default(),
+    let (watchers, _) = broadcast::channel(WATCHER_QUEUE_LENGTH);
+    let history = DecisionHistory {
+        stored: Arc::default(),
         watchers,
         dropped: dropped.clone(),
     };
     let writer = JournalWriter {
         receiver,
-        book: book.clone(),
-        logs,
+        history: history.clone(),
+        writes_log,
     };
-    (JournalSender { sender, dropped }, book, writer)
+    (JournalSender { sender, dropped }, history, writer)
 }
 
 impl JournalWriter {
     /// Runs until all senders are gone.
     pub fn run(self) {
         for event in self.receiver {
-            if self.logs {
-                write_log(&event);
+            if self.writes_log {
+                log_decision(&event);
             }
-            if self.book.watchers.receiver_count() > 0 {
+            if self.history.watchers.receiver_count() > 0 {
                 // Fails only if the last watcher left just now.
-                let _ = self.book.watchers.send(Arc::new(line_of(&event)));
+                let _ = self
+                    .history
+                    .watchers
+                    .send(Arc::new(to_decision_line(&event)));
             }
-            self.book.keep(event);
+            self.history.store(event);
         }
     }
 }
 
-fn write_log(event: &DecisionEvent) {
+fn log_decision(event: &DecisionEvent) {
     match event.request {
         Some(request) => tracing::info!(%request, "{}", event.decision),
         None => tracing::info!("{}", event.decision),
     }
 }
 
-fn line_of(event: &DecisionEvent) -> DecisionLine {
+fn to_decision_line(event: &DecisionEvent) -> DecisionLine {
     DecisionLine {
         at_ms: event.at.as_secs_f64() * 1e3,
         request: event.request.map(|request| request.to_string()),
--- a/crates/node/src/process/loop_watch.rs
+++ b/crates/node/src/process/loop_watch.rs
@@ -11,39 +11,39 @@
 use crate::process::clock::ProcessClock;
 
 /// Time from one round to the next.
-const ROUND_TIME: Duration = Duration::from_millis(50);
+const ROUND_INTERVAL: Duration = Duration::from_millis(50);
 /// Longest time between a round's due time and what is read that counts as
 /// none: two rounds of a loop that keeps up are no further apart.
-const PROMPT_TIME: Duration = Duration::from_millis(100);
+const MAX_PROMPT_DELAY: Duration = Duration::from_millis(100);
 
 /// Watches how late a loop is.
 #[derive(Debug)]
-pub struct LoopWatch {
+pub struct LoopDelayMonitor {
     clock: ProcessClock,
     /// When the last round that has run was due.
     due: Cell<Duration>,
-    held_up: Cell<u64>,
+    late_count: Cell<u64>,
 }
 
-impl LoopWatch {
+impl LoopDelayMonitor {
     /// Returns a watch of a loop that has just run.
-    pub fn new(clock: ProcessClock) -> LoopWatch {
-        LoopWatch {
+    pub fn new(clock: ProcessClock) -> LoopDelayMonitor {
+        LoopDelayMonitor {
             clock,
             due: Cell::new(clock.elapsed()),
-            held_up: Cell::new(0),
+            late_count: Cell::new(0),
         }
     }
 
     /// Makes the rounds, until the loop ends.
-    pub async fn keep(&self) {
+    pub async fn run(&self) {
         loop {
-            let due = self.clock.elapsed() + ROUND_TIME;
-            tokio::time::sleep(ROUND_TIME).await;
+            let due = self.clock.elapsed() + ROUND_INTERVAL;
+            tokio::time::sleep(ROUND_INTERVAL).await;
             self.due.set(due);
-            let late = self.unread_time();
+            let late = self.max_read_delay();
             if late > Duration::ZERO {
-                self.held_up.set(self.held_up.get() + 1);
+                self.late_count.set(self.late_count.get() + 1);
                 tracing::warn!(target: "entry", late_ms = late.as_millis() as u64, "entry: held up");
             }
         }
@@ -51,9 +51,9 @@
 
     /// Returns how long what is read now may have lain unread; zero of a loop
     /// that keeps up.
-    pub fn unread_time(&self) -> Duration {
+    pub fn max_read_delay(&self) -> Duration {
         let unread = self.clock.elapsed().saturating_sub(self.due.get());
-        if unread > PROMPT_TIME {
+        if unread > MAX_PROMPT_DELAY {
             unread
         } else {
             Duration::ZERO
@@ -63,7 +63,7 @@
     /// Returns when what is read now may have come at the earliest, since the
     /// process started.
     pub fn earliest(&self) -> Duration {
-        self.now().saturating_sub(self.unread_time())
+        self.now().saturating_sub(self.max_read_delay())
     }
 
     /// Returns when the last round that has run was due: what was there by then
@@ -78,7 +78,7 @@
     }
 
     /// Returns how often a round came late.
-    pub fn times_held_up(&self) -> u64 {
-        self.held_up.get()
+    pub fn late_rounds(&self) -> u64 {
+        self.late_count.get()
     }
 }
--- a/crates/node/src/process/measures.rs
+++ b/crates/node/src/process/measures.rs
@@ -11,33 +11,33 @@
 use crate::process::status::EntryReport;
 
 /// The metrics of one instance.
-pub struct MeasureBook {
+pub struct InstanceMetrics {
     recorder: PrometheusRecorder,
 }
 
-impl fmt::Debug for MeasureBook {
+impl fmt::Debug for InstanceMetrics {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("MeasureBook")
     }
 }
 
-impl MeasureBook {
+impl InstanceMetrics {
     /// Returns the metrics of an instance of this name.
-    pub fn new(instance: &str) -> MeasureBook {
+    pub fn new(instance: &str) -> InstanceMetrics {
         let builder = PrometheusBuilder::new().add_global_label("instance", instance);
-        MeasureBook {
+        InstanceMetrics {
             recorder: builder.build_recorder(),
         }
     }
 
     /// Renders all metrics as of `report`.
     pub fn render(&self, report: &EntryReport, decisions_dropped: u64) -> String {
-        with_local_recorder(&self.recorder, || copy(report, decisions_dropped));
+        with_local_recorder(&self.recorder, || update_metrics(report, decisions_dropped));
         self.recorder.handle().render()
     }
 }
 
-fn copy(report: &EntryReport, decisions_dropped: u64) {
+fn update_metrics(report: &EntryReport, decisions_dropped: u64) {
     let counts = &report.counters;
     let totals = [
         ("wheelmast_requests_total", counts.submitted),
--- a/crates/node/src/process/member.rs
+++ b/crates/node/src/process/member.rs
@@ -12,13 +12,13 @@
 
 use crate::connection::peer::{PeerLink, PeerTeller};
 use crate::process::clock::ProcessClock;
-use crate::process::control::ReplicaDuty;
+use crate::process::control::StoredReplica;
 use crate::process::store::folder::{DataFolder, FolderIdentity, FOLDER_FORMAT};
 use crate::process::store::replica_store::ReplicaStore;
 use crate::settings::model::{ClusterSettings, KeySource};
 
 /// Least length of a key, in bytes.
-const KEY_LENGTH: usize = 16;
+const MIN_KEY_BYTES: usize = 16;
 
 /// Returns the identity of the replica at an instance.
 pub fn replica_id(instance: &str) -> ReplicaId {
@@ -37,9 +37,9 @@
             .with_context(|| format!("could not read key file {}", path.display()))?,
     };
     let key = text.lines().next().unwrap_or_default().trim();
-    if key.len() < KEY_LENGTH {
+    if key.len() < MIN_KEY_BYTES {
         bail!(
-            "could not take a key of {} bytes: {KEY_LENGTH} are the least",
+            "could not take a key of {} bytes: {MIN_KEY_BYTES} are the least",
             key.len()
         );
     }
@@ -47,7 +47,7 @@
 }
 
 /// Makes the links to the other instances.
-pub fn make_links(cluster: &ClusterSettings, key: &Arc<str>) -> (Vec<PeerLink>, Vec<PeerTeller>) {
+pub fn create_links(cluster: &ClusterSettings, key: &Arc<str>) -> (Vec<PeerLink>, Vec<PeerTeller>) {
     let links = cluster.peers.iter().map(|peer| {
         let replica = peer.is_replica.then(|| replica_id(&peer.name));
         PeerLink::new(&peer.name, peer.address, replica, key.clone())
@@ -63,14 +63,14 @@
 pub fn open_replica(
     cluster: &ClusterSettings,
     instance: &str,
-    started: ProcessClock,
-) -> anyhow::Result<Option<ReplicaDuty>> {
+    process_clock: ProcessClock,
+) -> anyhow::Result<Option<StoredReplica>> {
     let Some(path) = &cluster.data_folder else {
         return Ok(None);
     };
-    let folder = DataFolder::open(path, &identity(cluster, instance))?;
+    let folder = DataFolder::open(path, &folder_identity(cluster, instance))?;
     let store = ReplicaStore::open(folder)?;
-    let kept = store.kept().clone();
+    let persisted = store.kept().clone();
     let mut members = vec![replica_id(instance)];
     let replicas = cluster.peers.iter().filter(|peer| peer.is_replica);
     members.extend(replicas.map(|peer| replica_id(&peer.name)));
@@ -79,16 +79,16 @@
         id: replica_id(instance),
         members,
         target_size: 0,
-        hard_state: kept.hard_state,
-        snapshot: (kept.place, kept.state),
-        entries: kept.entries,
-        commit: kept.commit,
+        hard_state: persisted.hard_state,
+        snapshot: (persisted.place, persisted.state),
+        entries: persisted.entries,
+        commit: persisted.commit,
         timing: ReplicaTiming::default(),
         safety_checks: SafetyChecks::default(),
         seed: rand::random(),
     };
-    let now: Duration = started.elapsed();
-    Ok(Some(ReplicaDuty {
+    let now: Duration = process_clock.elapsed();
+    Ok(Some(StoredReplica {
         machine: ReplicaMachine::new(start, now),
         store,
     }))
@@ -99,15 +99,15 @@
 /// # Errors
 ///
 /// Fails if the folder holds data already.
-pub fn initialize(cluster: &ClusterSettings, instance: &str) -> anyhow::Result<()> {
+pub fn initialize_data_folder(cluster: &ClusterSettings, instance: &str) -> anyhow::Result<()> {
     let Some(path) = &cluster.data_folder else {
         bail!("could not initialize: the settings name no data_folder");
     };
-    DataFolder::create(path, &identity(cluster, instance))?;
+    DataFolder::create(path, &folder_identity(cluster, instance))?;
     Ok(())
 }
 
-fn identity(cluster: &ClusterSettings, instance: &str) -> FolderIdentity {
+fn folder_identity(cluster: &ClusterSettings, instance: &str) -> FolderIdentity {
     FolderIdentity {
         cluster: cluster.cluster.clone(),
         instance: instance.to_string(),
--- a/crates/node/src/process/operators.rs
+++ b/crates/node/src/process/operators.rs
@@ -20,11 +20,11 @@
     DecisionLine, InstanceStatus, ProblemBody, TableChange, TableStatus, VersionLine,
 };
 
-use crate::process::change::{ChangeDesk, ChangeResult};
-use crate::process::entry::{complete_status, inspect, EntryMessage};
-use crate::process::gossip::GossipOrder;
-use crate::process::journal::JournalBook;
-use crate::process::measures::MeasureBook;
+use crate::process::change::{ChangeResult, ControlClient};
+use crate::process::entry::{add_identity, request_report, EntryMessage};
+use crate::process::gossip::GossipCommand;
+use crate::process::journal::DecisionHistory;
+use crate::process::measures::InstanceMetrics;
 use crate::process::peers::has_key;
 use crate::process::ready::ReadyFlag;
 use crate::request::respond::respond_problem;
@@ -41,17 +41,17 @@
     /// Its failure domain.
     pub domain: Arc<str>,
     /// Reaches the control group, if the instance is not alone.
-    pub desk: Option<ChangeDesk>,
+    pub control_client: Option<ControlClient>,
     /// The gossip thread, if the instance is not alone.
-    pub gossip: Option<RingSender<GossipOrder>>,
+    pub gossip: Option<RingSender<GossipCommand>>,
     /// Token that operators must show for changes, if any.
     pub token: Option<Arc<str>>,
     /// The entry thread.
     pub entry: RingSender<EntryMessage>,
     /// The decisions.
-    pub book: JournalBook,
+    pub decisions: DecisionHistory,
     /// The metrics.
-    pub measures: Arc<MeasureBook>,
+    pub metrics: Arc<InstanceMetrics>,
     /// Whether new requests are wanted.
     pub ready: ReadyFlag,
 }
@@ -59,19 +59,19 @@
 /// Returns the routes towards operators.
 pub fn operator_router(state: OperatorState) -> Router {
     Router::new()
-        .route("/metrics", get(metrics))
-        .route("/ready", get(ready))
-        .route("/v1/status", get(status))
-        .route("/v1/decisions", get(decisions))
-        .route("/v1/decisions/stream", get(stream))
-        .route("/v1/explain/{request}", get(explain))
-        .route("/v1/members", get(members))
-        .route("/v1/table", get(table).post(change))
-        .route("/v1/table/history", get(history))
+        .route("/metrics", get(get_metrics))
+        .route("/ready", get(get_ready))
+        .route("/v1/status", get(get_status))
+        .route("/v1/decisions", get(get_decisions))
+        .route("/v1/decisions/stream", get(stream_decisions))
+        .route("/v1/explain/{request}", get(explain_request))
+        .route("/v1/members", get(get_members))
+        .route("/v1/table", get(get_table).post(post_change))
+        .route("/v1/table/history", get(get_history))
         .with_state(state)
 }
 
-async fn ready(State(state): State<OperatorState>) -> StatusCode {
+async fn get_ready(State(state): State<OperatorState>) -> StatusCode {
     if state.ready.is_ready() {
         StatusCode::OK
     } else {
@@ -82,16 +82,16 @@
 /// Header with the operators' token.
 const TOKEN_HEADER: &str = "wheelmast-token";
 
-fn alone() -> Response {
+fn respond_no_control_group() -> Response {
     let detail = "the instance is alone: its table comes from its settings";
     respond_problem(&ProblemBody::early(404, "no-control-group", detail))
 }
 
-async fn table(State(state): State<OperatorState>) -> Response {
-    let Some(desk) = &state.desk else {
-        return alone();
+async fn get_table(State(state): State<OperatorState>) -> Response {
+    let Some(control_client) = &state.control_client else {
+        return respond_no_control_group();
     };
-    let table = desk.table().await;
+    let table = control_client.fetch_table().await;
     Json(TableStatus {
         version: table.as_ref().map_or(0, |table| table.version),
         csv: table.map(|table| table.csv).unwrap_or_default(),
@@ -99,31 +99,35 @@
     .into_response()
 }
 
-async fn members(State(state): State<OperatorState>) -> Response {
+async fn get_members(State(state): State<OperatorState>) -> Response {
     let Some(gossip) = &state.gossip else {
-        return alone();
+        return respond_no_control_group();
     };
     let (reply, answer) = oneshot::channel();
-    gossip.put(GossipOrder::Members(reply)).await;
+    gossip.put(GossipCommand::Members(reply)).await;
     match answer.await {
         Ok(members) => Json(members).into_response(),
         Err(_) => StatusCode::SERVICE_UNAVAILABLE.into_response(),
     }
 }
 
-async fn history(State(state): State<OperatorState>) -> Response {
-    let Some(desk) = &state.desk else {
-        return alone();
+async fn get_history(State(state): State<OperatorState>) -> Response {
+    let Some(control_client) = &state.control_client else {
+        return respond_no_control_group();
     };
-    let versions = desk.history().await.into_iter().map(|table| VersionLine {
-        version: table.version,
-        change: table.change,
-        note: table.note,
-    });
+    let versions = control_client
+        .fetch_history()
+        .await
+        .into_iter()
+        .map(|table| VersionLine {
+            version: table.version,
+            change: table.change,
+            note: table.note,
+        });
     Json(versions.collect::<Vec<_>>()).into_response()
 }
 
-async fn change(
+async fn post_change(
     State(state): State<OperatorState>,
     headers: HeaderMap,
     Json(change): Json<TableChange>,
@@ -135,10 +139,10 @@
             return respond_problem(&ProblemBody::early(403, "wrong-token", detail));
         }
     }
-    let Some(desk) = &state.desk else {
-        return alone();
+    let Some(control_client) = &state.control_client else {
+        return respond_no_control_group();
     };
-    match desk.apply(change).await {
+    match control_client.apply_change(change).await {
         ChangeResult::Decided(body) => Json(body).into_response(),
         ChangeResult::NoLeader => {
             let detail = "no leader of the control group is in reach; nothing was changed";
@@ -156,24 +160,24 @@
     }
 }
 
-async fn metrics(State(state): State<OperatorState>) -> Response {
-    match inspect(&state.entry).await {
+async fn get_metrics(State(state): State<OperatorState>) -> Response {
+    match request_report(&state.entry).await {
         Some(report) => state
-            .measures
-            .render(&report, state.book.dropped())
+            .metrics
+            .render(&report, state.decisions.dropped())
             .into_response(),
         None => StatusCode::SERVICE_UNAVAILABLE.into_response(),
     }
 }
 
-async fn status(State(state): State<OperatorState>) -> Response {
-    let Some(report) = inspect(&state.entry).await else {
+async fn get_status(State(state): State<OperatorState>) -> Response {
+    let Some(report) = request_report(&state.entry).await else {
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     };
-    let status = complete_status(report, &state.instance, &state.domain);
+    let status = add_identity(report, &state.instance, &state.domain);
     let status = InstanceStatus {
         ready: state.ready.is_ready(),
-        decisions_dropped: state.book.dropped(),
+        decisions_dropped: state.decisions.dropped(),
         ..status
     };
     Json(status).into_response()
@@ -185,14 +189,21 @@
     count: Option<usize>,
 }
 
-async fn decisions(
+async fn get_decisions(
     State(state): State<OperatorState>,
     Query(query): Query<DecisionQuery>,
 ) -> Json<Vec<DecisionLine>> {
-    Json(state.book.last(query.count.unwrap_or(DEFAULT_DECISIONS)))
+    Json(
+        state
+            .decisions
+            .list_latest(query.count.unwrap_or(DEFAULT_DECISIONS)),
+    )
 }
 
-async fn explain(State(state): State<OperatorState>, Path(request): Path<String>) -> Response {
+async fn explain_request(
+    State(state): State<OperatorState>,
+    Path(request): Path<String>,
+) -> Response {
     let Ok(request) = request.parse::<RequestId>() else {
         let problem = ProblemBody::early(
             400,
@@ -201,7 +212,7 @@
         );
         return respond_problem(&problem);
     };
-    let lines = state.book.explain(request);
+    let lines = state.decisions.explain(request);
     if lines.is_empty() {
         let problem = ProblemBody::early(
             404,
@@ -215,9 +226,9 @@
 
 /// Streams decisions as they are made, a JSON object a line. A watcher that
 /// is too slow misses some; the request path never waits for it.
-async fn stream(State(state): State<OperatorState>) -> Response {
+async fn stream_decisions(State(state): State<OperatorState>) -> Response {
     let (sender, receiver) = tokio::sync::mpsc::channel::<Bytes>(64);
-    let mut watch = state.book.watch();
+    let mut watch = state.decisions.subscribe();
     tokio::spawn(async move {
         loop {
             let line = match watch.recv().await {
--- a/crates/node/src/process/output.rs
+++ b/crates/node/src/process/output.rs
@@ -12,29 +12,29 @@
 use tracing_subscriber::EnvFilter;
 
 /// Lines that may wait for standard output.
-const WAITING_LINES: usize = 4000;
+const MAX_QUEUED_LINES: usize = 4000;
 
 /// Bytes that are written together.
-const WRITE_BYTES: usize = 32 * 1024;
+const BUFFER_BYTES: usize = 32 * 1024;
 /// Time that the writing thread rests after it has written all that waited:
 /// each line by itself would cost a wake-up and a system call.
 const WRITE_PAUSE: Duration = Duration::from_millis(200);
 
-static DROPPED: OnceLock<ErrorCounter> = OnceLock::new();
+static DROPPED_LINES: OnceLock<ErrorCounter> = OnceLock::new();
 
 /// Starts the log. It ends, with what waits written, when the guard is dropped.
 ///
 /// # Errors
 ///
 /// Fails if the level cannot be read.
-pub fn start_output(level: &str) -> anyhow::Result<WorkerGuard> {
+pub fn start_log_output(level: &str) -> anyhow::Result<WorkerGuard> {
     let filter =
         EnvFilter::try_new(level).with_context(|| format!("could not read log level {level}"))?;
     let (writer, guard) = NonBlockingBuilder::default()
-        .buffered_lines_limit(WAITING_LINES)
+        .buffered_lines_limit(MAX_QUEUED_LINES)
         .lossy(true)
-        .finish(PacedWriter::new(std::io::stdout()));
-    DROPPED.get_or_init(|| writer.error_counter());
+        .finish(BatchingWriter::new(std::io::stdout()));
+    DROPPED_LINES.get_or_init(|| writer.error_counter());
     tracing_subscriber::fmt()
         .json()
         .flatten_event(true)
@@ -45,27 +45,27 @@
 }
 
 /// Returns how many lines found no room.
-pub fn lines_unwritten() -> u64 {
-    DROPPED
+pub fn count_dropped_lines() -> u64 {
+    DROPPED_LINES
         .get()
         .map_or(0, |dropped| dropped.dropped_lines() as u64)
 }
 
 /// Writes what waits together, and rests after that.
 #[derive(Debug)]
-struct PacedWriter<W: Write> {
+struct BatchingWriter<W: Write> {
     inner: BufWriter<W>,
 }
 
-impl<W: Write> PacedWriter<W> {
-    fn new(inner: W) -> PacedWriter<W> {
-        PacedWriter {
-            inner: BufWriter::with_capacity(WRITE_BYTES, inner),
+impl<W: Write> BatchingWriter<W> {
+    fn new(inner: W) -> BatchingWriter<W> {
+        BatchingWriter {
+            inner: BufWriter::with_capacity(BUFFER_BYTES, inner),
         }
     }
 }
 
-impl<W: Write> Write for PacedWriter<W> {
+impl<W: Write> Write for BatchingWriter<W> {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.inner.write(bytes)
     }
--- a/crates/node/src/process/peers.rs
+++ b/crates/node/src/process/peers.rs
@@ -16,7 +16,7 @@
 };
 
 use crate::process::control::ControlMessage;
-use crate::process::gossip::GossipOrder;
+use crate::process::gossip::GossipCommand;
 use crate::ring::RingSender;
 
 /// What the handler needs.
@@ -25,7 +25,7 @@
     /// The control thread.
     pub control: RingSender<ControlMessage>,
     /// The gossip thread.
-    pub gossip: RingSender<GossipOrder>,
+    pub gossip: RingSender<GossipCommand>,
     /// The cluster's key.
     pub key: Arc<str>,
 }
@@ -33,12 +33,16 @@
 /// Returns the routes towards other instances.
 pub fn peer_router(state: PeerState) -> Router {
     Router::new()
-        .route(PEER_PATH, post(take))
+        .route(PEER_PATH, post(handle_message))
         .layer(DefaultBodyLimit::max(PEER_BYTES))
         .with_state(state)
 }
 
-async fn take(State(state): State<PeerState>, headers: HeaderMap, body: Bytes) -> Response {
+async fn handle_message(
+    State(state): State<PeerState>,
+    headers: HeaderMap,
+    body: Bytes,
+) -> Response {
     if !has_key(&headers, KEY_HEADER, &state.key) {
         tracing::warn!("peer: a message with a wrong cluster key was turned away");
         return (StatusCode::FORBIDDEN, "wrong cluster key").into_response();
@@ -49,8 +53,8 @@
     if let PeerRequest::Gossip(message) = request {
         // A full ring loses it, as the network may.
         let input = Box::new(GossipInput::Message(*message));
-        let _ = state.gossip.offer(GossipOrder::Input(input));
-        return respond(&PeerReply::Taken);
+        let _ = state.gossip.offer(GossipCommand::Input(input));
+        return encode_reply(&PeerReply::Taken);
     }
     let (reply, answer) = oneshot::channel();
     state
@@ -58,12 +62,12 @@
         .put(ControlMessage::Peer { request, reply })
         .await;
     match answer.await {
-        Ok(answer) => respond(&answer),
+        Ok(answer) => encode_reply(&answer),
         Err(_) => StatusCode::SERVICE_UNAVAILABLE.into_response(),
     }
 }
 
-fn respond(reply: &PeerReply) -> Response {
+fn encode_reply(reply: &PeerReply) -> Response {
     match encode(reply) {
         Ok(bytes) => bytes.into_response(),
         Err(_) => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
--- a/crates/node/src/process/ready.rs
+++ b/crates/node/src/process/ready.rs
@@ -8,13 +8,13 @@
 #[derive(Debug, Clone, Default)]
 pub struct ReadyFlag {
     /// Set by the entry thread once it has learned enough.
-    pub learned: Arc<AtomicBool>,
+    pub entry_ready: Arc<AtomicBool>,
     leaving: Arc<AtomicBool>,
 }
 
 impl ReadyFlag {
     /// Takes note that the instance leaves.
-    pub fn leave(&self) {
+    pub fn start_leaving(&self) {
         self.leaving.store(true, Ordering::Relaxed);
     }
 
@@ -25,6 +25,6 @@
 
     /// Tells whether the instance wants new requests.
     pub fn is_ready(&self) -> bool {
-        self.learned.load(Ordering::Relaxed) && !self.is_leaving()
+        self.entry_ready.load(Ordering::Relaxed) && !self.is_leaving()
     }
 }
--- a/crates/node/src/process/reload.rs
+++ b/crates/node/src/process/reload.rs
@@ -17,7 +17,7 @@
 
 /// Hands over the seeds whenever the settings name others, until the process
 /// ends.
-pub async fn watch_seeds(path: PathBuf, mut take: impl FnMut(Vec<SocketAddr>)) {
+pub async fn watch_seeds(path: PathBuf, mut on_change: impl FnMut(Vec<SocketAddr>)) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         tracing::error!("settings: no signal to be had, changes are not seen");
         return;
@@ -34,7 +34,7 @@
         let seeds = settings.seed_peers();
         if seeds != last {
             tracing::info!(?seeds, "settings: read");
-            take(seeds.clone());
+            on_change(seeds.clone());
             last = seeds;
         }
     }
--- a/crates/node/src/process/status.rs
+++ b/crates/node/src/process/status.rs
@@ -19,7 +19,7 @@
 }
 
 /// Describes a machine at time `now`.
-pub fn describe<P: RoutePolicy>(machine: &EntryMachine<P>, now: Duration) -> EntryReport {
+pub fn describe_entry<P: RoutePolicy>(machine: &EntryMachine<P>, now: Duration) -> EntryReport {
     let services = machine.gates().iter().map(|(service, gate)| GateStatus {
         service: service.to_string(),
         running: gate.running,
--- a/crates/node/src/process/upstreams.rs
+++ b/crates/node/src/process/upstreams.rs
@@ -43,7 +43,7 @@
     pub async fn run(mut self) {
         let pool = ConnectionPool::default();
         let mut tasks: JoinSet<AttemptReply> = JoinSet::new();
-        let mut running: HashMap<SlotKey, AbortHandle> = HashMap::new();
+        let mut running_attempts: HashMap<SlotKey, AbortHandle> = HashMap::new();
         let mut reap = tokio::time::interval(REAP_INTERVAL);
         loop {
             tokio::select! {
@@ -52,10 +52,10 @@
                         let key = order.attempt;
                         let attempt = run_attempt(pool.clone(), self.source, self.clock, order);
                         let task = tasks.spawn(attempt);
-                        running.insert(key, task);
+                        running_attempts.insert(key, task);
                     }
                     Some(UpstreamCommand::Cancel(key)) => {
-                        if let Some(task) = running.remove(&key) {
+                        if let Some(task) = running_attempts.remove(&key) {
                             task.abort();
                         }
                     }
@@ -64,20 +64,20 @@
                 Some(ended) = tasks.join_next(), if !tasks.is_empty() => {
                     // A cancelled attempt has no reply to hand on.
                     if let Ok(reply) = ended {
-                        running.remove(&reply.attempt);
-                        self.hand_on(EntryInput::Reply(reply)).await;
+                        running_attempts.remove(&reply.attempt);
+                        self.send_to_entry(EntryInput::Reply(reply)).await;
                     }
                 }
                 _ = reap.tick() => {
                     for change in pool.reap() {
-                        self.hand_on(EntryInput::Connection(change)).await;
+                        self.send_to_entry(EntryInput::Connection(change)).await;
                     }
                 }
             }
         }
     }
 
-    async fn hand_on(&self, input: EntryInput) {
+    async fn send_to_entry(&self, input: EntryInput) {
         self.entry.put(EntryMessage::Input(input)).await;
     }
 }
--- a/crates/node/tests/held_up/main.rs
+++ b/crates/node/tests/held_up/main.rs
@@ -27,21 +27,22 @@
 use std::time::{Duration, Instant};
 
 use crate::stage::{
-    asked, assert_told_at_most, number_of, play_on_stage, read_status, write_head, Stage, PATIENCE,
+    assert_time_left_at_most, read_number, read_status, received_heads, run_with_harness,
+    write_head, HeldUpHarness, CALLER_TIMEOUT,
 };
 
 /// Time from the begin of a hold-up until a request is sent.
-const INTO_HOLD: Duration = Duration::from_millis(100);
+const SEND_DELAY: Duration = Duration::from_millis(100);
 /// Time in which what is to reach a server does.
-const SETTLE: Duration = Duration::from_millis(500);
+const DELIVERY_TIME: Duration = Duration::from_millis(500);
 
-struct UnreadCase {
+struct UnreadRequestCase {
     name: &'static str,
     /// Whether it comes on a connection that was used before.
-    kept: bool,
+    reuses_connection: bool,
     /// Time that its caller gives, in milliseconds.
-    left: u64,
-    held: Duration,
+    time_left_ms: u64,
+    hold_time: Duration,
     status: u16,
 }
 
@@ -53,61 +54,69 @@
 #[test]
 fn no_server_is_told_more_time_than_is_left_of_a_request_that_lay_unread() {
     let cases = [
-        UnreadCase {
+        UnreadRequestCase {
             name: "on a new connection",
-            kept: false,
-            left: 5000,
-            held: Duration::from_millis(1300),
+            reuses_connection: false,
+            time_left_ms: 5000,
+            hold_time: Duration::from_millis(1300),
             status: 200,
         },
-        UnreadCase {
+        UnreadRequestCase {
             name: "on a kept connection",
-            kept: true,
-            left: 5000,
-            held: Duration::from_millis(1300),
+            reuses_connection: true,
+            time_left_ms: 5000,
+            hold_time: Duration::from_millis(1300),
             status: 200,
         },
-        UnreadCase {
+        UnreadRequestCase {
             name: "whose time is over, on a new connection",
-            kept: false,
-            left: 600,
-            held: Duration::from_millis(1300),
+            reuses_connection: false,
+            time_left_ms: 600,
+            hold_time: Duration::from_millis(1300),
             status: 503,
         },
-        UnreadCase {
+        UnreadRequestCase {
             name: "whose time is over, on a kept connection",
-            kept: true,
-            left: 600,
-            held: Duration::from_millis(1300),
+            reuses_connection: true,
+            time_left_ms: 600,
+            hold_time: Duration::from_millis(1300),
             status: 503,
         },
     ];
     for case in cases {
-        play_on_stage(|stage| async move {
-            let warm = stage.warm().await;
-            let front = stage.front;
-            let (begin, begun) = std::sync::mpsc::channel();
+        run_with_harness(|harness| async move {
+            let open_stream = harness.open_connection().await;
+            let caller_address = harness.caller_address;
+            let (start_sender, started_at) = std::sync::mpsc::channel();
             let caller = std::thread::spawn(move || {
-                begun.recv().expect("the hold-up begins");
-                std::thread::sleep(INTO_HOLD);
-                let mut stream = if case.kept {
-                    warm
+                started_at.recv().expect("the hold-up begins");
+                std::thread::sleep(SEND_DELAY);
+                let mut stream = if case.reuses_connection {
+                    open_stream
                 } else {
-                    TcpStream::connect(front).expect("a connection")
+                    TcpStream::connect(caller_address).expect("a connection")
                 };
-                stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
-                let begun = write_head(&mut stream, "/q/x", "one", case.left, 0);
-                (begun, read_status(&mut stream))
+                stream
+                    .set_read_timeout(Some(CALLER_TIMEOUT))
+                    .expect("a timeout");
+                let started_at = write_head(&mut stream, "/q/x", "one", case.time_left_ms, 0);
+                (started_at, read_status(&mut stream))
             });
-            begin.send(()).expect("a caller");
-            let free = Stage::hold(case.held);
+            start_sender.send(()).expect("a caller");
+            let released_at = HeldUpHarness::block_loop(case.hold_time);
             let answered = tokio::task::spawn_blocking(move || caller.join());
-            let (begun, status) = answered.await.expect("joined").expect("a caller");
+            let (started_at, status) = answered.await.expect("joined").expect("a caller");
             assert_eq!(status, Some(case.status), "{}", case.name);
-            let heads = asked(&stage.server, "one");
+            let heads = received_heads(&harness.server, "one");
             assert_eq!(heads.is_empty(), case.status == 503, "{}", case.name);
             for head in heads {
-                assert_told_at_most(&head, case.left, begun, free, case.name);
+                assert_time_left_at_most(
+                    &head,
+                    case.time_left_ms,
+                    started_at,
+                    released_at,
+                    case.name,
+                );
             }
         });
     }
@@ -117,31 +126,33 @@
 /// body, though its caller had counted from the first byte.
 #[test]
 fn no_server_is_told_more_time_than_is_left_of_a_request_whose_body_came_slowly() {
-    play_on_stage(|stage| async move {
-        let front = stage.front;
+    run_with_harness(|harness| async move {
+        let caller_address = harness.caller_address;
         let call = move || {
-            let mut stream = TcpStream::connect(front).expect("a connection");
-            stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
-            let begun = write_head(&mut stream, "/d/x", "slow", 5000, 4);
+            let mut stream = TcpStream::connect(caller_address).expect("a connection");
+            stream
+                .set_read_timeout(Some(CALLER_TIMEOUT))
+                .expect("a timeout");
+            let started_at = write_head(&mut stream, "/d/x", "slow", 5000, 4);
             stream.write_all(b"ab").expect("written");
             std::thread::sleep(Duration::from_millis(800));
             let before = Instant::now();
             stream.write_all(b"cd").expect("written");
-            (begun, before, read_status(&mut stream))
+            (started_at, before, read_status(&mut stream))
         };
         let call = tokio::task::spawn_blocking(call).await;
-        let (begun, before, status) = call.expect("called");
+        let (started_at, before, status) = call.expect("called");
         assert_eq!(status, Some(200));
-        let heads = asked(&stage.server, "slow");
+        let heads = received_heads(&harness.server, "slow");
         assert_eq!(heads.len(), 1);
-        assert_told_at_most(&heads[0], 5000, begun, before, "slow body");
+        assert_time_left_at_most(&heads[0], 5000, started_at, before, "slow body");
     });
 }
 
-struct WaitCase {
+struct LateWriteCase {
     name: &'static str,
     path: &'static str,
-    left: u64,
+    time_left_ms: u64,
     /// Answers that are true: one that is not to be sent any more is not
     /// served, and may be taken for one that ran.
     statuses: &'static [u16],
@@ -154,66 +165,81 @@
 #[test]
 fn no_server_is_told_more_time_than_is_left_when_it_is_written_late() {
     let cases = [
-        WaitCase {
+        LateWriteCase {
             name: "a server",
             path: "/q/x",
-            left: 5000,
+            time_left_ms: 5000,
             statuses: &[200],
         },
-        WaitCase {
+        LateWriteCase {
             name: "a server, once nothing is left",
             path: "/q/x",
-            left: 500,
+            time_left_ms: 500,
             statuses: &[503, 504],
         },
-        WaitCase {
+        LateWriteCase {
             name: "another entry",
             path: "/f/x",
-            left: 5000,
+            time_left_ms: 5000,
             statuses: &[200, 502, 503, 504],
         },
     ];
     for case in cases {
-        play_on_stage(|stage| async move {
-            let front = stage.front;
-            let free = stage.hold_after_decision(Duration::from_millis(900));
+        run_with_harness(|harness| async move {
+            let caller_address = harness.caller_address;
+            let released_at = harness.block_loop_after_decision(Duration::from_millis(900));
             let call = move || {
-                let mut stream = TcpStream::connect(front).expect("a connection");
-                stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
-                let begun = write_head(&mut stream, case.path, "late", case.left, 0);
-                (begun, read_status(&mut stream))
+                let mut stream = TcpStream::connect(caller_address).expect("a connection");
+                stream
+                    .set_read_timeout(Some(CALLER_TIMEOUT))
+                    .expect("a timeout");
+                let started_at = write_head(&mut stream, case.path, "late", case.time_left_ms, 0);
+                (started_at, read_status(&mut stream))
             };
             let call = tokio::task::spawn_blocking(call);
-            let free = free.await.expect("held");
-            let (begun, status) = call.await.expect("called");
-            tokio::time::sleep(SETTLE).await;
+            let released_at = released_at.await.expect("held");
+            let (started_at, status) = call.await.expect("called");
+            tokio::time::sleep(DELIVERY_TIME).await;
             let status = status.expect("an answer");
             assert!(case.statuses.contains(&status), "{}: {status}", case.name);
             // The other entry answers as a server would; what it was told counts.
-            let is_far = case.path == "/f/x";
-            let to = if is_far { &stage.far } else { &stage.server };
-            let heads = asked(to, "late");
-            assert_eq!(heads.is_empty(), case.left < 900, "{}", case.name);
+            let is_other_entry = case.path == "/f/x";
+            let to = if is_other_entry {
+                &harness.other_entry
+            } else {
+                &harness.server
+            };
+            let heads = received_heads(to, "late");
+            assert_eq!(heads.is_empty(), case.time_left_ms < 900, "{}", case.name);
             for head in &heads {
-                assert_told_at_most(head, case.left, begun, free, case.name);
+                assert_time_left_at_most(
+                    head,
+                    case.time_left_ms,
+                    started_at,
+                    released_at,
+                    case.name,
+                );
             }
-            if is_far {
+            if is_other_entry {
                 let order = heads[0].lines().find_map(|line| {
                     let fields = line.strip_prefix("wheelmast-relayed: ")?;
                     fields.split(';').nth(1)?.parse::<u64>().ok()
                 });
-                let passed = (free - begun).as_millis() as u64;
+                let elapsed_ms = (released_at - started_at).as_millis() as u64;
                 let answer_in = order.expect("a time for the answer");
-                assert!(answer_in + passed <= 4000, "{answer_in} after {passed}");
+                assert!(
+                    answer_in + elapsed_ms <= 4000,
+                    "{answer_in} after {elapsed_ms}"
+                );
             }
         });
     }
 }
 
-struct GoneCase {
+struct CallerLeftCase {
     name: &'static str,
     /// Whether the connection to the server is open already.
-    warm: bool,
+    is_connection_open: bool,
 }
 
 /// A caller leaves while its request is on the way to servers; nothing was
@@ -223,38 +249,38 @@
 #[test]
 fn no_server_is_asked_with_more_time_than_is_left_once_its_caller_has_gone() {
     let cases = [
-        GoneCase {
+        CallerLeftCase {
             name: "on a connection that is open",
-            warm: true,
+            is_connection_open: true,
         },
-        GoneCase {
+        CallerLeftCase {
             name: "on a connection that is opened for it",
-            warm: false,
+            is_connection_open: false,
         },
     ];
     for case in cases {
-        play_on_stage(|stage| async move {
-            if case.warm {
-                let _ = stage.warm().await;
+        run_with_harness(|harness| async move {
+            if case.is_connection_open {
+                let _ = harness.open_connection().await;
             }
             // It is decided to ask the server, and the caller leaves before any
             // task has run.
-            stage.ask_and_leave("gone");
-            tokio::time::sleep(SETTLE).await;
-            let heads = asked(&stage.server, "gone");
+            harness.call_and_disconnect("gone");
+            tokio::time::sleep(DELIVERY_TIME).await;
+            let heads = received_heads(&harness.server, "gone");
             assert!(heads.is_empty(), "{}: {heads:?}", case.name);
-            let left = stage.entry.look(|machine| machine.counters().left);
-            assert_eq!(left, 1, "{}", case.name);
+            let callers_left = harness.entry.look(|machine| machine.counters().left);
+            assert_eq!(callers_left, 1, "{}", case.name);
         });
     }
 }
 
 /// Asks as another entry does, and says only after the answer what it grants.
 /// Returns the status.
-fn ask_as_entry(stream: &mut TcpStream, id: &str, left: u64) -> Option<u16> {
+fn send_relay(stream: &mut TcpStream, id: &str, time_left_ms: u64) -> Option<u16> {
     let head = format!(
         "GET /q/x HTTP/1.1\r\nhost: h\r\nwheelmast-request: {id}\r\n\
-         wheelmast-time-left-ms: {left}\r\nwheelmast-relayed: 1;{left};1;1;0;s\r\n\
+         wheelmast-time-left-ms: {time_left_ms}\r\nwheelmast-relayed: 1;{time_left_ms};1;1;0;s\r\n\
          wheelmast-expect-server: own#1\r\n\
          expect: 100-continue\r\ncontent-length: 1\r\n\r\n"
     );
@@ -271,13 +297,15 @@
 /// answer: the next request is not as old as that.
 #[test]
 fn a_request_of_another_entry_is_not_as_old_as_the_grant_before() {
-    play_on_stage(|stage| async move {
-        let front = stage.front;
+    run_with_harness(|harness| async move {
+        let caller_address = harness.caller_address;
         let call = move || {
-            let mut stream = TcpStream::connect(front).expect("a connection");
-            stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+            let mut stream = TcpStream::connect(caller_address).expect("a connection");
+            stream
+                .set_read_timeout(Some(CALLER_TIMEOUT))
+                .expect("a timeout");
             let mut ask = |id| {
-                let status = ask_as_entry(&mut stream, id, 1200);
+                let status = send_relay(&mut stream, id, 1200);
                 std::thread::sleep(Duration::from_millis(1500));
                 status
             };
@@ -292,11 +320,13 @@
 /// run from the body of the one before.
 #[test]
 fn a_request_on_a_kept_connection_is_not_as_old_as_the_one_before() {
-    play_on_stage(|stage| async move {
-        let front = stage.front;
+    run_with_harness(|harness| async move {
+        let caller_address = harness.caller_address;
         let call = move || {
-            let mut stream = TcpStream::connect(front).expect("a connection");
-            stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+            let mut stream = TcpStream::connect(caller_address).expect("a connection");
+            stream
+                .set_read_timeout(Some(CALLER_TIMEOUT))
+                .expect("a timeout");
             write_head(&mut stream, "/q/x", "first", 5000, 4);
             std::thread::sleep(Duration::from_millis(200));
             stream.write_all(b"body").expect("written");
@@ -307,9 +337,9 @@
         };
         let call = tokio::task::spawn_blocking(call).await.expect("called");
         assert_eq!(call, (Some(200), Some(200)));
-        let heads = asked(&stage.server, "second");
-        let told = number_of(&heads[0], "wheelmast-time-left-ms: ");
-        assert!(told > Some(900), "{told:?}");
+        let heads = received_heads(&harness.server, "second");
+        let announced_ms = read_number(&heads[0], "wheelmast-time-left-ms: ");
+        assert!(announced_ms > Some(900), "{announced_ms:?}");
     });
 }
 
@@ -317,11 +347,13 @@
 /// gets its answer. The task of its connection ended in a panic.
 #[test]
 fn a_time_that_no_clock_can_hold_is_none() {
-    play_on_stage(|stage| async move {
-        let front = stage.front;
+    run_with_harness(|harness| async move {
+        let caller_address = harness.caller_address;
         let call = move || {
-            let mut stream = TcpStream::connect(front).expect("a connection");
-            stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+            let mut stream = TcpStream::connect(caller_address).expect("a connection");
+            stream
+                .set_read_timeout(Some(CALLER_TIMEOUT))
+                .expect("a timeout");
             let head = "GET /q/x HTTP/1.1\r\nhost: h\r\nwheelmast-request: huge\r\n\
                         wheelmast-time-left-ms: 1e300\r\n\r\n";
             stream.write_all(head.as_bytes()).expect("written");
--- a/crates/node/tests/held_up/stage.rs
+++ b/crates/node/tests/held_up/stage.rs
@@ -25,7 +25,7 @@
 use crate::support::play;
 
 /// Longest time that a caller here waits for an answer.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(10);
+pub(crate) const CALLER_TIMEOUT: Duration = Duration::from_secs(10);
 
 const TABLE: &str = r#"{"version": 1,
     "services": [{"name": "s", "connections": 9}, {"name": "f0", "connections": 9},
@@ -44,17 +44,17 @@
 type Entry = Rc<EntryDuty<NativeDialect>>;
 
 /// An entry on this thread, a server and another entry on others.
-pub(crate) struct Stage {
+pub(crate) struct HeldUpHarness {
     pub(crate) entry: Entry,
     /// Where callers come.
-    pub(crate) front: SocketAddr,
+    pub(crate) caller_address: SocketAddr,
     pub(crate) server: FakeShard,
-    pub(crate) far: FakeShard,
+    pub(crate) other_entry: FakeShard,
     _closing: watch::Sender<bool>,
 }
 
-impl Stage {
-    async fn build(server: FakeShard, far: FakeShard) -> Stage {
+impl HeldUpHarness {
+    async fn build(server: FakeShard, other_entry: FakeShard) -> HeldUpHarness {
         let options = ForwardOptions {
             domain: "here".into(),
             local_id: "own#1".into(),
@@ -65,10 +65,10 @@
         let draft: RouteDraft = serde_json::from_str(TABLE).expect("a draft");
         let table = RouteTable::check(draft).expect("a table");
         entry.step(ForwardInput::Table(table.into()));
-        entry.step(notice(&server.id, "s", server.address, "here"));
+        entry.step(announcement(&server.id, "s", server.address, "here"));
         // Nobody listens there: these are asked for through the other entry.
         for (service, port) in [("f0", 1), ("f1", 2), ("f2", 3)] {
-            entry.step(notice(
+            entry.step(announcement(
                 service,
                 service,
                 ([127, 0, 0, 1], port).into(),
@@ -79,26 +79,28 @@
             instance: "other".into(),
             incarnation: 1,
             domain: "there".into(),
-            address: far.address,
+            address: other_entry.address,
         }]));
         entry.set_phase(EntryPhase::Serving);
         let listener = listen(([127, 0, 0, 1], 0).into()).await.expect("a port");
-        let front = listener.local_addr().expect("an address");
+        let caller_address = listener.local_addr().expect("an address");
         let (keep, closing) = watch::channel(false);
         tokio::task::spawn_local(accept(entry.clone(), listener, closing));
-        Stage {
+        HeldUpHarness {
             entry,
-            front,
+            caller_address,
             server,
-            far,
+            other_entry,
             _closing: keep,
         }
     }
 
     /// Makes a request that opens the connections which later ones use.
-    pub(crate) async fn warm(&self) -> TcpStream {
-        let mut stream = TcpStream::connect(self.front).expect("a connection");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+    pub(crate) async fn open_connection(&self) -> TcpStream {
+        let mut stream = TcpStream::connect(self.caller_address).expect("a connection");
+        stream
+            .set_read_timeout(Some(CALLER_TIMEOUT))
+            .expect("a timeout");
         let ask = move || {
             write_head(&mut stream, "/q/x", "warm", 9000, 0);
             assert_eq!(read_status(&mut stream), Some(200));
@@ -108,7 +110,7 @@
     }
 
     /// Makes a request whose caller leaves at once.
-    pub(crate) fn ask_and_leave(&self, id: &str) {
+    pub(crate) fn call_and_disconnect(&self, id: &str) {
         let uri = "/q/x".parse().expect("a path");
         let image = RequestImage::new::<NativeDialect>(
             &Method::GET,
@@ -128,21 +130,21 @@
             },
             key: None,
             arrived_at: self.entry.clock.elapsed(),
-            time_left: Some(PATIENCE),
+            time_left: Some(CALLER_TIMEOUT),
             relayed: None,
         }));
         self.entry.leave(tag);
     }
 
     /// Holds the loop up.
-    pub(crate) fn hold(time: Duration) -> Instant {
+    pub(crate) fn block_loop(time: Duration) -> Instant {
         std::thread::sleep(time);
         Instant::now()
     }
 
     /// Holds the loop up once the next request has been decided on, before
     /// anything is written for it.
-    pub(crate) fn hold_after_decision(&self, time: Duration) -> JoinHandle<Instant> {
+    pub(crate) fn block_loop_after_decision(&self, time: Duration) -> JoinHandle<Instant> {
         let entry = self.entry.clone();
         tokio::task::spawn_local(async move {
             // It always waits to run, and so runs before what the decision begins.
@@ -153,14 +155,14 @@
                 context.waker().wake_by_ref();
                 Poll::Pending
             });
-            let decided = tokio::time::timeout(PATIENCE, decided).await;
+            let decided = tokio::time::timeout(CALLER_TIMEOUT, decided).await;
             decided.expect("a request is taken in");
-            Stage::hold(time)
+            HeldUpHarness::block_loop(time)
         })
     }
 }
 
-fn notice(id: &str, service: &str, address: SocketAddr, domain: &str) -> ForwardInput {
+fn announcement(id: &str, service: &str, address: SocketAddr, domain: &str) -> ForwardInput {
     ForwardInput::Announcement(ServerAnnouncement {
         id: id.into(),
         service: service.into(),
@@ -176,21 +178,24 @@
 }
 
 /// Plays a test with its servers on another thread, which is not held up.
-pub(crate) fn play_on_stage<F: std::future::Future<Output = ()>>(
-    test: impl FnOnce(Rc<Stage>) -> F,
+pub(crate) fn run_with_harness<F: std::future::Future<Output = ()>>(
+    test: impl FnOnce(Rc<HeldUpHarness>) -> F,
 ) {
-    let beside = tokio::runtime::Builder::new_multi_thread()
+    let server_runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(1)
         .enable_all()
         .build()
         .expect("a runtime");
-    let (server, far) = beside.block_on(async {
+    let (server, other_entry) = server_runtime.block_on(async {
         let server = FakeShard::start("s", "here", b'a').await;
-        let far = FakeShard::start("far", "there", b'b').await;
-        (server.expect("a server"), far.expect("another entry"))
+        let other_entry = FakeShard::start("far", "there", b'b').await;
+        (
+            server.expect("a server"),
+            other_entry.expect("another entry"),
+        )
     });
     play(async move {
-        let stage = Rc::new(Stage::build(server, far).await);
+        let stage = Rc::new(HeldUpHarness::build(server, other_entry).await);
         test(stage.clone()).await;
     });
 }
@@ -200,16 +205,16 @@
     stream: &mut TcpStream,
     path: &str,
     id: &str,
-    left: u64,
+    time_left_ms: u64,
     length: usize,
 ) -> Instant {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let head = format!(
         "POST {path} HTTP/1.1\r\nhost: h\r\nwheelmast-request: {id}\r\n\
-         wheelmast-time-left-ms: {left}\r\ncontent-length: {length}\r\n\r\n"
+         wheelmast-time-left-ms: {time_left_ms}\r\ncontent-length: {length}\r\n\r\n"
     );
     stream.write_all(head.as_bytes()).expect("written");
-    begun
+    started_at
 }
 
 /// Reads an answer; none if the connection ends first.
@@ -221,36 +226,36 @@
         bytes.push(byte[0]);
     }
     let head = String::from_utf8_lossy(&bytes).to_lowercase();
-    let length = number_of(&head, "content-length: ").unwrap_or(0);
+    let length = read_number(&head, "content-length: ").unwrap_or(0);
     stream.read_exact(&mut vec![0; length as usize]).ok()?;
     head.split(' ').nth(1)?.parse().ok()
 }
 
-pub(crate) fn number_of(head: &str, name: &str) -> Option<u64> {
+pub(crate) fn read_number(head: &str, name: &str) -> Option<u64> {
     let value = head.lines().find_map(|line| line.strip_prefix(name))?;
     value.trim().parse().ok()
 }
 
 /// Returns the heads with which a server was asked for a request.
-pub(crate) fn asked(server: &FakeShard, id: &str) -> Vec<String> {
+pub(crate) fn received_heads(server: &FakeShard, id: &str) -> Vec<String> {
     let line = format!("wheelmast-request: {id}\r\n");
     let heads = server.heads().into_iter();
     heads.filter(|head| head.contains(&line)).collect()
 }
 
-/// Checks that a server was told no more time than `left` less what had passed
+/// Checks that a server was told no more time than `time_left_ms` less what had passed
 /// at a moment before anything was written.
-pub(crate) fn assert_told_at_most(
+pub(crate) fn assert_time_left_at_most(
     head: &str,
-    left: u64,
-    begun: Instant,
+    time_left_ms: u64,
+    started_at: Instant,
     before: Instant,
     name: &str,
 ) {
-    let told = number_of(head, "wheelmast-time-left-ms: ").expect("a time");
-    let passed = (before - begun).as_millis() as u64;
+    let announced_ms = read_number(head, "wheelmast-time-left-ms: ").expect("a time");
+    let elapsed_ms = (before - started_at).as_millis() as u64;
     assert!(
-        told + passed <= left,
-        "{name}: told {told} ms in place of {left} less {passed}"
+        announced_ms + elapsed_ms <= time_left_ms,
+        "{name}: told {announced_ms} ms in place of {time_left_ms} less {elapsed_ms}"
     );
 }
--- a/crates/node/tests/loop_watch.rs
+++ b/crates/node/tests/loop_watch.rs
@@ -6,59 +6,59 @@
 use std::time::Duration;
 
 use wheelmast_node::process::clock::ProcessClock;
-use wheelmast_node::process::loop_watch::LoopWatch;
+use wheelmast_node::process::loop_watch::LoopDelayMonitor;
 
 use crate::support::play;
 
 /// Several rounds of the watch.
-const ROUNDS: Duration = Duration::from_millis(300);
+const SEVERAL_ROUNDS: Duration = Duration::from_millis(300);
 
-struct HoldCase {
+struct BlockCase {
     name: &'static str,
-    held: Duration,
+    block_time: Duration,
 }
 
 #[test]
-fn what_is_read_after_a_hold_up_may_have_waited_as_long() {
+fn the_read_delay_covers_the_time_the_loop_was_blocked() {
     let cases = [
-        HoldCase {
+        BlockCase {
             name: "a moment",
-            held: Duration::from_millis(300),
+            block_time: Duration::from_millis(300),
         },
-        HoldCase {
+        BlockCase {
             name: "seconds",
-            held: Duration::from_millis(1500),
+            block_time: Duration::from_millis(1500),
         },
     ];
     play(async move {
-        let watch = Rc::new(LoopWatch::new(ProcessClock::start()));
-        let kept = watch.clone();
-        tokio::task::spawn_local(async move { kept.keep().await });
+        let watch = Rc::new(LoopDelayMonitor::new(ProcessClock::start()));
+        let runner = watch.clone();
+        tokio::task::spawn_local(async move { runner.run().await });
         for case in cases {
-            tokio::time::sleep(ROUNDS).await;
-            let before = watch.times_held_up();
-            std::thread::sleep(case.held);
+            tokio::time::sleep(SEVERAL_ROUNDS).await;
+            let before = watch.late_rounds();
+            std::thread::sleep(case.block_time);
             // Whatever runs now may have come while the loop stood still.
-            assert!(watch.unread_time() >= case.held, "{}", case.name);
-            tokio::time::sleep(ROUNDS).await;
-            assert!(watch.times_held_up() > before, "{}", case.name);
+            assert!(watch.max_read_delay() >= case.block_time, "{}", case.name);
+            tokio::time::sleep(SEVERAL_ROUNDS).await;
+            assert!(watch.late_rounds() > before, "{}", case.name);
         }
     });
 }
 
 #[test]
-fn a_loop_that_keeps_up_has_nothing_unread() {
+fn a_loop_that_keeps_up_reports_no_read_delay() {
     play(async {
-        let watch = Rc::new(LoopWatch::new(ProcessClock::start()));
-        let kept = watch.clone();
-        tokio::task::spawn_local(async move { kept.keep().await });
+        let watch = Rc::new(LoopDelayMonitor::new(ProcessClock::start()));
+        let runner = watch.clone();
+        tokio::task::spawn_local(async move { runner.run().await });
         // A busy machine may hold it up; one round in time is enough.
         for _ in 0..100 {
-            tokio::time::sleep(ROUNDS / 3).await;
-            if watch.unread_time() == Duration::ZERO {
+            tokio::time::sleep(SEVERAL_ROUNDS / 3).await;
+            if watch.max_read_delay() == Duration::ZERO {
                 return;
             }
         }
-        panic!("held up {} times", watch.times_held_up());
+        panic!("held up {} times", watch.late_rounds());
     });
 }
--- a/crates/node/tests/process.rs
+++ b/crates/node/tests/process.rs
@@ -17,22 +17,22 @@
 use wheelmast_wire::prelude::{AnnouncementBody, AnswerBody, HeldBody, ProblemBody};
 
 /// A running `wheelmastd`; killed if the test ends early.
-struct Daemon {
+struct DaemonProcess {
     child: GuardedChild,
     callers: SocketAddr,
     upstreams: SocketAddr,
     folder: std::path::PathBuf,
 }
 
-impl Drop for Daemon {
+impl Drop for DaemonProcess {
     fn drop(&mut self) {
         self.child.kill();
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-impl Daemon {
-    fn start(name: &str, extra: &str) -> Daemon {
+impl DaemonProcess {
+    fn start(name: &str, extra: &str) -> DaemonProcess {
         let folder = std::env::temp_dir().join(format!("wheelmast-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder for the test");
         let table = folder.join("table.csv");
@@ -54,7 +54,7 @@
         let mut child = GuardedChild::spawn(&mut command).expect("wheelmastd starts");
         let mut lines = BufReader::new(child.take_stderr().expect("piped")).lines();
         let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
-        let mut daemon = Daemon {
+        let mut daemon = DaemonProcess {
             child,
             callers: nowhere,
             upstreams: nowhere,
@@ -93,7 +93,7 @@
     }
 }
 
-async fn world_at(daemon: &Daemon) -> FakeWorld {
+async fn start_servers(daemon: &DaemonProcess) -> FakeWorld {
     let world = FakeWorld::start(kivela()).await.expect("fakes start");
     let target = AnnounceTarget {
         address: daemon.upstreams,
@@ -106,8 +106,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_query_is_served_and_a_leave_cuts_nothing_off() {
-    let mut daemon = Daemon::start("whole", "");
-    let world = world_at(&daemon).await;
+    let mut daemon = DaemonProcess::start("whole", "");
+    let world = start_servers(&daemon).await;
     let query = post("/v1/query/kiln-watch", "", "{\"term\":\"hot\"}");
     let (status, body) = exchange(daemon.callers, &query).await;
     assert_eq!(status, 200, "{body}");
@@ -138,8 +138,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_input_gets_a_clear_error_and_harms_nothing() {
-    let daemon = Daemon::start("input", "");
-    let _world = world_at(&daemon).await;
+    let daemon = DaemonProcess::start("input", "");
+    let _world = start_servers(&daemon).await;
     let query = "/v1/query/kiln-watch";
     let case = |name, request, status, kind| InputCase {
         name,
@@ -225,8 +225,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn idle_and_half_open_connections_are_shed() {
-    let daemon = Daemon::start("idle", "\"connections\": 32,");
-    let _world = world_at(&daemon).await;
+    let daemon = DaemonProcess::start("idle", "\"connections\": 32,");
+    let _world = start_servers(&daemon).await;
     let mut idle = Vec::new();
     for _ in 0..200 {
         let mut stream = TcpStream::connect(daemon.callers)
@@ -246,7 +246,7 @@
 
 /// Listens like an upstream server, and answers every request with the same
 /// bytes.
-async fn canned_upstream(bytes: Vec<u8>) -> SocketAddr {
+async fn start_fixed_reply_server(bytes: Vec<u8>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     tokio::spawn(async move {
@@ -298,8 +298,8 @@
         },
     ];
     for (number, case) in cases.into_iter().enumerate() {
-        let daemon = Daemon::start(&format!("bad-{number}"), "");
-        let address = canned_upstream(case.bytes).await;
+        let daemon = DaemonProcess::start(&format!("bad-{number}"), "");
+        let address = start_fixed_reply_server(case.bytes).await;
         let announcement = AnnouncementBody {
             server: "bad".into(),
             upstream: "crew-roster".into(),
@@ -332,11 +332,11 @@
 }
 
 /// Variable that makes a test start a process and wait to be killed.
-const VICTIM_VARIABLE: &str = "WHEELMAST_TEST_VICTIM";
+const CHILD_MODE_VARIABLE: &str = "WHEELMAST_TEST_VICTIM";
 
 #[test]
 fn a_test_that_is_killed_leaves_no_process() {
-    if std::env::var_os(VICTIM_VARIABLE).is_some() {
+    if std::env::var_os(CHILD_MODE_VARIABLE).is_some() {
         let child = GuardedChild::spawn(Command::new("sleep").arg("60")).expect("it starts");
         println!("started {}", child.id());
         std::thread::sleep(Duration::from_secs(60));
@@ -345,7 +345,7 @@
     let mut victim = Command::new(std::env::current_exe().expect("this test's program"))
         .args(["--exact", "--nocapture"])
         .arg("a_test_that_is_killed_leaves_no_process")
-        .env(VICTIM_VARIABLE, "1")
+        .env(CHILD_MODE_VARIABLE, "1")
         .stdout(Stdio::piped())
         .spawn()
         .expect("it starts");
@@ -358,7 +358,7 @@
     victim.kill().expect("it is killed");
     victim.wait().expect("it ends");
     let until = Instant::now() + Duration::from_secs(5);
-    while runs(id) {
+    while is_running(id) {
         assert!(Instant::now() < until, "process {id} was left behind");
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -366,7 +366,7 @@
 
 /// Tells whether a process runs; one that has ended and that nobody has waited
 /// for does not.
-fn runs(id: u32) -> bool {
+fn is_running(id: u32) -> bool {
     let status = std::fs::read_to_string(format!("/proc/{id}/status"));
     status.is_ok_and(|status| !status.contains("State:\tZ"))
 }
--- a/crates/node/tests/shares.rs
+++ b/crates/node/tests/shares.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use wheelmast_core::connection::share::divide_server_limits;
-use wheelmast_node::process::gossip::ShareCount;
+use wheelmast_node::process::gossip::LimitDivisor;
 
 proptest! {
     #![proptest_config(Config {
@@ -33,7 +33,7 @@
     fn a_lost_part_is_held_for_a_lease(steps in prop::collection::vec((1u32..8, 0u64..4000), 1..40)) {
         let start = Duration::ZERO;
         let mut now = start;
-        let mut shares = ShareCount::new(7);
+        let mut shares = LimitDivisor::new(7);
         let mut count = 7;
         let mut enough_at = start;
         for (there, millis) in steps {
--- a/crates/node/tests/suspended.rs
+++ b/crates/node/tests/suspended.rs
@@ -60,7 +60,7 @@
 type Entry = Rc<EntryDuty<NativeDialect>>;
 
 fn entry_for(server: SocketAddr) -> Entry {
-    let clock = ProcessClock::start_with(read_clock);
+    let clock = ProcessClock::start_with_source(read_clock);
     let options = ForwardOptions::default();
     let entry = Rc::new(EntryDuty::with_clock(options, 1, clock));
     tokio::task::spawn_local(entry.clone().keep_time());
@@ -194,5 +194,5 @@
     assert!(clock.elapsed() >= steady);
     // What is due in a long time is looked for again and again until then.
     let far = clock.elapsed() + SUSPENSION;
-    assert!(clock.sleep_until(far) < NOTICE_TIME);
+    assert!(clock.sleep_time_until(far) < NOTICE_TIME);
 }
