--- a/crates/node/src/process/announce.rs
+++ b/crates/node/src/process/announce.rs
@@ -1,4 +1,6 @@
-//! The announcement thread: takes the upstream servers' announcements.
+//! HTTP handlers of the announce thread: upstream servers post announcements of
+//! their state, which go to the gossip thread or, without a cluster, directly
+//! to the entry thread.
 
 use axum::extract::{DefaultBodyLimit, State};
 use axum::http::StatusCode;
@@ -15,10 +17,10 @@
 use crate::request::respond::respond_problem;
 use crate::ring::RingSender;
 
-/// Largest announcement, in bytes.
+/// Maximum size of an announcement, in bytes.
 const MAX_ANNOUNCEMENT_BYTES: usize = 64 * 1024;
 
-/// Returns the routes towards upstream servers.
+/// Returns the HTTP routes for upstream servers.
 pub fn announce_router(state: AnnounceState) -> Router {
     Router::new()
         .route(ANNOUNCE_PATH, post(handle_announcement))
@@ -26,15 +28,17 @@
         .with_state(state)
 }
 
-/// Where announcements go.
+/// The rings that announcements are sent to.
 #[derive(Debug, Clone)]
 pub struct AnnounceState {
-    /// The entry thread, for an instance that is alone.
+    /// The ring to the entry thread; used by an instance without a cluster.
     pub entry: RingSender<EntryMessage>,
-    /// The gossip thread, which tells the other instances.
+    /// The ring to the gossip thread, which disseminates announcements to the
+    /// other instances; `None` without a cluster.
     pub gossip: Option<RingSender<GossipCommand>>,
 }
 
+/// Parses an announcement and passes it on, or responds with status 400.
 async fn handle_announcement(
     State(state): State<AnnounceState>,
     Json(body): Json<AnnouncementBody>,
--- a/crates/node/src/process/callers.rs
+++ b/crates/node/src/process/callers.rs
@@ -1,4 +1,6 @@
-//! The callers thread: HTTP/1.1 and HTTP/2 towards callers.
+//! HTTP/1.1 and HTTP/2 handlers of the callers thread. They validate requests,
+//! pass them to the entry thread and return its outcome. Submissions with an
+//! idempotency key claim the key in the control group first.
 
 use std::time::Duration;
 
@@ -25,30 +27,34 @@
 use crate::request::respond::{respond_kept, respond_outcome, respond_problem};
 use crate::ring::RingSender;
 
-/// Largest body of a request, in bytes.
+/// Maximum size of a request body, in bytes.
 pub const MAX_REQUEST_BYTES: usize = 1024 * 1024;
-/// Most requests held at a time, those whose bodies still come in among them;
-/// together with [`MAX_REQUEST_BYTES`] this bounds the memory of bodies.
+/// Maximum number of concurrent requests, including those whose bodies are
+/// still being received. Together with [`MAX_REQUEST_BYTES`] it bounds the
+/// memory used for bodies.
 const MAX_REQUESTS: usize = 2048;
-/// Time a caller may take to send its body.
+/// Time within which a caller must send its body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest idempotency key or fetch key, in bytes.
+/// Maximum length of an idempotency key or fetch key, in bytes.
 const MAX_KEY_BYTES: usize = 256;
-/// Longest deadline a caller may name, in milliseconds.
+/// Maximum deadline that a caller may set, in milliseconds; longer ones are
+/// shortened to it.
 const MAX_DEADLINE_MS: u64 = 600_000;
 
-/// What the handlers share.
+/// State shared by the handlers.
 #[derive(Debug, Clone)]
 pub struct CallerState {
-    /// The entry thread.
+    /// The ring to the entry thread.
     pub entry: RingSender<EntryMessage>,
-    /// Whether new requests are wanted; false once the instance leaves.
+    /// Tells whether the instance accepts new requests; false once the instance
+    /// leaves.
     pub ready: ReadyFlag,
-    /// Claims idempotency keys, if the instance is not alone.
+    /// The client that claims idempotency keys; `None` without a cluster.
     pub fence: Option<FenceClient>,
 }
 
-/// Returns the routes towards callers.
+/// Returns the HTTP routes for callers. Requests over the concurrency limit get
+/// status 503.
 pub fn caller_router(state: CallerState) -> Router {
     Router::new()
         .route("/v1/query/{service}", post(handle_query))
@@ -68,7 +74,8 @@
         .with_state(state)
 }
 
-/// Asks clients of a leaving instance to connect elsewhere next time.
+/// Adds `connection: close` to HTTP/1 responses of a leaving instance, so that
+/// clients connect to another one for their next request.
 async fn close_when_leaving(
     State(state): State<CallerState>,
     request: axum::extract::Request,
@@ -136,8 +143,8 @@
     });
     match (&state.fence, request) {
         (Some(fence), Ok(request)) if request.body.key.is_some() => {
-            // In a task of its own: if the caller leaves, the end of its claim
-            // is recorded all the same.
+            // The task is spawned so that the result of the claim is recorded
+            // even if the caller disconnects.
             let run = run_fenced(state.clone(), fence.clone(), service, request);
             match tokio::spawn(run).await {
                 Ok(response) => response,
@@ -148,8 +155,9 @@
     }
 }
 
-/// Runs a submission behind the fence: its key is claimed first, and what
-/// becomes of it is kept for whoever comes with the same key.
+/// Runs a submission whose idempotency key is claimed in the control group
+/// first. The result is recorded there, and later submissions with the same key
+/// get the recorded result.
 async fn run_fenced(
     state: CallerState,
     fence: FenceClient,
@@ -176,6 +184,7 @@
     respond_outcome(&service, outcome)
 }
 
+/// Passes a valid request to the entry thread and responds with its outcome.
 async fn run_call(
     state: &CallerState,
     service: &str,
@@ -191,17 +200,23 @@
     }
 }
 
+/// Responds that the entry thread is overloaded; nothing was run.
 fn respond_busy() -> Response {
-    let mut problem = ProblemBody::early(503, "busy", "the instance has too much to do");
+    let mut problem = ProblemBody::early(503, "busy", "the instance is overloaded");
     problem.retry_after_ms = Some(1000);
     respond_problem(&problem)
 }
 
+/// Responds to a request that got no outcome from the entry thread.
 fn respond_call_error(error: CallError) -> Response {
     match error {
         CallError::Busy => respond_busy(),
         CallError::Ended => {
-            let mut problem = ProblemBody::early(502, "ended", "the instance ended");
+            let mut problem = ProblemBody::early(
+                502,
+                "ended",
+                "the instance shut down before the request ended",
+            );
             problem.outcome = wheelmast_wire::caller::OUTCOME_UNKNOWN.to_string();
             respond_problem(&problem).into_response()
         }
@@ -226,21 +241,21 @@
     })
 }
 
-/// Reads a body that must be one JSON value.
+/// Reads a request body, and checks that it is exactly one JSON value.
 async fn read_json(body: Body) -> Result<Box<[u8]>, Box<ProblemBody>> {
     let read = tokio::time::timeout(BODY_TIMEOUT, to_bytes(body, MAX_REQUEST_BYTES)).await;
     let Ok(read) = read else {
         return Err(early_problem(
             408,
             "slow-body",
-            "the body did not come within 5 s",
+            "the body was not received within 5 s",
         ));
     };
     let bytes = read.map_err(|_| {
         early_problem(
             413,
             "body-unreadable",
-            format!("the body broke off or is over {MAX_REQUEST_BYTES} bytes"),
+            format!("the body was cut off or exceeds {MAX_REQUEST_BYTES} bytes"),
         )
     })?;
     if let Err(error) = serde_json::from_slice::<&RawValue>(&bytes) {
@@ -250,6 +265,8 @@
     Ok(bytes.to_vec().into_boxed_slice())
 }
 
+/// Reads the remaining time of a request from its headers; `None` if the caller
+/// sets none.
 fn read_deadline(headers: &HeaderMap) -> Result<Option<Duration>, Box<ProblemBody>> {
     let Some(value) = headers.get(DEADLINE_HEADER) else {
         return Ok(None);
@@ -259,17 +276,18 @@
         .ok()
         .and_then(|text| text.parse::<i64>().ok());
     let Some(millis) = millis else {
-        let detail = format!("{DEADLINE_HEADER} is the time left in whole milliseconds");
+        let detail = format!("{DEADLINE_HEADER} must be the remaining time in whole milliseconds");
         return Err(early_problem(400, "malformed-deadline", detail));
     };
     if millis <= 0 {
-        let detail = "the deadline had passed on arrival";
+        let detail = "the deadline had already passed when the request arrived";
         return Err(early_problem(504, "deadline-passed", detail));
     }
     let millis = (millis as u64).min(MAX_DEADLINE_MS);
     Ok(Some(Duration::from_millis(millis)))
 }
 
+/// Reads and checks the idempotency key; `None` if the caller sends none.
 fn read_idempotency_key(headers: &HeaderMap) -> Result<Option<String>, Box<ProblemBody>> {
     let Some(value) = headers.get(IDEMPOTENCY_HEADER) else {
         return Ok(None);
@@ -279,13 +297,14 @@
     Ok(Some(key))
 }
 
+/// Returns the problem of a request that was refused before it ran.
 fn early_problem(status: u16, word: &str, detail: impl Into<String>) -> Box<ProblemBody> {
     Box::new(ProblemBody::early(status, word, detail))
 }
 
 fn check_key(key: &str) -> Result<(), Box<ProblemBody>> {
     if key.is_empty() || key.len() > MAX_KEY_BYTES {
-        let detail = format!("a key is 1 to {MAX_KEY_BYTES} visible characters");
+        let detail = format!("a key must have 1 to {MAX_KEY_BYTES} visible characters");
         return Err(early_problem(400, "malformed-key", detail));
     }
     Ok(())
--- a/crates/node/src/process/change.rs
+++ b/crates/node/src/process/change.rs
@@ -1,4 +1,6 @@
-//! Changes of the table, as operators make them at any instance.
+//! A client of the control group. It sends commands, such as changes of the
+//! service table, to the leader from any instance, and reads the table and its
+//! history.
 
 use std::time::{Duration, Instant};
 
@@ -14,34 +16,34 @@
 use crate::process::control::ControlMessage;
 use crate::ring::RingSender;
 
-/// Longest time an instance tries to find the leader.
+/// Time within which a change must reach the leader and be decided.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Pause between two rounds of asking all replicas.
+/// Pause between two rounds of trying all replicas.
 const ROUND_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Reaches the control group from any instance.
+/// A client that reaches the control group from any instance.
 #[derive(Debug, Clone)]
 pub struct ControlClient {
-    /// The control thread of this instance.
+    /// The ring to the control thread of this instance.
     pub control: RingSender<ControlMessage>,
     /// The other replicas of the control group.
     pub replicas: Vec<PeerLink>,
 }
 
-/// What an operator's change came to, or that it is not known.
+/// The result of an operator's change of the service table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeResult {
-    /// It is decided.
+    /// The control group accepted or rejected the change.
     Decided(ApplyBody),
-    /// No leader was reached: nothing was proposed.
+    /// No leader was reached, so the change was not proposed.
     NoLeader,
-    /// It was proposed, and its end was not learned.
+    /// The change may have been proposed, but its result was not received.
     Unknown,
 }
 
 impl ControlClient {
-    /// Applies a change, at whatever replica leads. A change that was decided
-    /// before gets its first outcome again.
+    /// Proposes a change of the service table to the leader. A change id that
+    /// was decided before gets its first result again.
     pub async fn apply_change(&self, change: TableChange) -> ChangeResult {
         if let Err(findings) = ServiceTable::parse(&change.csv, 1) {
             let findings = findings.items().iter().map(ToString::to_string);
@@ -64,23 +66,25 @@
         }
     }
 
-    /// Has a command committed, at whatever replica leads, within `time`. It
-    /// may be sent more than once, so the command must be idempotent.
+    /// Sends a command to the leader, whichever replica that is, and retries
+    /// until the command is committed or `time` has passed. The command may be
+    /// sent more than once, so it must be idempotent.
     pub async fn commit_command(&self, command: &ControlCommand, time: Duration) -> CommandReply {
         let deadline = Instant::now() + time;
-        let mut last = CommandReply::NotLeader;
+        let mut last_reply = CommandReply::NotLeader;
         while Instant::now() < deadline {
             match self.try_replicas(command).await {
                 CommandReply::NotLeader => {}
-                CommandReply::Unknown => last = CommandReply::Unknown,
+                CommandReply::Unknown => last_reply = CommandReply::Unknown,
                 done => return done,
             }
             tokio::time::sleep(ROUND_INTERVAL).await;
         }
-        last
+        last_reply
     }
 
-    /// Returns the versions of the table that are kept, oldest first.
+    /// Returns the stored versions of the service table, oldest first, from the
+    /// reachable replica with the newest version.
     pub async fn fetch_history(&self) -> Vec<TableVersion> {
         let mut newest_history = match self.send_to_local(PeerRequest::AskHistory).await {
             Some(PeerReply::History(history)) => history,
@@ -96,7 +100,7 @@
         newest_history
     }
 
-    /// Returns the table in force at this instance.
+    /// Returns the service table that this instance uses.
     pub async fn fetch_table(&self) -> Option<TableVersion> {
         match self.send_to_local(PeerRequest::AskTable { have: 0 }).await {
             Some(PeerReply::Table(table)) => table,
@@ -104,9 +108,10 @@
         }
     }
 
-    /// Asks this instance, then the other replicas, until one leads.
+    /// Sends the command to this instance and then to the other replicas, one
+    /// after the other, until one of them is the leader.
     async fn try_replicas(&self, command: &ControlCommand) -> CommandReply {
-        let mut last = CommandReply::NotLeader;
+        let mut last_reply = CommandReply::NotLeader;
         let local_reply = self
             .send_to_local(PeerRequest::Command(command.clone()))
             .await;
@@ -119,13 +124,16 @@
             match peer.ask(PeerRequest::Command(command.clone())).await {
                 Ok(PeerReply::Command(CommandReply::NotLeader)) => {}
                 Ok(PeerReply::Command(reply)) => return reply,
-                // It may have been proposed there before the answer was lost.
-                _ => last = CommandReply::Unknown,
+                // The replica may have proposed the command before its reply
+                // was lost.
+                _ => last_reply = CommandReply::Unknown,
             }
         }
-        last
+        last_reply
     }
 
+    /// Converts a committed outcome. A conflict includes the text of the
+    /// version that the change conflicts with.
     async fn to_change_result(&self, outcome: ChangeOutcome) -> ChangeResult {
         ChangeResult::Decided(match outcome {
             ChangeOutcome::Accepted(version) => ApplyBody::Accepted { version },
@@ -140,6 +148,8 @@
         })
     }
 
+    /// Sends a request to the control thread of this instance; `None` if that
+    /// thread has ended.
     async fn send_to_local(&self, request: PeerRequest) -> Option<PeerReply> {
         let (reply, answer) = oneshot::channel();
         self.control
@@ -149,7 +159,7 @@
     }
 }
 
-/// Returns the newest version of a history; 0 for none.
+/// Returns the newest version number in `history`; 0 if it is empty.
 fn newest_version(history: &[TableVersion]) -> u64 {
     history.last().map_or(0, |table| table.version)
 }
--- a/crates/node/src/process/clock.rs
+++ b/crates/node/src/process/clock.rs
@@ -1,33 +1,36 @@
-//! The time since a process started.
+//! A monotonic clock that also counts the time during which the machine is
+//! suspended.
 //!
-//! Leases, windows, ages and limits are times at the other end as well: at a
-//! caller, a server, a quorum. A machine may be suspended, and the steady clock
-//! of the system stands still meanwhile, as if nothing had become old. This one
-//! goes on.
+//! Leases, time-outs and ages also pass at the other end of a connection: at
+//! callers, servers and the control group. The usual monotonic clock stops
+//! while a machine is suspended, so leases and time-outs would seem not to have
+//! expired afterwards. This clock reads `CLOCK_BOOTTIME`, which does not stop.
 
 use std::time::Duration;
 
 use nix::time::{clock_gettime, ClockId};
 
-/// Longest time to sleep for what is due by a [`ProcessClock`]: the system's
-/// timers stand still with the steady clock, so that what became due during a
-/// suspension is found out so long after it.
+/// Maximum sleep before something that is due by a [`ProcessClock`]. The
+/// system's timers stop during a suspension, so this bounds how long after a
+/// suspension an event that became due meanwhile is noticed.
 pub const MAX_SLEEP: Duration = Duration::from_millis(200);
 
-/// A clock that begins with a process and counts suspensions.
+/// A clock that starts at zero with the process and includes suspensions.
 #[derive(Debug, Clone, Copy)]
 pub struct ProcessClock {
+    /// Reads the time since the machine booted, or a test's time.
     read_time: fn() -> Duration,
+    /// Value of `read_time` at the start.
     started_at: Duration,
 }
 
 impl ProcessClock {
-    /// Returns the clock of a process that starts now.
+    /// Starts a clock at zero.
     pub fn start() -> ProcessClock {
         ProcessClock::start_with_source(read_boot_time)
     }
 
-    /// Returns a clock that starts now and takes its time from elsewhere.
+    /// Starts a clock at zero that reads its time from `read_time`; for tests.
     pub fn start_with_source(read_time: fn() -> Duration) -> ProcessClock {
         ProcessClock {
             read_time,
@@ -40,14 +43,15 @@
         (self.read_time)().saturating_sub(self.started_at)
     }
 
-    /// Returns how long to sleep at most until something is due at `at`.
+    /// Returns how long to sleep for an event that is due at `at`: the time
+    /// until then, but at most [`MAX_SLEEP`].
     pub fn sleep_time_until(&self, at: Duration) -> Duration {
         at.saturating_sub(self.elapsed()).min(MAX_SLEEP)
     }
 }
 
-/// Reads the time since the machine booted, with its suspensions.
+/// Reads the time since the machine booted, including suspensions.
 fn read_boot_time() -> Duration {
-    // Every Linux has this clock, so that reading it cannot fail.
+    // All Linux systems have this clock, so reading it does not fail.
     clock_gettime(ClockId::CLOCK_BOOTTIME).map_or(Duration::ZERO, Duration::from)
 }
--- a/crates/node/src/process/control.rs
+++ b/crates/node/src/process/control.rs
@@ -1,5 +1,7 @@
-//! The control thread: the replica of this instance, if it is one, and the
-//! spreading of the table.
+//! The control thread. It runs this instance's replica of the control group, if
+//! it has one, answers requests of other instances, and distributes the service
+//! table: the leader's group pushes new versions, and each instance also polls
+//! a random peer.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -21,61 +23,64 @@
 use crate::process::store::replica_store::ReplicaStore;
 use crate::ring::{RingReceiver, RingSender};
 
-/// Messages handled together, with one sync for all of them.
+/// Maximum number of messages handled together, with one disk sync for all of
+/// them.
 const MAX_BATCH: usize = 256;
-/// Interval at which a random peer is asked for a newer table.
+/// Interval at which a random peer is asked for a newer service table.
 const FETCH_INTERVAL: Duration = Duration::from_millis(500);
-/// Peers that are asked one after the other until one answers.
+/// Maximum number of peers asked one after the other until one replies.
 const MAX_FETCH_PEERS: usize = 4;
 
 /// A message to the control thread.
 #[derive(Debug)]
 pub enum ControlMessage {
-    /// A message of another instance, and where the answer goes.
+    /// A request of another instance or of this one, and the channel for the
+    /// reply.
     Peer {
-        /// The message.
+        /// The request.
         request: PeerRequest,
-        /// Takes the answer.
+        /// Receives the reply.
         reply: oneshot::Sender<PeerReply>,
     },
-    /// A table that a peer told when it was asked.
+    /// A service table that was fetched from a peer.
     Fetched(TableVersion),
 }
 
-/// The replica of an instance with a disk.
+/// A replica of the control group together with its storage on disk.
 #[derive(Debug)]
 pub struct StoredReplica {
-    /// The replica.
+    /// The state machine of the replica.
     pub machine: ReplicaMachine,
-    /// What it keeps.
+    /// The storage of the replica's log, term and vote.
     pub store: ReplicaStore,
 }
 
-/// What the control thread needs.
+/// The state of the control thread.
 #[derive(Debug)]
 pub struct ControlDriver {
-    /// The replica, if this instance is one.
+    /// The replica; `None` if this instance is not one or its storage failed.
     pub replica: Option<StoredReplica>,
-    /// The table in force here.
+    /// The service table that this instance uses.
     pub table: Option<TableVersion>,
-    /// The other instances.
+    /// Links to the other instances.
     pub peers: Vec<PeerLink>,
-    /// Its messages.
+    /// The receiving end of the thread's ring.
     pub ring: RingReceiver<ControlMessage>,
-    /// The sending end of its ring.
+    /// The sending end of the thread's ring, for tables that a spawned task
+    /// fetches.
     pub self_sender: RingSender<ControlMessage>,
-    /// The entry thread.
+    /// The ring to the entry thread.
     pub entry: RingSender<EntryMessage>,
-    /// When the process started.
+    /// The clock of the replica machine.
     pub process_clock: ProcessClock,
-    /// Proposals that wait for their end.
+    /// Reply channels of proposals that are not decided yet, by tag.
     pub pending_proposals: HashMap<u64, oneshot::Sender<PeerReply>>,
-    /// Counts the proposals.
+    /// The tag of the last proposal; each proposal gets the next number.
     pub last_proposal_tag: u64,
 }
 
 impl ControlDriver {
-    /// Runs until the instance ends.
+    /// Runs until the ring is closed.
     pub async fn run(mut self) {
         self.apply_stored_table().await;
         let mut fetch_timer = tokio::time::interval(FETCH_INTERVAL);
@@ -95,6 +100,7 @@
         }
     }
 
+    /// Returns the time until the replica machine must be woken.
     fn time_until_wake(&self) -> Duration {
         let Some(replica) = &self.replica else {
             return FETCH_INTERVAL;
@@ -103,7 +109,7 @@
         self.process_clock.sleep_time_until(wake)
     }
 
-    /// Puts what was in force before a restart in force again.
+    /// Applies the service table that the replica had stored before a restart.
     async fn apply_stored_table(&mut self) {
         let replica = self.replica.as_ref();
         let current = replica.and_then(|replica| replica.machine.state().current().cloned());
@@ -112,6 +118,8 @@
         }
     }
 
+    /// Handles a batch of messages. Inputs for the replica are collected and
+    /// processed in one step, so that one disk sync covers all of them.
     async fn handle_messages(&mut self, messages: &mut Vec<ControlMessage>) {
         let mut inputs = Vec::new();
         for message in messages.drain(..) {
@@ -128,7 +136,7 @@
         }
     }
 
-    /// Answers a request, or turns it into an input of the replica.
+    /// Replies to a request, or converts it into an input of the replica.
     async fn handle_request(
         &mut self,
         request: PeerRequest,
@@ -136,7 +144,8 @@
     ) -> Option<ReplicaInput> {
         let answer = match request {
             PeerRequest::Replica { from, message } => {
-                // The sender does not wait for this answer.
+                // The sender does not wait for the result, so the reply is sent
+                // at once.
                 let _ = reply.send(PeerReply::Taken);
                 return Some(ReplicaInput::Message { from, message });
             }
@@ -149,7 +158,8 @@
                 PeerReply::Table(newer.cloned())
             }
             PeerRequest::AskHistory => PeerReply::History(self.list_versions()),
-            // The peers thread hands these to the gossip thread.
+            // The peers thread passes gossip messages to the gossip thread, so
+            // none arrive here.
             PeerRequest::Gossip(_) => PeerReply::Taken,
             PeerRequest::Command(command) => return self.propose(command, reply),
         };
@@ -157,6 +167,8 @@
         None
     }
 
+    /// Returns the versions of the service table that this instance stores,
+    /// oldest first.
     fn list_versions(&self) -> Vec<TableVersion> {
         match &self.replica {
             Some(replica) => replica.machine.state().history().cloned().collect(),
@@ -164,6 +176,8 @@
         }
     }
 
+    /// Proposes a command to the replica if it is the leader; otherwise replies
+    /// that it is not.
     fn propose(
         &mut self,
         command: ControlCommand,
@@ -182,8 +196,8 @@
         })
     }
 
-    /// Steps the replica through inputs: all that is to be kept is synced once
-    /// before anything is answered or sent.
+    /// Passes inputs to the replica machine. All data that must be persisted is
+    /// written and synced once, before any reply or message is sent.
     async fn step_replica(&mut self, inputs: Vec<ReplicaInput>) {
         let now = self.process_clock.elapsed();
         let Some(replica) = &mut self.replica else {
@@ -194,9 +208,10 @@
             replica.machine.step(now, input, &mut actions);
         }
         if let Err(error) = persist_actions(&mut replica.store, &actions) {
-            // What is on the disk is not known any more: a sync that failed
-            // must not be tried again as if it could still succeed.
-            tracing::error!("control: replica steps aside, {error:#}");
+            // After a failed sync the contents of the disk are unknown, and a
+            // later sync may wrongly succeed. The replica therefore stops for
+            // good instead of retrying.
+            tracing::error!("control: replica stopped, its data could not be stored: {error:#}");
             self.replica = None;
             return;
         }
@@ -205,6 +220,8 @@
         }
     }
 
+    /// Performs an action of the replica machine. Actions that persist data
+    /// were already performed before.
     async fn perform(&mut self, action: ReplicaAction) {
         match action {
             ReplicaAction::Send { to, message } => self.send(to, message),
@@ -232,6 +249,7 @@
         }
     }
 
+    /// Sends a message to another replica, if this instance has a link to it.
     fn send(&self, to: ReplicaId, message: ReplicaMessage) {
         let Some(replica) = &self.replica else {
             return;
@@ -243,17 +261,18 @@
         }
     }
 
-    /// Tells every other instance of a table.
+    /// Sends a service table to every other instance.
     fn push_table(&self, table: &TableVersion) {
         for peer in &self.peers {
             peer.tell(PeerRequest::Table(table.clone()));
         }
     }
 
-    /// Asks a random peer for a newer table: what a push did not reach learns
-    /// of it this way. Peers that do not answer are passed over: where two of
-    /// three were gone, a start found the table after up to 3.0 s without this,
-    /// and within 1 s with it (`tests/cluster.rs`).
+    /// Asks a random peer for a newer service table, for instances that a
+    /// pushed table did not reach. Peers that do not reply are skipped and the
+    /// next one is asked: with two of three instances stopped, a starting
+    /// instance received the table after up to 3.0 s without this, and within 1
+    /// s with it (`tests/cluster.rs`).
     fn fetch_newer_table(&self) {
         let peers = self
             .peers
@@ -274,7 +293,8 @@
         });
     }
 
-    /// Puts a table in force, unless a newer one is.
+    /// Applies a service table if it is newer than the current one: passes it
+    /// to the entry thread.
     async fn apply_table(&mut self, table: TableVersion) {
         let have = self.table.as_ref().map_or(0, |table| table.version);
         if table.version <= have {
@@ -287,12 +307,16 @@
                 self.entry.put(EntryMessage::Input(input)).await;
             }
             Err(findings) => {
-                tracing::error!("control: version {} not taken, {findings}", table.version);
+                tracing::error!(
+                    "control: version {} of the service table is invalid, {findings}",
+                    table.version
+                );
             }
         }
     }
 }
 
+/// Writes the data that `actions` ask to persist, and syncs it to disk.
 fn persist_actions(store: &mut ReplicaStore, actions: &[ReplicaAction]) -> anyhow::Result<()> {
     for action in actions {
         store.keep(action)?;
@@ -300,6 +324,7 @@
     store.sync()
 }
 
+/// Converts the result of a proposal into the reply to its sender.
 fn command_reply(result: ProposalResult) -> CommandReply {
     match result {
         ProposalResult::Done(outcome) => CommandReply::Done(outcome),
--- a/crates/node/src/process/duty.rs
+++ b/crates/node/src/process/duty.rs
@@ -1,4 +1,5 @@
-//! Threads of an instance: a duty each, on a runtime of its own.
+//! Starts the threads of an instance. Each thread runs one long-lived task (its
+//! "duty") on a single-threaded tokio runtime of its own.
 
 use std::net::SocketAddr;
 use std::thread::JoinHandle;
@@ -9,7 +10,7 @@
 
 use crate::connection::listener::BoundListener;
 
-/// Waits for the end of threads.
+/// Waits until all `threads` have ended, and logs those that panicked.
 pub fn join_threads(threads: Vec<JoinHandle<()>>) {
     for thread in threads {
         if thread.join().is_err() {
@@ -18,11 +19,11 @@
     }
 }
 
-/// Starts a thread.
+/// Starts a thread named `wm-{name}` that runs `run`.
 ///
 /// # Errors
 ///
-/// Fails if the system gives none.
+/// Fails if the operating system cannot create the thread.
 pub fn start_thread(
     name: &str,
     run: impl FnOnce() + Send + 'static,
@@ -33,20 +34,21 @@
         .with_context(|| format!("could not start thread {name}"))
 }
 
-/// Starts the threads of duties.
+/// Starts threads that each run one task until it ends or the instance is
+/// killed.
 #[derive(Debug, Clone)]
 pub struct ThreadSpawner {
-    /// Turns true when the instance is killed.
+    /// Becomes true when the instance is killed.
     pub killed: watch::Receiver<bool>,
 }
 
 impl ThreadSpawner {
-    /// Starts a thread that runs `task` on a runtime of its own, until its end
-    /// or until the instance is killed.
+    /// Starts a thread that runs `task` on a tokio runtime of its own, until
+    /// the task ends or the instance is killed.
     ///
     /// # Errors
     ///
-    /// Fails if the system gives no thread or no runtime.
+    /// Fails if the operating system cannot create the thread or the runtime.
     pub fn start(
         &self,
         name: &str,
@@ -68,7 +70,7 @@
     }
 }
 
-/// A listener that is to run in a thread of its own.
+/// The configuration of an HTTP listener that runs in a thread of its own.
 #[derive(Debug)]
 pub struct ListenerThread {
     name: &'static str,
@@ -77,7 +79,8 @@
 }
 
 impl ListenerThread {
-    /// Returns a plan for at most `max_connections` connections.
+    /// Returns a listener configuration: the thread's name, the address to
+    /// bind, and the most connections that are open at a time.
     pub fn new(name: &'static str, address: SocketAddr, max_connections: usize) -> ListenerThread {
         ListenerThread {
             name,
@@ -86,12 +89,12 @@
         }
     }
 
-    /// Starts the thread and returns the address bound to, and what tells the
-    /// thread's end.
+    /// Starts the thread and waits until its listener is bound. Returns the
+    /// bound address, and a receiver that completes when the thread ends.
     ///
     /// # Errors
     ///
-    /// Fails if the address cannot be had.
+    /// Fails if the address cannot be bound or the thread cannot be started.
     pub fn start(
         self,
         router: Router,
--- a/crates/node/src/process/entry.rs
+++ b/crates/node/src/process/entry.rs
@@ -1,4 +1,6 @@
-//! The entry thread: drives the entry machine.
+//! The entry thread. It passes messages and timer wake-ups to the entry
+//! machine, which makes all decisions, and performs the actions that the
+//! machine returns.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -18,52 +20,52 @@
 use crate::process::upstreams::UpstreamCommand;
 use crate::ring::{RingReceiver, RingSender};
 
-/// Messages taken between two looks at the clock.
+/// Maximum number of messages received at once.
 const MAX_BATCH: usize = 64;
-/// Longest sleep of the entry thread.
+/// Maximum time that the entry thread sleeps without a message.
 const MAX_SLEEP: Duration = Duration::from_secs(1);
 
 /// A message to the entry thread.
 #[derive(Debug)]
 pub enum EntryMessage {
-    /// An input of the machine.
+    /// An input of the entry machine.
     Input(EntryInput),
-    /// A caller's request, and where its outcome goes.
+    /// A caller's request, and the channel for its outcome.
     Call {
         /// The request.
         request: QueryRequest,
-        /// Takes the outcome.
+        /// Receives the outcome.
         outcome: oneshot::Sender<QueryOutcome>,
     },
-    /// Asks for the machine's state.
+    /// Requests a report of the entry machine's state.
     Inspect(oneshot::Sender<EntryReport>),
     /// Ends the thread.
     End,
 }
 
-/// What the entry thread needs besides the machine.
+/// The state of the entry thread.
 #[derive(Debug)]
 pub struct EntryDriver<P> {
-    /// The machine.
+    /// The entry machine.
     pub machine: EntryMachine<P>,
-    /// Its inputs.
+    /// The receiving end of the thread's ring.
     pub ring: RingReceiver<EntryMessage>,
-    /// Orders to the upstreams thread.
+    /// The ring to the upstreams thread.
     pub upstreams: RingSender<UpstreamCommand>,
-    /// Decisions to the journal thread.
+    /// Sends decisions to the journal thread.
     pub journal: JournalSender,
-    /// When the process started.
+    /// The clock of the entry machine.
     pub process_clock: ProcessClock,
-    /// Told once the last request has ended after a leave.
+    /// Notified once the last request has ended after a leave.
     pub left_sender: Option<oneshot::Sender<()>>,
-    /// Set once the instance knows enough to serve.
+    /// Set once the entry machine is ready to serve requests.
     pub entry_ready: Arc<AtomicBool>,
-    /// Where outcomes go.
+    /// Outcome channels of the requests in progress.
     pub outcome_senders: HashMap<CallTag, oneshot::Sender<QueryOutcome>>,
 }
 
 impl<P: RoutePolicy> EntryDriver<P> {
-    /// Runs until it is told to end.
+    /// Runs until an [`EntryMessage::End`] arrives or the ring is closed.
     pub async fn run(mut self) {
         let mut actions = Vec::new();
         let mut messages = Vec::with_capacity(MAX_BATCH);
@@ -90,6 +92,8 @@
         }
     }
 
+    /// Sets `entry_ready` once the entry machine is ready; the flag is never
+    /// cleared.
     fn update_readiness(&self) {
         let known = self.entry_ready.load(Ordering::Relaxed);
         if !known && self.machine.is_learned(self.process_clock.elapsed()) {
@@ -97,6 +101,7 @@
         }
     }
 
+    /// Returns the time until the entry machine must be woken.
     fn sleep_time(&self) -> Duration {
         let wake = self.machine.next_wake();
         let sleep = wake.map(|at| at.saturating_sub(self.process_clock.elapsed()));
@@ -117,6 +122,9 @@
         }
     }
 
+    /// Passes an input to the entry machine and performs the resulting actions.
+    /// Sends that did not fit into the ring of the upstreams thread are
+    /// reported to the machine as not sent.
     fn step(&mut self, input: EntryInput, actions: &mut Vec<EntryAction>) {
         self.machine
             .step(self.process_clock.elapsed(), input, actions);
@@ -129,6 +137,8 @@
         }
     }
 
+    /// Performs an action of the entry machine. Sends that do not fit into the
+    /// ring of the upstreams thread are added to `unsent_orders`.
     fn perform(&mut self, action: EntryAction, unsent_orders: &mut Vec<SendOrder>) {
         match action {
             EntryAction::Send(order) => {
@@ -138,7 +148,8 @@
                 }
             }
             EntryAction::Cancel { attempt, .. } => {
-                // Without room the reply comes late and is dropped.
+                // If the ring is full, the attempt goes on and its late reply
+                // is dropped.
                 let _ = self.upstreams.offer(UpstreamCommand::Cancel(attempt));
             }
             EntryAction::Finish { call, outcome } => {
@@ -156,6 +167,7 @@
     }
 }
 
+/// Returns the input that reports an attempt as never sent.
 fn unsent_reply(order: &SendOrder) -> EntryInput {
     EntryInput::Reply(AttemptReply {
         attempt: order.attempt,
@@ -164,14 +176,15 @@
     })
 }
 
-/// Asks the entry thread for the instance's state.
+/// Requests a report from the entry thread; `None` if the thread has ended.
 pub async fn request_report(ring: &RingSender<EntryMessage>) -> Option<EntryReport> {
     let (sender, receiver) = oneshot::channel();
     ring.put(EntryMessage::Inspect(sender)).await;
     receiver.await.ok()
 }
 
-/// Fills in what the entry thread does not know of its instance.
+/// Adds the instance's name and failure domain to a report; the entry thread
+/// does not know them.
 pub fn add_identity(report: EntryReport, instance: &str, domain: &str) -> InstanceStatus {
     InstanceStatus {
         instance: instance.to_string(),
--- a/crates/node/src/process/expose.rs
+++ b/crates/node/src/process/expose.rs
@@ -1,4 +1,4 @@
-//! A listener for metrics, in the format of Prometheus.
+//! An HTTP listener that serves metrics in the Prometheus text format.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,14 +10,14 @@
 use crate::connection::accept::next_stream;
 use crate::connection::http::{serve_http, typed_response};
 
-/// Format of what is rendered.
+/// Content type of the rendered metrics.
 const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4";
-/// Longest time that a reader may take for the head of its question.
+/// Time within which a client must send the head of its request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers readers of metrics until the process ends.
+/// Serves metrics until the process ends.
 ///
-/// An address that cannot be had is said in the log; the instance goes on
+/// If the address cannot be bound, the error is logged and the instance runs
 /// without metrics.
 pub async fn expose_metrics(address: SocketAddr, render: impl Fn() -> String + 'static) {
     let listener = match TcpListener::bind(address).await {
--- a/crates/node/src/process/fence.rs
+++ b/crates/node/src/process/fence.rs
@@ -1,4 +1,6 @@
-//! The fence as an instance uses it: claims before, ends after.
+//! Runs a submission at most once per idempotency key ("fencing"). Before it
+//! runs, the key is claimed in the control group; afterwards the result is
+//! recorded there for later submissions with the same key.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -12,19 +14,21 @@
 
 use crate::process::change::ControlClient;
 
-/// Longest time a claim may take; then the submission is refused, not run.
+/// Time within which a key must be claimed; otherwise the submission is refused
+/// and not run.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Longest time to record an end; the caller does not wait beyond it.
+/// Maximum time that the caller waits until the result is recorded.
 const RESULT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Claims keys in the control group.
+/// A client that claims idempotency keys in the control group.
 #[derive(Debug, Clone)]
 pub struct FenceClient {
-    /// Reaches the control group.
+    /// The client of the control group.
     pub control_client: ControlClient,
 }
 
-/// A claim that was granted, or that is not needed.
+/// A claim that was granted, or one that is not recorded because the service
+/// may run without a quorum (`is_fenced` is false).
 #[derive(Debug, Clone)]
 pub struct GrantedClaim {
     key: String,
@@ -32,25 +36,26 @@
     is_fenced: bool,
 }
 
-/// Why a submission is not run now.
+/// The reason why a submission must not run now.
 #[derive(Debug)]
 pub enum ClaimRejection {
-    /// It ran before; this is what its caller got.
+    /// The submission ran before; holds the answer that its first caller got.
     AlreadyRan(String),
-    /// It is refused.
+    /// The submission is refused with this problem.
     Problem(Box<ProblemBody>),
 }
 
+/// Returns a rejection of a submission that was not run.
 fn reject(status: u16, word: &str, detail: &str) -> ClaimRejection {
     ClaimRejection::Problem(Box::new(ProblemBody::early(status, word, detail)))
 }
 
 impl FenceClient {
-    /// Claims the key of a submission.
+    /// Claims the idempotency key of a submission.
     ///
     /// # Errors
     ///
-    /// Tells why it must not run now.
+    /// Returns the reason why the submission must not run now.
     pub async fn claim(
         &self,
         service: &str,
@@ -81,7 +86,8 @@
         }
     }
 
-    /// Records what became of a submission; `None` if it did not run.
+    /// Records the result of a submission; with `None` (it did not run) the
+    /// claim is released.
     pub async fn record_result(&self, claim: GrantedClaim, end: Option<ClaimEnd>) {
         if !claim.is_fenced {
             return;
@@ -97,33 +103,39 @@
             .await
             == CommandReply::NotLeader
         {
-            // A second arrival is told "in progress", and later "unknown".
-            tracing::warn!("fence: the end of a claim could not be recorded");
+            // A later submission with the same key first gets "in progress",
+            // and "unknown" after some time.
+            tracing::warn!("fence: the result of a claim could not be recorded");
         }
     }
 
-    /// Decides by the table what happens without a quorum.
+    /// Decides by the service table whether a submission runs without a quorum
+    /// of the control group. Services refuse this by default.
     async fn handle_missing_quorum(
         &self,
         service: &str,
         claim: GrantedClaim,
     ) -> Result<GrantedClaim, ClaimRejection> {
         if self.find_unfenced_rule(service).await == UnfencedRule::Run {
-            tracing::warn!("fence: {service} runs unfenced, no quorum in reach");
+            tracing::warn!(
+                "fence: {service} runs unfenced, no quorum of the control group is reachable"
+            );
             return Ok(GrantedClaim {
                 is_fenced: false,
                 ..claim
             });
         }
-        // The claim may have been recorded all the same; give it back.
+        // The claim may have been recorded although no reply arrived, so it is
+        // released.
         let client = self.clone();
         tokio::spawn(async move { client.record_result(claim, None).await });
-        let detail = "no quorum of the control group is in reach to claim the key";
+        let detail = "no quorum of the control group is reachable to claim the key";
         let mut problem = ProblemBody::early(503, "no-quorum", detail);
         problem.retry_after_ms = Some(1000);
         Err(ClaimRejection::Problem(Box::new(problem)))
     }
 
+    /// Returns the rule of a service for submissions without a quorum.
     async fn find_unfenced_rule(&self, service: &str) -> UnfencedRule {
         let table = self.control_client.fetch_table().await;
         let parsed = table.and_then(|table| {
@@ -134,6 +146,7 @@
     }
 }
 
+/// Converts the outcome of a claim into a granted claim or a rejection.
 fn evaluate_claim(
     outcome: ClaimOutcome,
     claim: GrantedClaim,
@@ -144,16 +157,16 @@
         ClaimOutcome::Ended(ClaimEnd::Ran(None)) => Err(reject_possibly_run(
             200,
             "ran-before",
-            "it ran; its answer was too large to be kept",
+            "the submission ran; its answer was too large to be stored",
         )),
         ClaimOutcome::Ended(ClaimEnd::Unknown) => Err(reject_possibly_run(
             502,
             "outcome-unknown",
-            "it was sent before, and whether it ran is not known",
+            "the submission was sent before, and it is not known whether it ran",
         )),
         ClaimOutcome::InProgress => {
             let mut rejection =
-                reject_possibly_run(409, "in-progress", "a request with this key is at work");
+                reject_possibly_run(409, "in-progress", "a request with this key is in progress");
             if let ClaimRejection::Problem(problem) = &mut rejection {
                 problem.retry_after_ms = Some(1000);
             }
@@ -162,24 +175,25 @@
         ClaimOutcome::OtherContent => Err(reject(
             422,
             "key-reused",
-            "this key was used for a request of other content",
+            "this key was already used for a request with different content",
         )),
         ClaimOutcome::Full => Err(reject(
             503,
             "fence-full",
-            "no more claims can be kept; the oldest expire within a day",
+            "no more claims can be stored; the oldest expire within a day",
         )),
     }
 }
 
-/// Returns a stop whose outcome is not "not run".
+/// Returns a rejection of a submission that ran before or may have run.
 fn reject_possibly_run(status: u16, word: &str, detail: &str) -> ClaimRejection {
     let mut problem = ProblemBody::early(status, word, detail);
     problem.outcome = OUTCOME_UNKNOWN.to_string();
     ClaimRejection::Problem(Box::new(problem))
 }
 
-/// Returns what is recorded of an outcome; `None` if it did not run.
+/// Returns the result to record for an outcome; `None` if the submission did
+/// not run.
 pub fn execution_result(service: &str, outcome: &QueryOutcome) -> Option<ClaimEnd> {
     match outcome {
         QueryOutcome::Answer(answer) => {
@@ -191,7 +205,7 @@
     }
 }
 
-/// Returns the wall clock in milliseconds since 1970.
+/// Returns the wall-clock time in milliseconds since 1970.
 pub fn wall_clock_ms() -> u64 {
     let time_since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     time_since_epoch.map_or(0, |time_since_epoch| time_since_epoch.as_millis() as u64)
--- a/crates/node/src/process/gossip.rs
+++ b/crates/node/src/process/gossip.rs
@@ -1,5 +1,6 @@
-//! The gossip thread: members, and the upstream servers they tell each other
-//! of.
+//! The gossip thread. It drives the gossip machine, which tracks the members of
+//! the cluster and disseminates announcements of upstream servers, and it
+//! passes changes on to the entry thread.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,49 +19,57 @@
 use crate::process::entry::EntryMessage;
 use crate::ring::{RingReceiver, RingSender};
 
-/// Messages handled together.
+/// Maximum number of commands received at once.
 const MAX_BATCH: usize = 256;
-/// Time a member's share of the servers is held after it was lost, before the
-/// others take it.
+/// Time for which a server's limits stay divided by the higher number of
+/// instances after a member was lost. Only then do the others take over the
+/// lost member's share.
 const DECREASE_DELAY: Duration = Duration::from_secs(5);
 
-/// A message to the gossip thread.
+/// A command to the gossip thread.
 #[derive(Debug)]
 pub enum GossipCommand {
-    /// An input of the machine.
+    /// An input of the gossip machine.
     Input(Box<GossipInput>),
-    /// Asks for the members.
+    /// Requests the list of members.
     Members(oneshot::Sender<Vec<MemberStatus>>),
 }
 
-/// What the gossip thread needs.
+/// The state of the gossip thread.
 #[derive(Debug)]
 pub struct GossipDriver {
-    /// The machine.
+    /// The gossip machine.
     pub machine: GossipMachine,
-    /// Its messages.
+    /// The receiving end of the thread's ring.
     pub ring: RingReceiver<GossipCommand>,
-    /// The entry thread.
+    /// The ring to the entry thread.
     pub entry: RingSender<EntryMessage>,
-    /// The cluster's key.
+    /// The key that authenticates messages within the cluster.
     pub key: Arc<str>,
-    /// When the process started.
+    /// The clock of the gossip machine.
     pub process_clock: ProcessClock,
-    /// Links to members by address.
+    /// Links to other members, by address.
     pub links: HashMap<SocketAddr, PeerLink>,
-    /// How the servers' limits are divided just now.
+    /// The number of instances that the servers' limits are currently divided
+    /// by.
     pub limit_divisor: LimitDivisor,
 }
 
-/// The number of instances that a server's limits are divided by.
+/// Tracks the number of instances among which each server's limits are divided.
+/// The divisor follows an increase of the members at once and a decrease after
+/// a delay.
 #[derive(Debug)]
 pub struct LimitDivisor {
+    /// The current divisor.
     count: u32,
+    /// Time at which the number of members fell below `count`; `None` if it has
+    /// not.
     fewer_since: Option<Duration>,
 }
 
 impl LimitDivisor {
-    /// Returns a count that starts with all instances that may be there.
+    /// Returns a divisor that starts with `count`, the number of instances that
+    /// may be running.
     pub fn new(count: u32) -> LimitDivisor {
         LimitDivisor {
             count,
@@ -68,10 +77,11 @@
         }
     }
 
-    /// Takes the number of members that are there. Returns the new count if
-    /// the limits are to be divided anew: at once for more members, and for
-    /// fewer only once they have been fewer for a lease, so that a member that
-    /// was cut off does not share with those that took its part.
+    /// Updates the divisor with the current number of members, and returns it
+    /// if it changed. More members count at once. Fewer members count only
+    /// after they have been fewer for [`DECREASE_DELAY`], so that a member that
+    /// was cut off does not use its share of the limits at the same time as the
+    /// members that take it over.
     pub fn update(&mut self, member_count: u32, now: Duration) -> Option<u32> {
         if member_count >= self.count {
             self.fewer_since = None;
@@ -90,7 +100,7 @@
 }
 
 impl GossipDriver {
-    /// Runs until the instance ends.
+    /// Runs until the ring is closed.
     pub async fn run(mut self) {
         let mut commands = Vec::with_capacity(MAX_BATCH);
         loop {
@@ -111,6 +121,7 @@
         }
     }
 
+    /// Handles a command to this thread.
     async fn handle_command(&mut self, command: GossipCommand) {
         match command {
             GossipCommand::Input(input) => self.step(*input).await,
@@ -120,6 +131,8 @@
         }
     }
 
+    /// Passes an input to the gossip machine and performs the resulting
+    /// actions.
     async fn step(&mut self, input: GossipInput) {
         let mut actions = Vec::new();
         self.machine
@@ -141,11 +154,13 @@
         }
     }
 
+    /// Sends an input to the entry thread.
     async fn send_to_entry(&self, input: EntryInput) {
         self.entry.put(EntryMessage::Input(input)).await;
     }
 
-    /// Divides the servers' limits anew if the members call for it.
+    /// Updates the divisor of the servers' limits, and reports a change to the
+    /// entry thread.
     async fn update_limit_divisor(&mut self) {
         let member_count = self.machine.others().count() as u32 + 1;
         if let Some(count) = self
@@ -157,7 +172,7 @@
         }
     }
 
-    /// Returns the link to an address, a new one if there is none.
+    /// Returns the link to a member's address. Creates the link on first use.
     fn link(&mut self, to: SocketAddr) -> &PeerLink {
         let key = &self.key;
         self.links.entry(to).or_insert_with(|| {
@@ -167,6 +182,7 @@
         })
     }
 
+    /// Returns the state of all known members, including this instance.
     fn list_members(&self) -> Vec<MemberStatus> {
         let others = self.machine.members();
         let members = others.chain([self.machine.own()]).map(|news| MemberStatus {
@@ -180,6 +196,8 @@
     }
 }
 
+/// Returns the lifecycle state of a member as it is written to operators and
+/// the log.
 fn lifecycle_label(standing: MemberStanding) -> &'static str {
     match standing {
         MemberStanding::Alive => "alive",
--- a/crates/node/src/process/instance.rs
+++ b/crates/node/src/process/instance.rs
@@ -1,4 +1,7 @@
-//! An instance: starts its threads, and ends them in order.
+//! Starts all threads of an instance of snapshot queries, connects them with
+//! bounded rings, and shuts them down in order. An instance whose settings name
+//! a cluster also starts the control and gossip threads and a listener for
+//! other instances.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -33,46 +36,52 @@
 use crate::ring::{bounded_ring, RingReceiver, RingSender};
 use crate::settings::model::{ClusterSettings, InstanceSettings};
 
-/// Room of the ring into the entry thread.
+/// Messages that the ring to the entry thread holds.
 const ENTRY_RING_LENGTH: usize = 8_192;
-/// Room of the ring into the upstreams thread.
+/// Commands that the ring to the upstreams thread holds.
 const UPSTREAM_RING_LENGTH: usize = 16_384;
-/// Most connections of operators.
+/// Maximum number of open connections from operators.
 const MAX_OPERATOR_CONNECTIONS: usize = 64;
-/// Room of the ring into the gossip thread.
+/// Commands that the ring to the gossip thread holds.
 const GOSSIP_RING_LENGTH: usize = 8_192;
-/// Room of the ring into the control thread.
+/// Messages that the ring to the control thread holds.
 const CONTROL_RING_LENGTH: usize = 4_096;
-/// Time the news of a leave gets to reach the other members.
+/// Time that an instance waits after it announced its leave, so that the gossip
+/// messages can reach the other members.
 const LEAVE_SEND_TIME: Duration = Duration::from_millis(100);
-/// Most connections of other instances.
+/// Maximum number of open connections from other instances.
 const MAX_PEER_CONNECTIONS: usize = 1_024;
-/// Most connections of upstream servers.
+/// Maximum number of open connections from upstream servers that announce
+/// themselves.
 const MAX_ANNOUNCE_CONNECTIONS: usize = 4_096;
 
-/// What an instance is started with.
+/// The configuration that an instance is started with.
 #[derive(Debug)]
 pub struct InstanceSetup<P> {
-    /// Its settings.
+    /// The settings of the instance, as read from its settings file.
     pub settings: InstanceSettings,
-    /// The table in force at its start.
+    /// The service table that is valid at the start; `None` if the instance
+    /// receives its first table from the control group.
     pub table: Option<ServiceTable>,
-    /// How it chooses servers.
+    /// The policy that chooses the server for each attempt.
     pub policy: P,
-    /// The guards; all on but in tests.
+    /// Safety checks of the entry machine. All are on; only tests switch some
+    /// off.
     pub guards: GuardSet,
 }
 
-/// A running instance.
+/// A running instance: its bound addresses, and the channels and threads needed
+/// to shut it down.
 #[derive(Debug)]
 pub struct InstanceHandle {
-    /// Where callers reach it.
+    /// Bound address of the listener for callers.
     pub callers: SocketAddr,
-    /// Where operators reach it.
+    /// Bound address of the listener for operators.
     pub operators: SocketAddr,
-    /// Where upstream servers announce themselves.
+    /// Bound address of the listener for announcements of upstream servers.
     pub upstreams: SocketAddr,
-    /// Where other instances reach it, if it is not alone.
+    /// Bound address of the listener for other instances; `None` for an
+    /// instance without a cluster.
     pub peers: Option<SocketAddr>,
     gossip: Option<RingSender<GossipCommand>>,
     entry: RingSender<EntryMessage>,
@@ -81,17 +90,20 @@
     stop_callers: watch::Sender<bool>,
     stop_others: watch::Sender<bool>,
     callers_ended: oneshot::Receiver<()>,
+    /// Completes once the entry thread has ended its last request after a
+    /// leave.
     entry_left: oneshot::Receiver<()>,
     kill: watch::Sender<bool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl InstanceHandle {
-    /// Starts an instance and returns once it listens.
+    /// Starts an instance. Returns once all its listeners accept connections.
     ///
     /// # Errors
     ///
-    /// Fails if an address cannot be had or a thread cannot be started.
+    /// Fails if an address cannot be bound, a key or data folder cannot be
+    /// read, or a thread cannot be started.
     pub fn start<P: RoutePolicy + Send + 'static>(
         setup: InstanceSetup<P>,
     ) -> anyhow::Result<InstanceHandle> {
@@ -115,13 +127,13 @@
             .decisions_per_second(settings.decisions_per_second)
             .guards(setup.guards)
             .build();
-        let clock = ProcessClock::start();
+        let entry_clock = ProcessClock::start();
         let entry_driver = EntryDriver {
             machine: EntryMachine::new(options, setup.policy),
             ring: entry_ring,
             upstreams,
             journal,
-            process_clock: clock,
+            process_clock: entry_clock,
             left_sender: Some(left_sender),
             entry_ready: ready.entry_ready.clone(),
             outcome_senders: HashMap::new(),
@@ -131,13 +143,13 @@
             ring: upstream_ring,
             entry: entry.clone(),
             source: settings.source,
-            clock,
+            clock: entry_clock,
         };
         threads.push(spawner.start("upstreams", upstream_driver.run())?);
         if let Some(table) = setup.table {
             let message = EntryMessage::Input(EntryInput::Table(table));
             if entry.offer(message).is_err() {
-                anyhow::bail!("could not hand the table to the entry thread");
+                anyhow::bail!("could not send the initial service table to the entry thread");
             }
         }
 
@@ -212,14 +224,18 @@
         })
     }
 
-    /// Leaves gracefully: not ready, then no new connections, then to the end
-    /// of the last request, then gone. Cuts off no request.
+    /// Shuts the instance down gracefully, without cutting off any request.
+    ///
+    /// The instance first reports that it is not ready and waits for the drain
+    /// notice. Then it accepts no new connections from callers, waits for its
+    /// last request to end, announces its leave to the other members, and ends
+    /// its threads.
     pub async fn shut_down(self) {
         self.ready.start_leaving();
         tracing::info!("instance: not ready, leaving in {:.1?}", self.drain_notice);
         tokio::time::sleep(self.drain_notice).await;
         let _ = self.stop_callers.send(true);
-        // Fails only if the thread has ended already.
+        // The receiver fails only if the thread has already ended.
         let _ = self.callers_ended.await;
         self.entry.put(EntryMessage::Input(EntryInput::Leave)).await;
         let _ = self.entry_left.await;
@@ -234,25 +250,27 @@
         let threads = self.threads;
         let joined = tokio::task::spawn_blocking(move || join_threads(threads)).await;
         if joined.is_err() {
-            tracing::error!("instance: a thread ended badly");
+            tracing::error!("instance: waiting for the threads to end panicked");
         }
     }
 
-    /// Ends all threads where they stand, as a crash would; for tests.
+    /// Ends all threads at once without draining, as a crash would. For tests.
     pub fn kill(self) {
         let _ = self.kill.send(true);
         join_threads(self.threads);
     }
 }
 
-/// Returns the number of instances that may be there at the start.
+/// Returns how many instances may be running at the start: the configured
+/// count, or the number of cluster members if that is higher.
 fn instance_count(settings: &InstanceSettings) -> u32 {
     let cluster = settings.cluster.as_ref();
     let known = cluster.map_or(0, |cluster| cluster.peers.len() as u32 + 1);
     known.max(settings.instances)
 }
 
-/// What an instance's part in the deployment is started with.
+/// The inputs for starting the cluster threads of an instance: control, gossip
+/// and the listener for other instances.
 struct ClusterStart<'a> {
     cluster: &'a ClusterSettings,
     settings: &'a InstanceSettings,
@@ -261,7 +279,9 @@
     process_clock: ProcessClock,
 }
 
-/// The parts of an instance that the others reach.
+/// The results of starting the cluster threads: a client of the control group,
+/// the ring to the gossip thread, and the bound address of the listener for
+/// other instances.
 struct ClusterParts {
     control_client: ControlClient,
     gossip: RingSender<GossipCommand>,
@@ -269,7 +289,7 @@
 }
 
 impl ClusterStart<'_> {
-    /// Starts the control and the gossip thread, and the listener for other
+    /// Starts the control thread, the gossip thread and the listener for other
     /// instances.
     fn start(
         self,
@@ -321,6 +341,8 @@
         })
     }
 
+    /// Builds the driver of the gossip thread. The wall clock gives the
+    /// incarnation of this instance, so that it is higher after each restart.
     fn gossip_driver(
         &self,
         ring: RingReceiver<GossipCommand>,
@@ -352,7 +374,7 @@
     }
 }
 
-/// Runs a duty until its end or until the instance stops.
+/// Runs `task` until it ends or `stop` becomes true.
 async fn until_stopped(task: impl Future<Output = ()>, mut stop: watch::Receiver<bool>) {
     tokio::select! {
         () = task => {}
--- a/crates/node/src/process/journal.rs
+++ b/crates/node/src/process/journal.rs
@@ -1,4 +1,6 @@
-//! The journal thread: decisions become log lines and can be looked up.
+//! The journal thread. It receives the decisions of the entry machine,
+//! optionally logs them, and stores the latest ones for look-ups and streams by
+//! operators.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,15 +11,16 @@
 use wheelmast_core::prelude::{DecisionEvent, RequestId};
 use wheelmast_wire::prelude::DecisionLine;
 
-/// Decisions that may wait for the journal thread.
+/// Maximum number of decisions queued for the journal thread.
 const QUEUE_LENGTH: usize = 16_384;
-/// Decisions kept to be looked up.
+/// Maximum number of decisions stored for look-ups.
 const MAX_STORED_DECISIONS: usize = 50_000;
-/// Decisions a slow watcher may lag behind before it misses some.
-const WATCHER_QUEUE_LENGTH: usize = 4_096;
+/// Maximum number of decisions that a slow subscriber may lag behind before it
+/// misses some.
+const SUBSCRIBER_QUEUE_LENGTH: usize = 4_096;
 
-/// The sending end of the journal; decisions that find it full are counted
-/// and not recorded, so that the request path never waits.
+/// The sending end of the journal's queue. When the queue is full, decisions
+/// are dropped and counted, so that the request path never waits.
 #[derive(Debug, Clone)]
 pub struct JournalSender {
     sender: SyncSender<DecisionEvent>,
@@ -25,7 +28,7 @@
 }
 
 impl JournalSender {
-    /// Records a decision.
+    /// Queues a decision for the journal thread.
     pub fn record(&self, event: DecisionEvent) {
         if self.sender.try_send(event).is_err() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
@@ -33,20 +36,22 @@
     }
 }
 
-/// The decisions of an instance, as far as they are kept.
+/// The latest decisions of an instance, shared between the journal thread and
+/// the operators thread.
 #[derive(Debug, Clone)]
 pub struct DecisionHistory {
     stored: Arc<Mutex<VecDeque<DecisionEvent>>>,
-    watchers: broadcast::Sender<Arc<DecisionLine>>,
+    subscribers: broadcast::Sender<Arc<DecisionLine>>,
     dropped: Arc<AtomicU64>,
 }
 
 impl DecisionHistory {
+    /// Locks the stored decisions.
     fn stored(&self) -> MutexGuard<'_, VecDeque<DecisionEvent>> {
         self.stored.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the decisions of one request, oldest first.
+    /// Returns the stored decisions about one request, oldest first.
     pub fn explain(&self, request: RequestId) -> Vec<DecisionLine> {
         let stored = self.stored();
         let events = stored.iter();
@@ -56,23 +61,24 @@
             .collect()
     }
 
-    /// Returns the last decisions, oldest first.
+    /// Returns the latest `count` decisions, oldest first.
     pub fn list_latest(&self, count: usize) -> Vec<DecisionLine> {
         let stored = self.stored();
         let skipped = stored.len().saturating_sub(count);
         stored.iter().skip(skipped).map(to_decision_line).collect()
     }
 
-    /// Returns a stream of the decisions to come.
+    /// Subscribes to future decisions.
     pub fn subscribe(&self) -> broadcast::Receiver<Arc<DecisionLine>> {
-        self.watchers.subscribe()
+        self.subscribers.subscribe()
     }
 
-    /// Returns how many decisions were not recorded.
+    /// Returns how many decisions were dropped because the queue was full.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 
+    /// Stores a decision. Removes the oldest one if the store is full.
     fn store(&self, event: DecisionEvent) {
         let mut stored = self.stored();
         if stored.len() == MAX_STORED_DECISIONS {
@@ -82,7 +88,7 @@
     }
 }
 
-/// The journal thread's part of a journal.
+/// The receiving end of the journal; runs in the journal thread.
 #[derive(Debug)]
 pub struct JournalWriter {
     receiver: Receiver<DecisionEvent>,
@@ -90,14 +96,15 @@
     writes_log: bool,
 }
 
-/// Makes a journal. With `writes_log`, each decision is a log line as well.
+/// Creates a journal: its sending end, the decision history and the writer.
+/// With `writes_log`, each decision is also logged.
 pub fn new_journal(writes_log: bool) -> (JournalSender, DecisionHistory, JournalWriter) {
     let (sender, receiver) = sync_channel(QUEUE_LENGTH);
     let dropped = Arc::new(AtomicU64::new(0));
-    let (watchers, _) = broadcast::channel(WATCHER_QUEUE_LENGTH);
+    let (subscribers, _) = broadcast::channel(SUBSCRIBER_QUEUE_LENGTH);
     let history = DecisionHistory {
         stored: Arc::default(),
-        watchers,
+        subscribers,
         dropped: dropped.clone(),
     };
     let writer = JournalWriter {
@@ -109,17 +116,18 @@
 }
 
 impl JournalWriter {
-    /// Runs until all senders are gone.
+    /// Runs until all senders are dropped.
     pub fn run(self) {
         for event in self.receiver {
             if self.writes_log {
                 log_decision(&event);
             }
-            if self.history.watchers.receiver_count() > 0 {
-                // Fails only if the last watcher left just now.
+            if self.history.subscribers.receiver_count() > 0 {
+                // Sending fails only if the last subscriber left in the
+                // meantime.
                 let _ = self
                     .history
-                    .watchers
+                    .subscribers
                     .send(Arc::new(to_decision_line(&event)));
             }
             self.history.store(event);
@@ -127,6 +135,7 @@
     }
 }
 
+/// Logs a decision, with the request's id if it has one.
 fn log_decision(event: &DecisionEvent) {
     match event.request {
         Some(request) => tracing::info!(%request, "{}", event.decision),
@@ -134,6 +143,7 @@
     }
 }
 
+/// Converts a decision into the line that operators see.
 fn to_decision_line(event: &DecisionEvent) -> DecisionLine {
     DecisionLine {
         at_ms: event.at.as_secs_f64() * 1e3,
--- a/crates/node/src/process/loop_watch.rs
+++ b/crates/node/src/process/loop_watch.rs
@@ -1,32 +1,35 @@
-//! How long what comes to a loop may lie unread.
+//! Measures how late an event loop reads its input, so that the time a request
+//! waited unread counts against its deadline.
 //!
-//! A loop whose processor is short, or whose process was stopped, reads late,
-//! and nothing on a connection tells by how much. But a loop takes what comes
-//! in the order in which it came, its own timers among it: what is read now
-//! came after the last of them was due that has run.
+//! A loop that lacks processor time, or whose process was stopped, reads late,
+//! and a connection does not show by how much. But the loop handles its events
+//! in the order in which they came, including its own timers. So input that is
+//! read now arrived after the due time of the latest timer that has run.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use crate::process::clock::ProcessClock;
 
-/// Time from one round to the next.
+/// Interval between two runs of the timer.
 const ROUND_INTERVAL: Duration = Duration::from_millis(50);
-/// Longest time between a round's due time and what is read that counts as
-/// none: two rounds of a loop that keeps up are no further apart.
+/// Maximum time between the due time of the timer and a read that does not
+/// count as a delay. A loop that keeps up runs the timer twice within this
+/// time.
 const MAX_PROMPT_DELAY: Duration = Duration::from_millis(100);
 
-/// Watches how late a loop is.
+/// Measures how late a loop reads its input, by a timer in that loop.
 #[derive(Debug)]
 pub struct LoopDelayMonitor {
     clock: ProcessClock,
-    /// When the last round that has run was due.
+    /// Due time of the latest run of the timer, since the process started.
     due: Cell<Duration>,
+    /// Number of timer runs that were late.
     late_count: Cell<u64>,
 }
 
 impl LoopDelayMonitor {
-    /// Returns a watch of a loop that has just run.
+    /// Returns a monitor for a loop that is running now and so has no delay.
     pub fn new(clock: ProcessClock) -> LoopDelayMonitor {
         LoopDelayMonitor {
             clock,
@@ -35,7 +38,7 @@
         }
     }
 
-    /// Makes the rounds, until the loop ends.
+    /// Runs the timer until the loop ends. Counts and logs late runs.
     pub async fn run(&self) {
         loop {
             let due = self.clock.elapsed() + ROUND_INTERVAL;
@@ -49,8 +52,8 @@
         }
     }
 
-    /// Returns how long what is read now may have lain unread; zero of a loop
-    /// that keeps up.
+    /// Returns the longest time that input read now may have waited unread;
+    /// zero if the loop keeps up.
     pub fn max_read_delay(&self) -> Duration {
         let unread = self.clock.elapsed().saturating_sub(self.due.get());
         if unread > MAX_PROMPT_DELAY {
@@ -60,14 +63,14 @@
         }
     }
 
-    /// Returns when what is read now may have come at the earliest, since the
-    /// process started.
+    /// Returns the earliest time at which input read now may have arrived,
+    /// since the process started.
     pub fn earliest(&self) -> Duration {
         self.now().saturating_sub(self.max_read_delay())
     }
 
-    /// Returns when the last round that has run was due: what was there by then
-    /// has been read.
+    /// Returns the due time of the latest run of the timer, since the process
+    /// started. Input that had arrived by then has been read.
     pub fn last_due(&self) -> Duration {
         self.due.get()
     }
@@ -77,7 +80,7 @@
         self.clock.elapsed()
     }
 
-    /// Returns how often a round came late.
+    /// Returns how many runs of the timer were late.
     pub fn late_rounds(&self) -> u64 {
         self.late_count.get()
     }
--- a/crates/node/src/process/measures.rs
+++ b/crates/node/src/process/measures.rs
@@ -1,7 +1,7 @@
-//! Metrics, in the format of Prometheus.
+//! Renders the metrics of an instance in the Prometheus text format.
 //!
-//! The entry machine counts for itself; its counts are copied when somebody
-//! asks, so that metrics cost the request path nothing.
+//! The entry machine counts events itself. Its counters are copied only when
+//! metrics are requested, so metrics add no cost to the request path.
 
 use std::fmt;
 
@@ -22,7 +22,8 @@
 }
 
 impl InstanceMetrics {
-    /// Returns the metrics of an instance of this name.
+    /// Creates the metrics of an instance; all carry its name as label
+    /// `instance`.
     pub fn new(instance: &str) -> InstanceMetrics {
         let builder = PrometheusBuilder::new().add_global_label("instance", instance);
         InstanceMetrics {
@@ -30,13 +31,14 @@
         }
     }
 
-    /// Renders all metrics as of `report`.
+    /// Renders all metrics, with the counts of `report`.
     pub fn render(&self, report: &EntryReport, decisions_dropped: u64) -> String {
         with_local_recorder(&self.recorder, || update_metrics(report, decisions_dropped));
         self.recorder.handle().render()
     }
 }
 
+/// Copies the counts of a report into the current recorder.
 fn update_metrics(report: &EntryReport, decisions_dropped: u64) {
     let counts = &report.counters;
     let totals = [
--- a/crates/node/src/process/member.rs
+++ b/crates/node/src/process/member.rs
@@ -1,5 +1,5 @@
-//! Setting up an instance's part in the deployment: its keys, its links to
-//! the other instances, its replica.
+//! Sets up the cluster membership of an instance: reads its keys, creates its
+//! links to the other instances, and opens its replica of the control group.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,15 +17,15 @@
 use crate::process::store::replica_store::ReplicaStore;
 use crate::settings::model::{ClusterSettings, KeySource};
 
-/// Least length of a key, in bytes.
+/// Minimum length of a key, in bytes.
 const MIN_KEY_BYTES: usize = 16;
 
-/// Returns the identity of the replica at an instance.
+/// Returns the replica id of an instance: a hash of its name.
 pub fn replica_id(instance: &str) -> ReplicaId {
     xxh3_64(instance.as_bytes())
 }
 
-/// Reads a key.
+/// Reads a key from the settings or from the first line of a key file.
 ///
 /// # Errors
 ///
@@ -39,14 +39,15 @@
     let key = text.lines().next().unwrap_or_default().trim();
     if key.len() < MIN_KEY_BYTES {
         bail!(
-            "could not take a key of {} bytes: {MIN_KEY_BYTES} are the least",
+            "key too short: got {} bytes, at least {MIN_KEY_BYTES} are required",
             key.len()
         );
     }
     Ok(key.into())
 }
 
-/// Makes the links to the other instances.
+/// Creates the links to the other instances, and the senders that carry their
+/// messages; each sender must be run as a task.
 pub fn create_links(cluster: &ClusterSettings, key: &Arc<str>) -> (Vec<PeerLink>, Vec<PeerTeller>) {
     let links = cluster.peers.iter().map(|peer| {
         let replica = peer.is_replica.then(|| replica_id(&peer.name));
@@ -55,11 +56,13 @@
     links.unzip()
 }
 
-/// Opens the replica of an instance that has a data folder.
+/// Opens the replica of an instance that has a data folder; returns `None` for
+/// an instance without one.
 ///
 /// # Errors
 ///
-/// Fails if the folder is not this instance's, is damaged, or is empty.
+/// Fails if the data folder belongs to another instance or cluster, is damaged,
+/// or was never initialized.
 pub fn open_replica(
     cluster: &ClusterSettings,
     instance: &str,
@@ -94,11 +97,12 @@
     }))
 }
 
-/// Makes a new data folder, for the first start of a control group.
+/// Creates the data folder of a replica, before the first start of a control
+/// group.
 ///
 /// # Errors
 ///
-/// Fails if the folder holds data already.
+/// Fails if the settings name no data folder, or the folder already holds data.
 pub fn initialize_data_folder(cluster: &ClusterSettings, instance: &str) -> anyhow::Result<()> {
     let Some(path) = &cluster.data_folder else {
         bail!("could not initialize: the settings name no data_folder");
@@ -107,6 +111,8 @@
     Ok(())
 }
 
+/// Returns the identity that the data folder must have: cluster, instance and
+/// format.
 fn folder_identity(cluster: &ClusterSettings, instance: &str) -> FolderIdentity {
     FolderIdentity {
         cluster: cluster.cluster.clone(),
--- a/crates/node/src/process/mod.rs
+++ b/crates/node/src/process/mod.rs
@@ -1,4 +1,5 @@
-//! What lives as long as the process: its threads.
+//! The long-running threads of an instance: one module for each thread (HTTP
+//! listeners, entry, control, gossip, journal), and the parts that they share.
 
 pub mod announce;
 pub mod callers;
--- a/crates/node/src/process/operators.rs
+++ b/crates/node/src/process/operators.rs
@@ -1,4 +1,5 @@
-//! The operators thread: state, metrics and decisions over HTTP.
+//! HTTP handlers of the operators thread: status, metrics, decisions, members,
+//! and the service table with its changes.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -30,33 +31,34 @@
 use crate::request::respond::respond_problem;
 use crate::ring::RingSender;
 
-/// Decisions returned if no number is asked for.
+/// Number of decisions returned if the query names none.
 const DEFAULT_DECISIONS: usize = 200;
 
-/// What the handlers share.
+/// State shared by the handlers.
 #[derive(Debug, Clone)]
 pub struct OperatorState {
-    /// Name of the instance.
+    /// Name of this instance.
     pub instance: Arc<str>,
-    /// Its failure domain.
+    /// Failure domain of this instance.
     pub domain: Arc<str>,
-    /// Reaches the control group, if the instance is not alone.
+    /// The client of the control group; `None` without a cluster.
     pub control_client: Option<ControlClient>,
-    /// The gossip thread, if the instance is not alone.
+    /// The ring to the gossip thread; `None` without a cluster.
     pub gossip: Option<RingSender<GossipCommand>>,
-    /// Token that operators must show for changes, if any.
+    /// The token that operators must send with changes; `None` if none is
+    /// required.
     pub token: Option<Arc<str>>,
-    /// The entry thread.
+    /// The ring to the entry thread.
     pub entry: RingSender<EntryMessage>,
-    /// The decisions.
+    /// The latest decisions of this instance.
     pub decisions: DecisionHistory,
-    /// The metrics.
+    /// The metrics of this instance.
     pub metrics: Arc<InstanceMetrics>,
-    /// Whether new requests are wanted.
+    /// Tells whether the instance accepts new requests.
     pub ready: ReadyFlag,
 }
 
-/// Returns the routes towards operators.
+/// Returns the HTTP routes for operators.
 pub fn operator_router(state: OperatorState) -> Router {
     Router::new()
         .route("/metrics", get(get_metrics))
@@ -79,11 +81,12 @@
     }
 }
 
-/// Header with the operators' token.
+/// Name of the header that carries the operators' token.
 const TOKEN_HEADER: &str = "wheelmast-token";
 
+/// Responds that the instance has no cluster.
 fn respond_no_control_group() -> Response {
-    let detail = "the instance is alone: its table comes from its settings";
+    let detail = "the instance has no cluster: its service table comes from its settings";
     respond_problem(&ProblemBody::early(404, "no-control-group", detail))
 }
 
@@ -134,8 +137,8 @@
 ) -> Response {
     if let Some(token) = &state.token {
         if !has_key(&headers, TOKEN_HEADER, token) {
-            tracing::warn!("table: a change with a wrong token was turned away");
-            let detail = format!("{TOKEN_HEADER} does not hold the operators' token");
+            tracing::warn!("table: a change with a wrong token was rejected");
+            let detail = format!("{TOKEN_HEADER} does not contain the operators' token");
             return respond_problem(&ProblemBody::early(403, "wrong-token", detail));
         }
     }
@@ -145,13 +148,14 @@
     match control_client.apply_change(change).await {
         ChangeResult::Decided(body) => Json(body).into_response(),
         ChangeResult::NoLeader => {
-            let detail = "no leader of the control group is in reach; nothing was changed";
+            let detail = "no leader of the control group is reachable; nothing was changed";
             let mut problem = ProblemBody::early(503, "no-leader", detail);
             problem.retry_after_ms = Some(1000);
             respond_problem(&problem)
         }
         ChangeResult::Unknown => {
-            let detail = "not known whether it is accepted; resend it with the same change id";
+            let detail =
+                "it is not known whether the change is accepted; resend it with the same change id";
             let mut problem = ProblemBody::early(504, "outcome-unknown", detail);
             problem.outcome = OUTCOME_UNKNOWN.to_string();
             problem.retry_after_ms = Some(1000);
@@ -183,7 +187,7 @@
     Json(status).into_response()
 }
 
-/// Query of `/v1/decisions`.
+/// Query parameters of `/v1/decisions`.
 #[derive(Debug, Deserialize)]
 struct DecisionQuery {
     count: Option<usize>,
@@ -208,7 +212,7 @@
         let problem = ProblemBody::early(
             400,
             "malformed-request-id",
-            "a request's identity is two hexadecimal numbers with a hyphen between",
+            "a request id is two hexadecimal numbers joined by a hyphen",
         );
         return respond_problem(&problem);
     };
@@ -217,15 +221,15 @@
         let problem = ProblemBody::early(
             404,
             "unknown-request",
-            "not a request of this instance, not sampled, or no longer kept",
+            "not a request of this instance, not sampled, or no longer stored",
         );
         return respond_problem(&problem);
     }
     Json(lines).into_response()
 }
 
-/// Streams decisions as they are made, a JSON object a line. A watcher that
-/// is too slow misses some; the request path never waits for it.
+/// Streams future decisions, one JSON object per line. A client that reads too
+/// slowly misses some; the request path never waits for it.
 async fn stream_decisions(State(state): State<OperatorState>) -> Response {
     let (sender, receiver) = tokio::sync::mpsc::channel::<Bytes>(64);
     let mut watch = state.decisions.subscribe();
@@ -246,7 +250,7 @@
     Body::new(StreamBody::new(FrameStream { receiver })).into_response()
 }
 
-/// A stream of body frames out of a channel.
+/// A stream of body frames that reads from a channel.
 struct FrameStream {
     receiver: tokio::sync::mpsc::Receiver<Bytes>,
 }
--- a/crates/node/src/process/output.rs
+++ b/crates/node/src/process/output.rs
@@ -1,7 +1,8 @@
-//! The log of an instance with a role: JSON lines on standard output.
+//! Writes the log of an instance with a role (entry or control) as JSON lines
+//! to standard output.
 //!
-//! A thread of its own writes them. Where nobody reads, or slowly, lines are
-//! dropped and counted; no request waits for its log.
+//! A separate thread writes the lines. If standard output is read slowly or not
+//! at all, lines are dropped and counted, so no request waits for its log line.
 
 use std::io::{BufWriter, Write};
 use std::sync::OnceLock;
@@ -11,22 +12,24 @@
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 
-/// Lines that may wait for standard output.
+/// Maximum number of log lines queued for standard output.
 const MAX_QUEUED_LINES: usize = 4000;
 
-/// Bytes that are written together.
+/// Size of the write buffer: this many bytes are written together.
 const BUFFER_BYTES: usize = 32 * 1024;
-/// Time that the writing thread rests after it has written all that waited:
-/// each line by itself would cost a wake-up and a system call.
+/// Pause of the writing thread after it has written all queued lines. Without
+/// the pause, each line would cost a wake-up and a system call.
 const WRITE_PAUSE: Duration = Duration::from_millis(200);
 
+/// Counts the log lines that were dropped because the queue was full.
 static DROPPED_LINES: OnceLock<ErrorCounter> = OnceLock::new();
 
-/// Starts the log. It ends, with what waits written, when the guard is dropped.
+/// Starts the log. When the returned guard is dropped, the queued lines are
+/// written and the log ends.
 ///
 /// # Errors
 ///
-/// Fails if the level cannot be read.
+/// Fails if `level` is not a valid log filter.
 pub fn start_log_output(level: &str) -> anyhow::Result<WorkerGuard> {
     let filter =
         EnvFilter::try_new(level).with_context(|| format!("could not read log level {level}"))?;
@@ -44,14 +47,14 @@
     Ok(guard)
 }
 
-/// Returns how many lines found no room.
+/// Returns how many log lines were dropped because the queue was full.
 pub fn count_dropped_lines() -> u64 {
     DROPPED_LINES
         .get()
         .map_or(0, |dropped| dropped.dropped_lines() as u64)
 }
 
-/// Writes what waits together, and rests after that.
+/// Writes the queued lines together, and pauses after each flush.
 #[derive(Debug)]
 struct BatchingWriter<W: Write> {
     inner: BufWriter<W>,
--- a/crates/node/src/process/peers.rs
+++ b/crates/node/src/process/peers.rs
@@ -1,4 +1,5 @@
-//! The peers thread: takes messages of other instances.
+//! HTTP handler of the peers thread: receives messages of other instances, and
+//! passes them to the gossip or the control thread.
 
 use std::sync::Arc;
 
@@ -19,18 +20,18 @@
 use crate::process::gossip::GossipCommand;
 use crate::ring::RingSender;
 
-/// What the handler needs.
+/// State of the handler.
 #[derive(Debug, Clone)]
 pub struct PeerState {
-    /// The control thread.
+    /// The ring to the control thread.
     pub control: RingSender<ControlMessage>,
-    /// The gossip thread.
+    /// The ring to the gossip thread.
     pub gossip: RingSender<GossipCommand>,
-    /// The cluster's key.
+    /// The key that authenticates messages within the cluster.
     pub key: Arc<str>,
 }
 
-/// Returns the routes towards other instances.
+/// Returns the HTTP routes for other instances.
 pub fn peer_router(state: PeerState) -> Router {
     Router::new()
         .route(PEER_PATH, post(handle_message))
@@ -38,20 +39,26 @@
         .with_state(state)
 }
 
+/// Checks the cluster key of a message and handles the message.
 async fn handle_message(
     State(state): State<PeerState>,
     headers: HeaderMap,
     body: Bytes,
 ) -> Response {
     if !has_key(&headers, KEY_HEADER, &state.key) {
-        tracing::warn!("peer: a message with a wrong cluster key was turned away");
+        tracing::warn!("peer: a message with a wrong cluster key was rejected");
         return (StatusCode::FORBIDDEN, "wrong cluster key").into_response();
     }
     let Ok(request) = decode(&body) else {
-        return (StatusCode::BAD_REQUEST, "not a message of this version").into_response();
+        return (
+            StatusCode::BAD_REQUEST,
+            "the message could not be decoded; the sender may run another version",
+        )
+            .into_response();
     };
     if let PeerRequest::Gossip(message) = request {
-        // A full ring loses it, as the network may.
+        // If the ring is full, the message is lost, as on a lossy network;
+        // gossip tolerates this.
         let input = Box::new(GossipInput::Message(*message));
         let _ = state.gossip.offer(GossipCommand::Input(input));
         return encode_reply(&PeerReply::Taken);
@@ -67,6 +74,7 @@
     }
 }
 
+/// Responds with the encoded reply.
 fn encode_reply(reply: &PeerReply) -> Response {
     match encode(reply) {
         Ok(bytes) => bytes.into_response(),
@@ -74,8 +82,8 @@
     }
 }
 
-/// Tells whether a header holds a key, in time that does not depend on how
-/// much of it is right.
+/// Tells whether a header contains a key. The comparison takes constant time,
+/// so that it does not reveal how much of the key is right.
 pub fn has_key(headers: &HeaderMap, name: &str, key: &str) -> bool {
     let given = headers.get(name).map(|value| value.as_bytes());
     given.is_some_and(|given| given.ct_eq(key.as_bytes()).into())
--- a/crates/node/src/process/reload.rs
+++ b/crates/node/src/process/reload.rs
@@ -1,7 +1,7 @@
-//! Settings that change while the process runs.
+//! Reloads the seed addresses from the settings file while the process runs.
 //!
-//! SIGHUP says that they did; they may also change without any signal, and the
-//! file is read again now and then.
+//! The file is read again on SIGHUP, and at an interval in case it changes
+//! without a signal.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -15,11 +15,11 @@
 /// Interval at which the file is read without a signal.
 const READ_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Hands over the seeds whenever the settings name others, until the process
-/// ends.
+/// Watches the settings file until the process ends, and calls `on_change` with
+/// the new seed addresses whenever they change.
 pub async fn watch_seeds(path: PathBuf, mut on_change: impl FnMut(Vec<SocketAddr>)) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
-        tracing::error!("settings: no signal to be had, changes are not seen");
+        tracing::error!("settings: could not listen for SIGHUP, changes are not detected");
         return;
     };
     let mut last = Vec::new();
@@ -40,10 +40,13 @@
     }
 }
 
+/// Reads the settings of an instance with a role; `None` if the file is not
+/// valid.
 fn read_role_file(path: &Path) -> Option<RoleSettings> {
     match read_any_file(path) {
         Ok(Ok(AnySettings::Role(settings))) => Some(*settings),
-        // It may be half written; what was read last holds.
+        // The file may be only half written; the last valid settings stay in
+        // use.
         _ => None,
     }
 }
--- a/crates/node/src/process/status.rs
+++ b/crates/node/src/process/status.rs
@@ -1,4 +1,4 @@
-//! Describing the entry machine's state to operators.
+//! Describes the state of the entry machine for operators and metrics.
 
 use std::time::Duration;
 
@@ -7,18 +7,20 @@
 use wheelmast_core::process::roster::ServerRecord;
 use wheelmast_wire::prelude::{GateStatus, InstanceStatus, ServerStatus};
 
-/// The entry machine's state at one moment.
+/// The state of the entry machine at one moment.
 #[derive(Debug)]
 pub struct EntryReport {
-    /// What operators see.
+    /// The status that operators see.
     pub status: InstanceStatus,
-    /// Counts since the start.
+    /// Event counts since the start.
     pub counters: EntryCounters,
-    /// Requests at work or queued.
+    /// Number of requests that are running or queued.
     pub queries: usize,
 }
 
-/// Describes a machine at time `now`.
+/// Returns a report of the entry machine at time `now`. The instance's name,
+/// failure domain, readiness and dropped decisions are left empty; the caller
+/// fills them in.
 pub fn describe_entry<P: RoutePolicy>(machine: &EntryMachine<P>, now: Duration) -> EntryReport {
     let services = machine.gates().iter().map(|(service, gate)| GateStatus {
         service: service.to_string(),
@@ -47,6 +49,7 @@
     }
 }
 
+/// Describes one server. Its phase is "expired" once its lease has run out.
 fn describe_server(record: &ServerRecord, domain: &str, now: Duration) -> ServerStatus {
     let phase = if now >= record.lease_until {
         "expired".to_string()
--- a/crates/node/src/process/upstreams.rs
+++ b/crates/node/src/process/upstreams.rs
@@ -1,4 +1,5 @@
-//! The upstreams thread: carries subqueries to the servers and replies back.
+//! The upstreams thread. It sends subqueries to upstream servers, one task per
+//! attempt, and passes the replies to the entry thread.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -13,33 +14,35 @@
 use crate::process::entry::EntryMessage;
 use crate::ring::{RingReceiver, RingSender};
 
-/// Interval at which idle connections are looked over.
+/// Interval at which idle connections are checked and closed ones are reported.
 const REAP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// An order to the upstreams thread.
+/// A command to the upstreams thread.
 #[derive(Debug)]
 pub enum UpstreamCommand {
-    /// Send a subquery.
+    /// Sends a subquery to a server.
     Send(SendOrder),
-    /// Cancel the subquery of this attempt.
+    /// Cancels the subquery of this attempt.
     Cancel(SlotKey),
 }
 
-/// What the upstreams thread needs.
+/// The state of the upstreams thread.
 #[derive(Debug)]
 pub struct UpstreamDriver {
-    /// Its orders.
+    /// The receiving end of the thread's ring.
     pub ring: RingReceiver<UpstreamCommand>,
-    /// Where replies go.
+    /// The ring to the entry thread, for replies and connection changes.
     pub entry: RingSender<EntryMessage>,
-    /// Address its connections come from.
+    /// Local address that connections are opened from; `None` lets the system
+    /// choose.
     pub source: Option<IpAddr>,
-    /// The clock of the thread that decides.
+    /// The clock of the entry thread, because attempts carry times of that
+    /// clock.
     pub clock: ProcessClock,
 }
 
 impl UpstreamDriver {
-    /// Runs until the entry thread is gone.
+    /// Runs until the ring is closed, when the entry thread has ended.
     pub async fn run(mut self) {
         let pool = ConnectionPool::default();
         let mut tasks: JoinSet<AttemptReply> = JoinSet::new();
@@ -62,7 +65,7 @@
                     None => return,
                 },
                 Some(ended) = tasks.join_next(), if !tasks.is_empty() => {
-                    // A cancelled attempt has no reply to hand on.
+                    // A cancelled attempt has no reply to pass on.
                     if let Ok(reply) = ended {
                         running_attempts.remove(&reply.attempt);
                         self.send_to_entry(EntryInput::Reply(reply)).await;
@@ -77,6 +80,7 @@
         }
     }
 
+    /// Sends an input to the entry thread.
     async fn send_to_entry(&self, input: EntryInput) {
         self.entry.put(EntryMessage::Input(input)).await;
     }
--- a/crates/node/tests/held_up/main.rs
+++ b/crates/node/tests/held_up/main.rs
@@ -1,22 +1,22 @@
-//! An entry whose loop is held up: what servers are told of the time that
-//! callers have left.
+//! Tests that an entry whose event loop is blocked never tells a server more
+//! time than its caller has left.
 //!
-//! What callers saw: answers 502 or none at all where half of the servers reset
-//! their answers, and servers that worked for callers whose time was over, told
-//! up to 2.9 s more than was left.
+//! The failure: callers got status 502 or no answer when half of the servers
+//! reset their connections, and servers worked for callers whose deadline had
+//! passed, because they were told up to 2.9 s too much.
 //!
-//! What happened: entries were short of processor time, and their loops went
-//! round a few times a second or not at all for seconds. A request lay unread,
-//! and its time was counted from when it was read, or from when its body was
-//! whole. A send was decided on, and written with the time of the decision when
-//! its connection was open and the loop came to it. What had been decided since,
-//! that its request had ended, did not keep it back.
+//! The cause: entries lacked processor time, so that their loops ran only a few
+//! times a second or stopped for seconds. The time of an unread request was
+//! counted from when it was read, or from when its body was complete. A request
+//! to a server was written only when its connection was open and the loop got
+//! to it, but with the remaining time as of the decision, and even if its
+//! caller's request had ended since.
 //!
-//! The evidence: lines of the entries that were added for it. In the plays that
-//! showed the fault requests were read up to 2.9 s late, sends written up to
-//! 0.7 s after their decision, and some 2,000 after their request had ended; of
-//! one request the servers were told 677 ms, decided on 0.64 s before, when 49
-//! were left. Holding the loop up brings each of these about with nothing else.
+//! In runs that showed the failure, requests were read up to 2.9 s late, and
+//! requests to servers were written up to 0.7 s after their decision, some
+//! 2,000 of them after the caller's request had ended. In one case servers were
+//! told 677 ms, decided 0.64 s earlier, when 49 ms were left. Blocking the loop
+//! reproduces each of these faults.
 
 mod stage;
 #[path = "../support/mod.rs"]
@@ -31,26 +31,28 @@
     write_head, HeldUpHarness, CALLER_TIMEOUT,
 };
 
-/// Time from the begin of a hold-up until a request is sent.
+/// Time from the start of the block until the request is sent.
 const SEND_DELAY: Duration = Duration::from_millis(100);
-/// Time in which what is to reach a server does.
+/// Time in which a request that was written reaches a server.
 const DELIVERY_TIME: Duration = Duration::from_millis(500);
 
+/// A request that arrives while the loop is blocked.
 struct UnreadRequestCase {
     name: &'static str,
-    /// Whether it comes on a connection that was used before.
+    /// Whether the request is sent on a connection that was used before.
     reuses_connection: bool,
-    /// Time that its caller gives, in milliseconds.
+    /// Remaining time that the caller sends, in milliseconds.
     time_left_ms: u64,
-    hold_time: Duration,
+    /// How long the loop is blocked.
+    block_time: Duration,
     status: u16,
 }
 
-/// A request comes while the loop is held up by something else, and is read when
-/// it is free again. Its time was counted from there: servers were told of 2,574
-/// ms for a caller whose time was over. Lines of an entry with this in them:
-/// "route: read late" with up to 2,872 ms, 144 times in a day, and servers that
-/// were told as much more than was left.
+/// Guards against counting the time of a request from when the unblocked loop
+/// reads it instead of from its arrival. Servers were told 2,574 ms for a
+/// caller whose deadline had passed. Entries with this fault logged "route:
+/// read late" with up to 2,872 ms, 144 times in a day, and told servers that
+/// much more than was left.
 #[test]
 fn no_server_is_told_more_time_than_is_left_of_a_request_that_lay_unread() {
     let cases = [
@@ -58,28 +60,28 @@
             name: "on a new connection",
             reuses_connection: false,
             time_left_ms: 5000,
-            hold_time: Duration::from_millis(1300),
+            block_time: Duration::from_millis(1300),
             status: 200,
         },
         UnreadRequestCase {
             name: "on a kept connection",
             reuses_connection: true,
             time_left_ms: 5000,
-            hold_time: Duration::from_millis(1300),
+            block_time: Duration::from_millis(1300),
             status: 200,
         },
         UnreadRequestCase {
             name: "whose time is over, on a new connection",
             reuses_connection: false,
             time_left_ms: 600,
-            hold_time: Duration::from_millis(1300),
+            block_time: Duration::from_millis(1300),
             status: 503,
         },
         UnreadRequestCase {
             name: "whose time is over, on a kept connection",
             reuses_connection: true,
             time_left_ms: 600,
-            hold_time: Duration::from_millis(1300),
+            block_time: Duration::from_millis(1300),
             status: 503,
         },
     ];
@@ -89,7 +91,7 @@
             let caller_address = harness.caller_address;
             let (start_sender, started_at) = std::sync::mpsc::channel();
             let caller = std::thread::spawn(move || {
-                started_at.recv().expect("the hold-up begins");
+                started_at.recv().expect("the test starts the caller");
                 std::thread::sleep(SEND_DELAY);
                 let mut stream = if case.reuses_connection {
                     open_stream
@@ -103,7 +105,7 @@
                 (started_at, read_status(&mut stream))
             });
             start_sender.send(()).expect("a caller");
-            let released_at = HeldUpHarness::block_loop(case.hold_time);
+            let released_at = HeldUpHarness::block_loop(case.block_time);
             let answered = tokio::task::spawn_blocking(move || caller.join());
             let (started_at, status) = answered.await.expect("joined").expect("a caller");
             assert_eq!(status, Some(case.status), "{}", case.name);
@@ -122,8 +124,8 @@
     }
 }
 
-/// A request whose body comes slowly: its time was counted from the end of the
-/// body, though its caller had counted from the first byte.
+/// Guards against counting the time of a request with a slow body from the end
+/// of the body; its caller counts from the first byte.
 #[test]
 fn no_server_is_told_more_time_than_is_left_of_a_request_whose_body_came_slowly() {
     run_with_harness(|harness| async move {
@@ -149,19 +151,21 @@
     });
 }
 
+/// A request for which the loop is blocked between the decision and the write.
 struct LateWriteCase {
     name: &'static str,
     path: &'static str,
     time_left_ms: u64,
-    /// Answers that are true: one that is not to be sent any more is not
-    /// served, and may be taken for one that ran.
+    /// Statuses that are correct: a request that is no longer sent is not
+    /// served, and may be reported as possibly run.
     statuses: &'static [u16],
 }
 
-/// A send is decided on, and written when its connection is open and the loop
-/// has come to it. What it told was what had been left at the decision: 677 ms,
-/// written 0.7 s later, in place of 49. Another entry that is asked was told so,
-/// too, and in how much time its answer was of use.
+/// Guards against writing the remaining time as of the decision. A request is
+/// written only when its connection is open and the loop gets to it: servers
+/// were told 677 ms, written 0.7 s later, when 49 ms were left. Relays to
+/// another entry were wrong in the same way, also in the time in which its
+/// answer is useful.
 #[test]
 fn no_server_is_told_more_time_than_is_left_when_it_is_written_late() {
     let cases = [
@@ -197,12 +201,13 @@
                 (started_at, read_status(&mut stream))
             };
             let call = tokio::task::spawn_blocking(call);
-            let released_at = released_at.await.expect("held");
+            let released_at = released_at.await.expect("the loop was blocked");
             let (started_at, status) = call.await.expect("called");
             tokio::time::sleep(DELIVERY_TIME).await;
             let status = status.expect("an answer");
             assert!(case.statuses.contains(&status), "{}: {status}", case.name);
-            // The other entry answers as a server would; what it was told counts.
+            // The other entry answers like a server; only the time that it was
+            // told is checked.
             let is_other_entry = case.path == "/f/x";
             let to = if is_other_entry {
                 &harness.other_entry
@@ -229,23 +234,23 @@
                 let answer_in = order.expect("a time for the answer");
                 assert!(
                     answer_in + elapsed_ms <= 4000,
-                    "{answer_in} after {elapsed_ms}"
+                    "told to answer in {answer_in} ms when {elapsed_ms} ms had passed"
                 );
             }
         });
     }
 }
 
+/// A caller that disconnects before its request is written to a server.
 struct CallerLeftCase {
     name: &'static str,
-    /// Whether the connection to the server is open already.
+    /// Whether the connection to the server is already open.
     is_connection_open: bool,
 }
 
-/// A caller leaves while its request is on the way to servers; nothing was
-/// written yet. It was written all the same: of a day's sends 1,694 to 2,154
-/// were written after their request had ended, servers got them up to 0.7 s
-/// after the caller had its answer.
+/// Guards against writing requests to servers after their caller has left. Of a
+/// day's requests to servers, 1,694 to 2,154 were written after the caller's
+/// request had ended, up to 0.7 s after the caller had its answer.
 #[test]
 fn no_server_is_asked_with_more_time_than_is_left_once_its_caller_has_gone() {
     let cases = [
@@ -263,8 +268,8 @@
             if case.is_connection_open {
                 let _ = harness.open_connection().await;
             }
-            // It is decided to ask the server, and the caller leaves before any
-            // task has run.
+            // The entry decides to send the request to the server, and the
+            // caller leaves before any task has run.
             harness.call_and_disconnect("gone");
             tokio::time::sleep(DELIVERY_TIME).await;
             let heads = received_heads(&harness.server, "gone");
@@ -275,8 +280,9 @@
     }
 }
 
-/// Asks as another entry does, and says only after the answer what it grants.
-/// Returns the status.
+/// Sends a relayed request like another entry, and sends the attempt allowance
+/// (how many servers may be tried per shard) only after the answer. Returns the
+/// status of the answer.
 fn send_relay(stream: &mut TcpStream, id: &str, time_left_ms: u64) -> Option<u16> {
     let head = format!(
         "GET /q/x HTTP/1.1\r\nhost: h\r\nwheelmast-request: {id}\r\n\
@@ -293,8 +299,9 @@
     status
 }
 
-/// Another entry keeps its connection, and what it grants may come behind the
-/// answer: the next request is not as old as that.
+/// Guards against dating a request by older bytes on its connection: another
+/// entry reuses its connection, and an attempt allowance may arrive after the
+/// answer. The next request must not count as that old.
 #[test]
 fn a_request_of_another_entry_is_not_as_old_as_the_grant_before() {
     run_with_harness(|harness| async move {
@@ -316,8 +323,8 @@
     });
 }
 
-/// A connection is kept and its next request comes much later: its time does not
-/// run from the body of the one before.
+/// Guards against dating a request by the body of the previous request on a
+/// reused connection.
 #[test]
 fn a_request_on_a_kept_connection_is_not_as_old_as_the_one_before() {
     run_with_harness(|harness| async move {
@@ -339,12 +346,13 @@
         assert_eq!(call, (Some(200), Some(200)));
         let heads = received_heads(&harness.server, "second");
         let announced_ms = read_number(&heads[0], "wheelmast-time-left-ms: ");
-        assert!(announced_ms > Some(900), "{announced_ms:?}");
+        assert!(announced_ms > Some(900), "told {announced_ms:?} ms");
     });
 }
 
-/// A caller names a time that no clock can hold: it is one without a time, and
-/// gets its answer. The task of its connection ended in a panic.
+/// Guards against a panic of the connection's task when a caller sends a time
+/// that no clock can hold. The request must be handled as one without a
+/// deadline.
 #[test]
 fn a_time_that_no_clock_can_hold_is_none() {
     run_with_harness(|harness| async move {
--- a/crates/node/tests/held_up/stage.rs
+++ b/crates/node/tests/held_up/stage.rs
@@ -1,4 +1,5 @@
-//! An entry whose loop a test holds up, and what its servers were asked.
+//! Test harness: an entry whose event loop a test can block, with a server and
+//! another entry that record the requests they receive.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -24,7 +25,7 @@
 
 use crate::support::play;
 
-/// Longest time that a caller here waits for an answer.
+/// Maximum time that a caller waits for an answer.
 pub(crate) const CALLER_TIMEOUT: Duration = Duration::from_secs(10);
 
 const TABLE: &str = r#"{"version": 1,
@@ -43,12 +44,15 @@
 
 type Entry = Rc<EntryDuty<NativeDialect>>;
 
-/// An entry on this thread, a server and another entry on others.
+/// An entry on the thread of the test, with a server and another entry on other
+/// threads.
 pub(crate) struct HeldUpHarness {
     pub(crate) entry: Entry,
-    /// Where callers come.
+    /// Address at which the entry accepts callers.
     pub(crate) caller_address: SocketAddr,
+    /// The server of service `s`.
     pub(crate) server: FakeShard,
+    /// A stand-in for another entry; it answers like a server.
     pub(crate) other_entry: FakeShard,
     _closing: watch::Sender<bool>,
 }
@@ -66,7 +70,8 @@
         let table = RouteTable::check(draft).expect("a table");
         entry.step(ForwardInput::Table(table.into()));
         entry.step(announcement(&server.id, "s", server.address, "here"));
-        // Nobody listens there: these are asked for through the other entry.
+        // No server listens at these addresses; requests for these services are
+        // relayed through the other entry.
         for (service, port) in [("f0", 1), ("f1", 2), ("f2", 3)] {
             entry.step(announcement(
                 service,
@@ -95,7 +100,8 @@
         }
     }
 
-    /// Makes a request that opens the connections which later ones use.
+    /// Sends a request that opens the connections which later requests reuse.
+    /// Returns the caller's connection.
     pub(crate) async fn open_connection(&self) -> TcpStream {
         let mut stream = TcpStream::connect(self.caller_address).expect("a connection");
         stream
@@ -109,7 +115,7 @@
         tokio::task::spawn_blocking(ask).await.expect("asked")
     }
 
-    /// Makes a request whose caller leaves at once.
+    /// Submits a request whose caller disconnects at once.
     pub(crate) fn call_and_disconnect(&self, id: &str) {
         let uri = "/q/x".parse().expect("a path");
         let image = RequestImage::new::<NativeDialect>(
@@ -136,18 +142,20 @@
         self.entry.leave(tag);
     }
 
-    /// Holds the loop up.
+    /// Blocks the loop for `time`. Returns when the loop is unblocked.
     pub(crate) fn block_loop(time: Duration) -> Instant {
         std::thread::sleep(time);
         Instant::now()
     }
 
-    /// Holds the loop up once the next request has been decided on, before
-    /// anything is written for it.
+    /// Blocks the loop for `time` as soon as the next request was admitted and
+    /// its servers were chosen, before anything is written. Returns when the
+    /// loop is unblocked.
     pub(crate) fn block_loop_after_decision(&self, time: Duration) -> JoinHandle<Instant> {
         let entry = self.entry.clone();
         tokio::task::spawn_local(async move {
-            // It always waits to run, and so runs before what the decision begins.
+            // This task is always ready to run, so it runs before the tasks
+            // that the decision starts.
             let decided = std::future::poll_fn(|context| {
                 if entry.look(|machine| machine.call_count()) > 0 {
                     return Poll::Ready(());
@@ -156,7 +164,7 @@
                 Poll::Pending
             });
             let decided = tokio::time::timeout(CALLER_TIMEOUT, decided).await;
-            decided.expect("a request is taken in");
+            decided.expect("a request is admitted");
             HeldUpHarness::block_loop(time)
         })
     }
@@ -177,7 +185,7 @@
     })
 }
 
-/// Plays a test with its servers on another thread, which is not held up.
+/// Runs a test with its servers on another thread, which is not blocked.
 pub(crate) fn run_with_harness<F: std::future::Future<Output = ()>>(
     test: impl FnOnce(Rc<HeldUpHarness>) -> F,
 ) {
@@ -200,7 +208,8 @@
     });
 }
 
-/// Writes the head of a request. Returns when its time began to run.
+/// Writes the head of a request. Returns the time at which the caller's time
+/// started to run.
 pub(crate) fn write_head(
     stream: &mut TcpStream,
     path: &str,
@@ -217,7 +226,7 @@
     started_at
 }
 
-/// Reads an answer; none if the connection ends first.
+/// Reads an answer and returns its status; `None` if the connection ends first.
 pub(crate) fn read_status(stream: &mut TcpStream) -> Option<u16> {
     let mut bytes = Vec::new();
     let mut byte = [0; 1];
@@ -231,20 +240,22 @@
     head.split(' ').nth(1)?.parse().ok()
 }
 
+/// Reads the number that follows the header `name`, which includes the colon;
+/// `None` if there is none.
 pub(crate) fn read_number(head: &str, name: &str) -> Option<u64> {
     let value = head.lines().find_map(|line| line.strip_prefix(name))?;
     value.trim().parse().ok()
 }
 
-/// Returns the heads with which a server was asked for a request.
+/// Returns the heads of the requests with this id that a server received.
 pub(crate) fn received_heads(server: &FakeShard, id: &str) -> Vec<String> {
     let line = format!("wheelmast-request: {id}\r\n");
     let heads = server.heads().into_iter();
     heads.filter(|head| head.contains(&line)).collect()
 }
 
-/// Checks that a server was told no more time than `time_left_ms` less what had passed
-/// at a moment before anything was written.
+/// Checks that a server was told at most `time_left_ms` less the time between
+/// `started_at` and `before`, a moment before anything was written.
 pub(crate) fn assert_time_left_at_most(
     head: &str,
     time_left_ms: u64,
@@ -256,6 +267,6 @@
     let elapsed_ms = (before - started_at).as_millis() as u64;
     assert!(
         announced_ms + elapsed_ms <= time_left_ms,
-        "{name}: told {announced_ms} ms in place of {time_left_ms} less {elapsed_ms}"
+        "{name}: told {announced_ms} ms, but {elapsed_ms} of the {time_left_ms} ms left had passed"
     );
 }
--- a/crates/node/tests/loop_watch.rs
+++ b/crates/node/tests/loop_watch.rs
@@ -1,4 +1,4 @@
-//! What a loop knows of how late it reads.
+//! Tests how a loop measures the delay with which it reads its input.
 
 mod support;
 
@@ -10,7 +10,7 @@
 
 use crate::support::play;
 
-/// Several rounds of the watch.
+/// Time in which the monitor's timer runs several times.
 const SEVERAL_ROUNDS: Duration = Duration::from_millis(300);
 
 struct BlockCase {
@@ -31,17 +31,18 @@
         },
     ];
     play(async move {
-        let watch = Rc::new(LoopDelayMonitor::new(ProcessClock::start()));
-        let runner = watch.clone();
+        let monitor = Rc::new(LoopDelayMonitor::new(ProcessClock::start()));
+        let runner = monitor.clone();
         tokio::task::spawn_local(async move { runner.run().await });
         for case in cases {
             tokio::time::sleep(SEVERAL_ROUNDS).await;
-            let before = watch.late_rounds();
+            let before = monitor.late_rounds();
             std::thread::sleep(case.block_time);
-            // Whatever runs now may have come while the loop stood still.
-            assert!(watch.max_read_delay() >= case.block_time, "{}", case.name);
+            // Input that is read now may have arrived while the loop was
+            // blocked.
+            assert!(monitor.max_read_delay() >= case.block_time, "{}", case.name);
             tokio::time::sleep(SEVERAL_ROUNDS).await;
-            assert!(watch.late_rounds() > before, "{}", case.name);
+            assert!(monitor.late_rounds() > before, "{}", case.name);
         }
     });
 }
@@ -49,16 +50,20 @@
 #[test]
 fn a_loop_that_keeps_up_reports_no_read_delay() {
     play(async {
-        let watch = Rc::new(LoopDelayMonitor::new(ProcessClock::start()));
-        let runner = watch.clone();
+        let monitor = Rc::new(LoopDelayMonitor::new(ProcessClock::start()));
+        let runner = monitor.clone();
         tokio::task::spawn_local(async move { runner.run().await });
-        // A busy machine may hold it up; one round in time is enough.
+        // A busy machine may delay the loop; one run of the timer without a
+        // delay is enough.
         for _ in 0..100 {
             tokio::time::sleep(SEVERAL_ROUNDS / 3).await;
-            if watch.max_read_delay() == Duration::ZERO {
+            if monitor.max_read_delay() == Duration::ZERO {
                 return;
             }
         }
-        panic!("held up {} times", watch.late_rounds());
+        panic!(
+            "the loop was late in every round, {} times",
+            monitor.late_rounds()
+        );
     });
 }
--- a/crates/node/tests/process.rs
+++ b/crates/node/tests/process.rs
@@ -1,4 +1,4 @@
-//! `wheelmastd` as a process of its own, against fake upstream servers.
+//! Tests `wheelmastd` as a separate process, with fake upstream servers.
 
 mod support;
 
@@ -16,7 +16,8 @@
 use wheelmast_fake::world::FakeWorld;
 use wheelmast_wire::prelude::{AnnouncementBody, AnswerBody, HeldBody, ProblemBody};
 
-/// A running `wheelmastd`; killed if the test ends early.
+/// A running `wheelmastd` process. Dropping it kills the process, so that none
+/// is left if a test fails.
 struct DaemonProcess {
     child: GuardedChild,
     callers: SocketAddr,
@@ -32,6 +33,8 @@
 }
 
 impl DaemonProcess {
+    /// Starts `wheelmastd` with `extra` settings, and reads its bound addresses
+    /// from its log.
     fn start(name: &str, extra: &str) -> DaemonProcess {
         let folder = std::env::temp_dir().join(format!("wheelmast-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder for the test");
@@ -64,7 +67,7 @@
             .by_ref()
             .map_while(Result::ok)
             .find(|line| line.contains("listens"));
-        let line = line.expect("it says where it listens");
+        let line = line.expect("the log line with the addresses");
         std::thread::spawn(move || lines.for_each(drop));
         let addresses: Vec<SocketAddr> = line
             .split([' ', ','])
@@ -76,6 +79,7 @@
         daemon
     }
 
+    /// Sends SIGTERM, which makes the instance shut down gracefully.
     fn terminate(&self) {
         let status = Command::new("kill")
             .args(["-TERM", &self.child.id().to_string()])
@@ -84,6 +88,7 @@
     }
 }
 
+/// Waits until the instance reports that it is ready.
 async fn wait_ready(address: SocketAddr) {
     let until = Instant::now() + Duration::from_secs(10);
     let request = "GET /ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
@@ -93,6 +98,8 @@
     }
 }
 
+/// Starts the fake upstream servers, announces them to the instance, and waits
+/// until it is ready.
 async fn start_servers(daemon: &DaemonProcess) -> FakeWorld {
     let world = FakeWorld::start(kivela()).await.expect("fakes start");
     let target = AnnounceTarget {
@@ -126,7 +133,7 @@
     let (status, body) = slow.await.expect("the caller ends");
     assert_eq!(status, 200, "{body}");
     assert_eq!(world.ledger.runs("order-1"), 1);
-    assert!(daemon.child.wait().expect("it ends").success());
+    assert!(daemon.child.wait().expect("the process exits").success());
 }
 
 struct InputCase {
@@ -231,21 +238,22 @@
     for _ in 0..200 {
         let mut stream = TcpStream::connect(daemon.callers)
             .await
-            .expect("it listens");
+            .expect("a connection to the instance");
         let _ = stream
             .write_all(b"POST /v1/query/kiln-watch HTTP/1.1\r\nx: ")
             .await;
         idle.push(stream);
     }
-    // The head must come within 5 s; then the places are free again.
+    // A connection is closed if it does not send a request head within 5 s, so
+    // all places are free again.
     tokio::time::sleep(Duration::from_secs(6)).await;
     let query = post("/v1/query/kiln-watch", "", "{\"term\":\"a\"}");
     let (status, body) = exchange(daemon.callers, &query).await;
     assert_eq!(status, 200, "{body}");
 }
 
-/// Listens like an upstream server, and answers every request with the same
-/// bytes.
+/// Starts a server that answers every request with the same bytes, like a
+/// faulty upstream server.
 async fn start_fixed_reply_server(bytes: Vec<u8>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -319,7 +327,7 @@
             load: 0.0,
             lease_ms: 30_000,
         };
-        let body = serde_json::to_string(&announcement).expect("it encodes");
+        let body = serde_json::to_string(&announcement).expect("the announcement encodes");
         let headers = "content-type: application/json\r\n";
         let (status, _) = exchange(daemon.upstreams, &post("/v1/announce", headers, &body)).await;
         assert_eq!(status, 204, "{}", case.name);
@@ -331,32 +339,36 @@
     }
 }
 
-/// Variable that makes a test start a process and wait to be killed.
+/// Environment variable that makes the test start a process and wait to be
+/// killed.
 const CHILD_MODE_VARIABLE: &str = "WHEELMAST_TEST_VICTIM";
 
 #[test]
 fn a_test_that_is_killed_leaves_no_process() {
     if std::env::var_os(CHILD_MODE_VARIABLE).is_some() {
-        let child = GuardedChild::spawn(Command::new("sleep").arg("60")).expect("it starts");
+        let child =
+            GuardedChild::spawn(Command::new("sleep").arg("60")).expect("the process starts");
         println!("started {}", child.id());
         std::thread::sleep(Duration::from_secs(60));
         return;
     }
-    let mut victim = Command::new(std::env::current_exe().expect("this test's program"))
+    let mut test_process = Command::new(std::env::current_exe().expect("this test's program"))
         .args(["--exact", "--nocapture"])
         .arg("a_test_that_is_killed_leaves_no_process")
         .env(CHILD_MODE_VARIABLE, "1")
         .stdout(Stdio::piped())
         .spawn()
-        .expect("it starts");
-    let lines = BufReader::new(victim.stdout.take().expect("piped")).lines();
+        .expect("the process starts");
+    let lines = BufReader::new(test_process.stdout.take().expect("piped")).lines();
     let mut ids = lines.map_while(Result::ok).filter_map(|line| {
         let (_, id) = line.rsplit_once("started ")?;
         id.parse::<u32>().ok()
     });
-    let id = ids.next().expect("it says what it started");
-    victim.kill().expect("it is killed");
-    victim.wait().expect("it ends");
+    let id = ids.next().expect("the printed process id");
+    test_process
+        .kill()
+        .expect("the child test process is killed");
+    test_process.wait().expect("the process exits");
     let until = Instant::now() + Duration::from_secs(5);
     while is_running(id) {
         assert!(Instant::now() < until, "process {id} was left behind");
@@ -364,8 +376,8 @@
     }
 }
 
-/// Tells whether a process runs; one that has ended and that nobody has waited
-/// for does not.
+/// Tells whether a process is running; a zombie (ended, but not yet waited for)
+/// is not.
 fn is_running(id: u32) -> bool {
     let status = std::fs::read_to_string(format!("/proc/{id}/status"));
     status.is_ok_and(|status| !status.contains("State:\tZ"))
