--- a/crates/node/src/process/callers.rs
+++ b/crates/node/src/process/callers.rs
@@ -215,7 +215,7 @@
             let mut problem = ProblemBody::early(
                 502,
                 "ended",
-                "the instance shut down before the request ended",
+                "the instance ended before the request was answered",
             );
             problem.outcome = wheelmast_wire::caller::OUTCOME_UNKNOWN.to_string();
             respond_problem(&problem).into_response()
@@ -298,8 +298,8 @@
 }
 
 /// Returns the problem of a request that was refused before it ran.
-fn early_problem(status: u16, word: &str, detail: impl Into<String>) -> Box<ProblemBody> {
-    Box::new(ProblemBody::early(status, word, detail))
+fn early_problem(status: u16, kind: &str, detail: impl Into<String>) -> Box<ProblemBody> {
+    Box::new(ProblemBody::early(status, kind, detail))
 }
 
 fn check_key(key: &str) -> Result<(), Box<ProblemBody>> {
--- a/crates/node/src/process/change.rs
+++ b/crates/node/src/process/change.rs
@@ -151,11 +151,11 @@
     /// Sends a request to the control thread of this instance; `None` if that
     /// thread has ended.
     async fn send_to_local(&self, request: PeerRequest) -> Option<PeerReply> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, reply_receiver) = oneshot::channel();
         self.control
             .put(ControlMessage::Peer { request, reply })
             .await;
-        answer.await.ok()
+        reply_receiver.await.ok()
     }
 }
 
--- a/crates/node/src/process/control.rs
+++ b/crates/node/src/process/control.rs
@@ -1,7 +1,7 @@
 //! The control thread. It runs this instance's replica of the control group, if
 //! it has one, answers requests of other instances, and distributes the service
-//! table: the leader's group pushes new versions, and each instance also polls
-//! a random peer.
+//! table: replicas push each new version to all instances, and each instance
+//! also polls a random peer.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -209,8 +209,8 @@
         }
         if let Err(error) = persist_actions(&mut replica.store, &actions) {
             // After a failed sync the contents of the disk are unknown, and a
-            // later sync may wrongly succeed. The replica therefore stops for
-            // good instead of retrying.
+            // repeated sync could wrongly succeed. The replica therefore stops
+            // until the process restarts.
             tracing::error!("control: replica stopped, its data could not be stored: {error:#}");
             self.replica = None;
             return;
--- a/crates/node/src/process/fence.rs
+++ b/crates/node/src/process/fence.rs
@@ -46,8 +46,8 @@
 }
 
 /// Returns a rejection of a submission that was not run.
-fn reject(status: u16, word: &str, detail: &str) -> ClaimRejection {
-    ClaimRejection::Problem(Box::new(ProblemBody::early(status, word, detail)))
+fn reject(status: u16, kind: &str, detail: &str) -> ClaimRejection {
+    ClaimRejection::Problem(Box::new(ProblemBody::early(status, kind, detail)))
 }
 
 impl FenceClient {
@@ -110,7 +110,8 @@
     }
 
     /// Decides by the service table whether a submission runs without a quorum
-    /// of the control group. Services refuse this by default.
+    /// of the control group. Submissions to a service that is not in the table
+    /// are refused.
     async fn handle_missing_quorum(
         &self,
         service: &str,
@@ -157,7 +158,7 @@
         ClaimOutcome::Ended(ClaimEnd::Ran(None)) => Err(reject_possibly_run(
             200,
             "ran-before",
-            "the submission ran; its answer was too large to be stored",
+            "the submission ran; its answer was too large to be kept",
         )),
         ClaimOutcome::Ended(ClaimEnd::Unknown) => Err(reject_possibly_run(
             502,
@@ -175,19 +176,19 @@
         ClaimOutcome::OtherContent => Err(reject(
             422,
             "key-reused",
-            "this key was already used for a request with different content",
+            "this key was already used for a request with other content",
         )),
         ClaimOutcome::Full => Err(reject(
             503,
             "fence-full",
-            "no more claims can be stored; the oldest expire within a day",
+            "no more claims can be kept; the oldest expire within a day",
         )),
     }
 }
 
 /// Returns a rejection of a submission that ran before or may have run.
-fn reject_possibly_run(status: u16, word: &str, detail: &str) -> ClaimRejection {
-    let mut problem = ProblemBody::early(status, word, detail);
+fn reject_possibly_run(status: u16, kind: &str, detail: &str) -> ClaimRejection {
+    let mut problem = ProblemBody::early(status, kind, detail);
     problem.outcome = OUTCOME_UNKNOWN.to_string();
     ClaimRejection::Problem(Box::new(problem))
 }
--- a/crates/node/src/process/gossip.rs
+++ b/crates/node/src/process/gossip.rs
@@ -143,12 +143,14 @@
                     let link = self.link(to);
                     link.tell(PeerRequest::Gossip(Box::new(message)));
                 }
-                GossipAction::Server(news) => self.send_to_entry(EntryInput::Announce(news)).await,
+                GossipAction::Server(announcement) => {
+                    self.send_to_entry(EntryInput::Announce(announcement)).await
+                }
                 GossipAction::Expired(name) => self.send_to_entry(EntryInput::Expired(name)).await,
                 GossipAction::Vouch(names) => self.send_to_entry(EntryInput::Vouch(names)).await,
-                GossipAction::Member(news) => {
-                    let standing = lifecycle_label(news.standing);
-                    tracing::info!("member: {} of {} is {standing}", news.name, news.domain);
+                GossipAction::Member(member) => {
+                    let standing = lifecycle_label(member.standing);
+                    tracing::info!("member: {} of {} is {standing}", member.name, member.domain);
                 }
             }
         }
@@ -185,13 +187,15 @@
     /// Returns the state of all known members, including this instance.
     fn list_members(&self) -> Vec<MemberStatus> {
         let others = self.machine.members();
-        let members = others.chain([self.machine.own()]).map(|news| MemberStatus {
-            name: news.name.clone(),
-            domain: news.domain.clone(),
-            address: news.address,
-            incarnation: news.incarnation,
-            standing: lifecycle_label(news.standing).to_string(),
-        });
+        let members = others
+            .chain([self.machine.own()])
+            .map(|member| MemberStatus {
+                name: member.name.clone(),
+                domain: member.domain.clone(),
+                address: member.address,
+                incarnation: member.incarnation,
+                standing: lifecycle_label(member.standing).to_string(),
+            });
         members.collect()
     }
 }
--- a/crates/node/src/process/instance.rs
+++ b/crates/node/src/process/instance.rs
@@ -143,7 +143,7 @@
             ring: upstream_ring,
             entry: entry.clone(),
             source: settings.source,
-            clock: entry_clock,
+            entry_clock,
         };
         threads.push(spawner.start("upstreams", upstream_driver.run())?);
         if let Some(table) = setup.table {
@@ -177,16 +177,17 @@
                 .clone()
                 .map(|control_client| FenceClient { control_client }),
         });
-        let listen =
+        let listener =
             ListenerThread::new("callers", settings.callers, settings.connections as usize);
         let (callers, callers_ended) =
-            listen.start(router, callers_stop, &spawner, &mut threads)?;
-        let listen = ListenerThread::new("announce", settings.upstreams, MAX_ANNOUNCE_CONNECTIONS);
+            listener.start(router, callers_stop, &spawner, &mut threads)?;
+        let listener =
+            ListenerThread::new("announce", settings.upstreams, MAX_ANNOUNCE_CONNECTIONS);
         let router = announce_router(AnnounceState {
             entry: entry.clone(),
             gossip: gossip.clone(),
         });
-        let (upstreams, _) = listen.start(router, others_stop.clone(), &spawner, &mut threads)?;
+        let (upstreams, _) = listener.start(router, others_stop.clone(), &spawner, &mut threads)?;
         let token = settings.operator_token.as_ref().map(read_key).transpose()?;
         let router = operator_router(OperatorState {
             control_client,
@@ -199,8 +200,9 @@
             metrics: Arc::new(InstanceMetrics::new(&settings.instance)),
             ready: ready.clone(),
         });
-        let listen = ListenerThread::new("operators", settings.operators, MAX_OPERATOR_CONNECTIONS);
-        let (operators, _) = listen.start(router, others_stop, &spawner, &mut threads)?;
+        let listener =
+            ListenerThread::new("operators", settings.operators, MAX_OPERATOR_CONNECTIONS);
+        let (operators, _) = listener.start(router, others_stop, &spawner, &mut threads)?;
         tracing::info!(
             "instance: {} listens for callers on {callers}, operators on {operators}, \
              upstreams on {upstreams}",
@@ -306,8 +308,8 @@
             gossip: gossip.clone(),
             key: key.clone(),
         });
-        let listen = ListenerThread::new("peers", self.cluster.listen, MAX_PEER_CONNECTIONS);
-        let (address, _) = listen.start(router, self.stop.clone(), spawner, threads)?;
+        let listener = ListenerThread::new("peers", self.cluster.listen, MAX_PEER_CONNECTIONS);
+        let (address, _) = listener.start(router, self.stop.clone(), spawner, threads)?;
         let driver = ControlDriver {
             replica,
             table: None,
--- a/crates/node/src/process/operators.rs
+++ b/crates/node/src/process/operators.rs
@@ -106,9 +106,9 @@
     let Some(gossip) = &state.gossip else {
         return respond_no_control_group();
     };
-    let (reply, answer) = oneshot::channel();
+    let (reply, reply_receiver) = oneshot::channel();
     gossip.put(GossipCommand::Members(reply)).await;
-    match answer.await {
+    match reply_receiver.await {
         Ok(members) => Json(members).into_response(),
         Err(_) => StatusCode::SERVICE_UNAVAILABLE.into_response(),
     }
@@ -221,7 +221,7 @@
         let problem = ProblemBody::early(
             404,
             "unknown-request",
-            "not a request of this instance, not sampled, or no longer stored",
+            "not a request of this instance, not sampled, or no longer kept",
         );
         return respond_problem(&problem);
     }
--- a/crates/node/src/process/peers.rs
+++ b/crates/node/src/process/peers.rs
@@ -63,13 +63,13 @@
         let _ = state.gossip.offer(GossipCommand::Input(input));
         return encode_reply(&PeerReply::Taken);
     }
-    let (reply, answer) = oneshot::channel();
+    let (reply, reply_receiver) = oneshot::channel();
     state
         .control
         .put(ControlMessage::Peer { request, reply })
         .await;
-    match answer.await {
-        Ok(answer) => encode_reply(&answer),
+    match reply_receiver.await {
+        Ok(reply) => encode_reply(&reply),
         Err(_) => StatusCode::SERVICE_UNAVAILABLE.into_response(),
     }
 }
--- a/crates/node/src/process/upstreams.rs
+++ b/crates/node/src/process/upstreams.rs
@@ -38,7 +38,7 @@
     pub source: Option<IpAddr>,
     /// The clock of the entry thread, because attempts carry times of that
     /// clock.
-    pub clock: ProcessClock,
+    pub entry_clock: ProcessClock,
 }
 
 impl UpstreamDriver {
@@ -53,7 +53,7 @@
                 command = self.ring.recv() => match command {
                     Some(UpstreamCommand::Send(order)) => {
                         let key = order.attempt;
-                        let attempt = run_attempt(pool.clone(), self.source, self.clock, order);
+                        let attempt = run_attempt(pool.clone(), self.source, self.entry_clock, order);
                         let task = tasks.spawn(attempt);
                         running_attempts.insert(key, task);
                     }
--- a/crates/node/tests/held_up/main.rs
+++ b/crates/node/tests/held_up/main.rs
@@ -2,7 +2,7 @@
 //! time than its caller has left.
 //!
 //! The failure: callers got status 502 or no answer when half of the servers
-//! reset their connections, and servers worked for callers whose deadline had
+//! answered with a connection reset, and servers worked for callers whose deadline had
 //! passed, because they were told up to 2.9 s too much.
 //!
 //! The cause: entries lacked processor time, so that their loops ran only a few
@@ -89,9 +89,9 @@
         run_with_harness(|harness| async move {
             let open_stream = harness.open_connection().await;
             let caller_address = harness.caller_address;
-            let (start_sender, started_at) = std::sync::mpsc::channel();
+            let (start_sender, start_receiver) = std::sync::mpsc::channel();
             let caller = std::thread::spawn(move || {
-                started_at.recv().expect("the test starts the caller");
+                start_receiver.recv().expect("the test starts the caller");
                 std::thread::sleep(SEND_DELAY);
                 let mut stream = if case.reuses_connection {
                     open_stream
@@ -201,7 +201,7 @@
                 (started_at, read_status(&mut stream))
             };
             let call = tokio::task::spawn_blocking(call);
-            let released_at = released_at.await.expect("the loop was blocked");
+            let released_at = released_at.await.expect("the loop was held up");
             let (started_at, status) = call.await.expect("called");
             tokio::time::sleep(DELIVERY_TIME).await;
             let status = status.expect("an answer");
@@ -226,15 +226,15 @@
                 );
             }
             if is_other_entry {
-                let order = heads[0].lines().find_map(|line| {
+                let answer_time = heads[0].lines().find_map(|line| {
                     let fields = line.strip_prefix("wheelmast-relayed: ")?;
                     fields.split(';').nth(1)?.parse::<u64>().ok()
                 });
                 let elapsed_ms = (released_at - started_at).as_millis() as u64;
-                let answer_in = order.expect("a time for the answer");
+                let answer_in_ms = answer_time.expect("a time for the answer");
                 assert!(
-                    answer_in + elapsed_ms <= 4000,
-                    "told to answer in {answer_in} ms when {elapsed_ms} ms had passed"
+                    answer_in_ms + elapsed_ms <= 4000,
+                    "told to answer in {answer_in_ms} ms, {elapsed_ms} ms after the request was sent"
                 );
             }
         });
@@ -252,7 +252,7 @@
 /// day's requests to servers, 1,694 to 2,154 were written after the caller's
 /// request had ended, up to 0.7 s after the caller had its answer.
 #[test]
-fn no_server_is_asked_with_more_time_than_is_left_once_its_caller_has_gone() {
+fn no_request_is_written_to_a_server_once_its_caller_has_left() {
     let cases = [
         CallerLeftCase {
             name: "on a connection that is open",
@@ -303,7 +303,7 @@
 /// entry reuses its connection, and an attempt allowance may arrive after the
 /// answer. The next request must not count as that old.
 #[test]
-fn a_request_of_another_entry_is_not_as_old_as_the_grant_before() {
+fn a_relayed_request_is_not_dated_by_the_allowance_before() {
     run_with_harness(|harness| async move {
         let caller_address = harness.caller_address;
         let call = move || {
@@ -311,12 +311,16 @@
             stream
                 .set_read_timeout(Some(CALLER_TIMEOUT))
                 .expect("a timeout");
-            let mut ask = |id| {
+            let mut send_and_wait = |id| {
                 let status = send_relay(&mut stream, id, 1200);
                 std::thread::sleep(Duration::from_millis(1500));
                 status
             };
-            [ask("first"), ask("second"), ask("third")]
+            [
+                send_and_wait("first"),
+                send_and_wait("second"),
+                send_and_wait("third"),
+            ]
         };
         let statuses = tokio::task::spawn_blocking(call).await.expect("called");
         assert_eq!(statuses, [Some(200); 3]);
@@ -326,7 +330,7 @@
 /// Guards against dating a request by the body of the previous request on a
 /// reused connection.
 #[test]
-fn a_request_on_a_kept_connection_is_not_as_old_as_the_one_before() {
+fn a_request_on_a_reused_connection_is_not_dated_by_the_one_before() {
     run_with_harness(|harness| async move {
         let caller_address = harness.caller_address;
         let call = move || {
@@ -354,7 +358,7 @@
 /// that no clock can hold. The request must be handled as one without a
 /// deadline.
 #[test]
-fn a_time_that_no_clock_can_hold_is_none() {
+fn a_time_too_large_for_the_clock_counts_as_no_deadline() {
     run_with_harness(|harness| async move {
         let caller_address = harness.caller_address;
         let call = move || {
--- a/crates/node/tests/held_up/stage.rs
+++ b/crates/node/tests/held_up/stage.rs
@@ -267,6 +267,6 @@
     let elapsed_ms = (before - started_at).as_millis() as u64;
     assert!(
         announced_ms + elapsed_ms <= time_left_ms,
-        "{name}: told {announced_ms} ms, but {elapsed_ms} of the {time_left_ms} ms left had passed"
+        "{name}: told {announced_ms} ms in place of the {time_left_ms} ms left less {elapsed_ms} ms passed"
     );
 }
--- a/crates/node/tests/loop_watch.rs
+++ b/crates/node/tests/loop_watch.rs
@@ -62,7 +62,7 @@
             }
         }
         panic!(
-            "the loop was late in every round, {} times",
+            "the loop was held up in every round, {} times",
             monitor.late_rounds()
         );
     });
--- a/crates/node/tests/process.rs
+++ b/crates/node/tests/process.rs
@@ -112,7 +112,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_query_is_served_and_a_leave_cuts_nothing_off() {
+async fn a_query_is_served_and_a_shutdown_cuts_off_no_request() {
     let mut daemon = DaemonProcess::start("whole", "");
     let world = start_servers(&daemon).await;
     let query = post("/v1/query/kiln-watch", "", "{\"term\":\"hot\"}");
@@ -133,7 +133,7 @@
     let (status, body) = slow.await.expect("the caller ends");
     assert_eq!(status, 200, "{body}");
     assert_eq!(world.ledger.runs("order-1"), 1);
-    assert!(daemon.child.wait().expect("the process exits").success());
+    assert!(daemon.child.wait().expect("the process ends").success());
 }
 
 struct InputCase {
@@ -231,7 +231,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn idle_and_half_open_connections_are_shed() {
+async fn idle_and_half_open_connections_are_closed() {
     let daemon = DaemonProcess::start("idle", "\"connections\": 32,");
     let _world = start_servers(&daemon).await;
     let mut idle = Vec::new();
@@ -368,7 +368,7 @@
     test_process
         .kill()
         .expect("the child test process is killed");
-    test_process.wait().expect("the process exits");
+    test_process.wait().expect("the process ends");
     let until = Instant::now() + Duration::from_secs(5);
     while is_running(id) {
         assert!(Instant::now() < until, "process {id} was left behind");
