--- a/crates/node/src/process/gossip.rs
+++ b/crates/node/src/process/gossip.rs
@@ -79,7 +79,7 @@
 
     /// Updates the divisor with the current number of members, and returns it
     /// if it changed. More members count at once. Fewer members count only
-    /// after they have been fewer for [`DECREASE_DELAY`], so that a member that
+    /// after they have been fewer for `DECREASE_DELAY`, so that a member that
     /// was cut off does not use its share of the limits at the same time as the
     /// members that take it over.
     pub fn update(&mut self, member_count: u32, now: Duration) -> Option<u32> {
--- a/crates/node/src/process/instance.rs
+++ b/crates/node/src/process/instance.rs
@@ -252,7 +252,7 @@
         let threads = self.threads;
         let joined = tokio::task::spawn_blocking(move || join_threads(threads)).await;
         if joined.is_err() {
-            tracing::error!("instance: waiting for the threads to end panicked");
+            tracing::error!("instance: the task that waits until all threads have ended panicked");
         }
     }
 
--- a/crates/node/tests/held_up/stage.rs
+++ b/crates/node/tests/held_up/stage.rs
@@ -28,6 +28,8 @@
 /// Maximum time that a caller waits for an answer.
 pub(crate) const CALLER_TIMEOUT: Duration = Duration::from_secs(10);
 
+/// Route table of the entry: `q` goes to the local server, `f` through the
+/// other entry, and `d` to the local server without retries.
 const TABLE: &str = r#"{"version": 1,
     "services": [{"name": "s", "connections": 9}, {"name": "f0", "connections": 9},
       {"name": "f1", "connections": 9}, {"name": "f2", "connections": 9}],
@@ -58,6 +60,7 @@
 }
 
 impl HeldUpHarness {
+    /// Starts the entry and announces its servers and the other entry.
     async fn build(server: FakeShard, other_entry: FakeShard) -> HeldUpHarness {
         let options = ForwardOptions {
             domain: "here".into(),
@@ -142,15 +145,16 @@
         self.entry.leave(tag);
     }
 
-    /// Blocks the loop for `time`. Returns when the loop is unblocked.
+    /// Blocks the loop for `time`. Returns the time at which the loop is
+    /// unblocked.
     pub(crate) fn block_loop(time: Duration) -> Instant {
         std::thread::sleep(time);
         Instant::now()
     }
 
     /// Blocks the loop for `time` as soon as the next request was admitted and
-    /// its servers were chosen, before anything is written. Returns when the
-    /// loop is unblocked.
+    /// its servers were chosen, before anything is written. Returns the time at
+    /// which the loop is unblocked.
     pub(crate) fn block_loop_after_decision(&self, time: Duration) -> JoinHandle<Instant> {
         let entry = self.entry.clone();
         tokio::task::spawn_local(async move {
@@ -170,6 +174,7 @@
     }
 }
 
+/// Returns the announcement of a ready server.
 fn announcement(id: &str, service: &str, address: SocketAddr, domain: &str) -> ForwardInput {
     ForwardInput::Announcement(ServerAnnouncement {
         id: id.into(),
