--- a/crates/node/src/process/group/answer.rs
+++ b/crates/node/src/process/group/answer.rs
@@ -24,27 +24,27 @@
 use crate::process::group::node::GroupNode;
 
 /// Largest body of a call.
-const BODY_BYTES: usize = 4 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 /// Longest time for the head of a call; connections may be idle as long.
-const HEAD_TIME: Duration = Duration::from_secs(15);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(15);
 /// When a caller that was refused should come back.
-const COME_BACK: Duration = Duration::from_millis(200);
+const RETRY_AFTER: Duration = Duration::from_millis(200);
 /// Body of an acknowledgement.
-const TAKEN: &str = "{}";
+const EMPTY_JSON_BODY: &str = "{}";
 
 /// Answers servers and operators until the instance ends.
-pub async fn accept_calls<D: ForwardDialect>(node: Rc<GroupNode>, listener: TcpListener) {
+pub async fn serve_calls<D: ForwardDialect>(node: Rc<GroupNode>, listener: TcpListener) {
     loop {
         let stream = next_stream(&listener).await;
         let node = node.clone();
         tokio::task::spawn_local(async move {
-            let answer = |request| answer::<D>(node.clone(), request);
-            serve_http(stream, HEAD_TIME, answer).await;
+            let handle_call = |request| handle_call::<D>(node.clone(), request);
+            serve_http(stream, HEAD_TIMEOUT, handle_call).await;
         });
     }
 }
 
-async fn answer<D: ForwardDialect>(
+async fn handle_call<D: ForwardDialect>(
     node: Rc<GroupNode>,
     request: Request<Incoming>,
 ) -> FullResponse {
@@ -52,25 +52,25 @@
     let Some(call) = call else {
         return text_response(StatusCode::NOT_FOUND, "no such call".to_string());
     };
-    let body = Limited::new(request.into_body(), BODY_BYTES)
+    let body = Limited::new(request.into_body(), MAX_BODY_BYTES)
         .collect()
         .await;
     let body = match body {
         Ok(body) => body.to_bytes(),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => {
-            let text = format!("body is over {BODY_BYTES} bytes");
+            let text = format!("body is over {MAX_BODY_BYTES} bytes");
             return text_response(StatusCode::PAYLOAD_TOO_LARGE, text);
         }
         Err(error) => return text_response(StatusCode::BAD_REQUEST, error.to_string()),
     };
     match call {
         ControlCall::Announce(id) => match D::read_notice(&id, &body) {
-            Ok(notice) => announce::<D>(&node, notice).await,
-            Err(findings) => refuse(&node, &id, findings.to_string()),
+            Ok(announcement) => handle_announcement::<D>(&node, announcement).await,
+            Err(findings) => refuse_call(&node, &id, findings.to_string()),
         },
         ControlCall::Withdraw(id) => match D::read_withdrawal(&id, &body) {
-            Ok(notice) => announce::<D>(&node, notice).await,
-            Err(findings) => refuse(&node, &id, findings.to_string()),
+            Ok(announcement) => handle_announcement::<D>(&node, announcement).await,
+            Err(findings) => refuse_call(&node, &id, findings.to_string()),
         },
         ControlCall::PutTable => put_table::<D>(&node, body).await,
         ControlCall::GetTable => get_table(&node).await,
@@ -79,31 +79,31 @@
         ControlCall::ListEvacuations => list_evacuations(&node).await,
         ControlCall::StartRollout => start_rollout::<D>(&node, &body).await,
         ControlCall::GetRollout(service) => get_rollout::<D>(&node, &service).await,
-        ControlCall::Ready => text_response(StatusCode::OK, TAKEN.to_string()),
+        ControlCall::Ready => text_response(StatusCode::OK, EMPTY_JSON_BODY.to_string()),
     }
 }
 
 /// Refuses what is no announcement of a server.
-fn refuse(node: &GroupNode, id: &str, reason: String) -> FullResponse {
-    node.refuse_announcement(id, &reason);
+fn refuse_call(node: &GroupNode, id: &str, reason: String) -> FullResponse {
+    node.record_refusal(id, &reason);
     text_response(StatusCode::BAD_REQUEST, reason)
 }
 
-async fn announce<D: ForwardDialect>(
+async fn handle_announcement<D: ForwardDialect>(
     node: &Rc<GroupNode>,
-    notice: ServerAnnouncement,
+    announcement: ServerAnnouncement,
 ) -> FullResponse {
-    if let Some(reason) = node.doubt_announcement(&notice) {
-        return refuse(node, &notice.id, reason.to_string());
+    if let Some(reason) = node.find_conflict(&announcement) {
+        return refuse_call(node, &announcement.id, reason.to_string());
     }
-    let domain = notice.domain.clone();
-    if !node.take_announcement(notice).await {
-        return unavailable("not held by a quorum yet");
+    let domain = announcement.domain.clone();
+    if !node.handle_announcement(announcement).await {
+        return unavailable_response("not held by a quorum yet");
     }
     typed_response(
         StatusCode::OK,
         JSON_TYPE,
-        D::announced(node.next_place(&domain)),
+        D::announced(node.next_announce_address(&domain)),
     )
 }
 
@@ -116,37 +116,37 @@
         }
     };
     let Ok(packed) = pack(&body) else {
-        return unavailable("could not be packed");
+        return unavailable_response("could not be packed");
     };
     let command = ControlCommand::Route {
         version: table.version(),
         base: None,
         text: packed,
     };
-    let told = node.propose(command).await;
-    tracing::info!(target: "group", table_version = table.version(), ?told, "table: change asked for");
-    match told {
+    let reply = node.propose(command).await;
+    tracing::info!(target: "group", table_version = table.version(), told = ?reply, "table: change asked for");
+    match reply {
         GroupTell::Done(CommandOutcome::Route(RouteOutcome::Conflict(version))) => {
             text_response(StatusCode::CONFLICT, format!("version {version} stands"))
         }
-        GroupTell::Done(_) => taken(),
-        _ => unavailable("no quorum answered"),
+        GroupTell::Done(_) => ok_response(),
+        _ => unavailable_response("no quorum answered"),
     }
 }
 
 async fn get_table(node: &Rc<GroupNode>) -> FullResponse {
-    let GroupTell::Mark(mark) = node.read().await else {
-        return unavailable("no quorum answered");
+    let GroupTell::Mark(mark) = node.read_confirmed().await else {
+        return unavailable_response("no quorum answered");
     };
     if mark.version == 0 || !node.wait_published(mark).await {
-        return unavailable("no table is in force here");
+        return unavailable_response("no table is in force here");
     }
-    let packed = node.state.borrow().published.packed.clone();
+    let packed = node.state.borrow().published_table.packed.clone();
     match unpack(&packed) {
         Ok(text) => typed_response(StatusCode::OK, JSON_TYPE, text),
         Err(error) => {
             tracing::error!(target: "group", "table: could not be read, {error}");
-            unavailable("could not be unpacked")
+            unavailable_response("could not be unpacked")
         }
     }
 }
@@ -161,13 +161,13 @@
     let outcome = node.evacuate(domain, evacuated).await;
     tracing::info!(target: "group", domain, evacuated, ?outcome, "evacuation: change asked for");
     match outcome {
-        Some(EvacuationOutcome::Stands(_)) => taken(),
+        Some(EvacuationOutcome::Stands(_)) => ok_response(),
         Some(EvacuationOutcome::Full) => text_response(
             StatusCode::INSUFFICIENT_STORAGE,
             "too many failure domains are remembered".to_string(),
         ),
-        Some(EvacuationOutcome::Conflict(_)) => unavailable("other orders came between"),
-        None => unavailable("no quorum answered"),
+        Some(EvacuationOutcome::Conflict(_)) => unavailable_response("other orders came between"),
+        None => unavailable_response("no quorum answered"),
     }
 }
 
@@ -181,9 +181,9 @@
         let text = "a roll-out needs a version and a time above 0".to_string();
         return text_response(StatusCode::BAD_REQUEST, text);
     }
-    if !node.knows_service(&order.service) {
-        if node.state.borrow().published.version == 0 {
-            return unavailable("no table is in force here");
+    if !node.has_service(&order.service) {
+        if node.state.borrow().published_table.version == 0 {
+            return unavailable_response("no table is in force here");
         }
         let text = format!("no service {}", order.service);
         return text_response(StatusCode::NOT_FOUND, text);
@@ -191,7 +191,7 @@
     let outcome = node.start_rollout(&order).await;
     tracing::info!(target: "group", service = order.service, version = order.target, ?outcome, "rollout: asked for");
     match outcome {
-        Some(RolloutOutcome::Stands(_)) => taken(),
+        Some(RolloutOutcome::Stands(_)) => ok_response(),
         Some(RolloutOutcome::Busy(target)) => {
             let text = format!("a roll-out of {} to {target} is going on", order.service);
             text_response(StatusCode::CONFLICT, text)
@@ -200,13 +200,13 @@
             StatusCode::INSUFFICIENT_STORAGE,
             "too many roll-outs are remembered".to_string(),
         ),
-        Some(RolloutOutcome::Passed) | None => unavailable("no quorum answered"),
+        Some(RolloutOutcome::Passed) | None => unavailable_response("no quorum answered"),
     }
 }
 
 /// Tells how far the last roll-out of a service is.
 async fn get_rollout<D: ForwardDialect>(node: &Rc<GroupNode>, service: &str) -> FullResponse {
-    if let Some(refusal) = refuse_unconfirmed(node).await {
+    if let Some(refusal) = wait_confirmed(node).await {
         return refusal;
     }
     let state = node.state.borrow();
@@ -221,7 +221,7 @@
 
 /// Tells which failure domains are out of use.
 async fn list_evacuations(node: &Rc<GroupNode>) -> FullResponse {
-    if let Some(refusal) = refuse_unconfirmed(node).await {
+    if let Some(refusal) = wait_confirmed(node).await {
         return refusal;
     }
     let domains = node.state.borrow().evacuations.domains.clone();
@@ -231,23 +231,23 @@
 
 /// Waits until what a quorum has confirmed is in force here. Returns the refusal
 /// of a question about it, if that can't be had now.
-async fn refuse_unconfirmed(node: &Rc<GroupNode>) -> Option<FullResponse> {
-    let GroupTell::Mark(mark) = node.read().await else {
-        return Some(unavailable("no quorum answered"));
+async fn wait_confirmed(node: &Rc<GroupNode>) -> Option<FullResponse> {
+    let GroupTell::Mark(mark) = node.read_confirmed().await else {
+        return Some(unavailable_response("no quorum answered"));
     };
-    let is_here = node.wait_published(mark).await;
-    (!is_here).then(|| unavailable("not in force here yet"))
+    let is_published = node.wait_published(mark).await;
+    (!is_published).then(|| unavailable_response("not in force here yet"))
 }
 
-fn unavailable(text: &'static str) -> FullResponse {
+fn unavailable_response(text: &'static str) -> FullResponse {
     let status = StatusCode::SERVICE_UNAVAILABLE;
     let mut response = typed_response(status, PLAIN_TYPE, text);
-    say_retry_after(&mut response, COME_BACK);
+    say_retry_after(&mut response, RETRY_AFTER);
     response
 }
 
-fn taken() -> FullResponse {
-    typed_response(StatusCode::OK, JSON_TYPE, TAKEN)
+fn ok_response() -> FullResponse {
+    typed_response(StatusCode::OK, JSON_TYPE, EMPTY_JSON_BODY)
 }
 
 fn text_response(status: StatusCode, text: String) -> FullResponse {
--- a/crates/node/src/process/group/caps.rs
+++ b/crates/node/src/process/group/caps.rs
@@ -12,15 +12,15 @@
 
 /// Longest time to wait for the leader's word before this instance gives out
 /// what it may without it.
-const LEADER_TIME: Duration = Duration::from_millis(120);
+const LEADER_TIMEOUT: Duration = Duration::from_millis(120);
 /// When a caller should come back if the leader could not be asked.
-const COME_BACK_MS: u32 = 300;
+const RETRY_AFTER_MS: u32 = 300;
 
 impl GroupNode {
     /// Takes over the caps of the route table in force.
-    pub fn adopt_caps(&self, caps: &[(Box<str>, UsageCap)]) {
+    pub fn apply_caps(&self, caps: &[(Box<str>, UsageCap)]) {
         let now = self.now();
-        let instances = self.control_instances();
+        let instances = self.count_control_instances();
         let bound = self.settings.caps;
         let mut state = self.state.borrow_mut();
         state.cap_owner.set_caps(caps.iter().cloned(), &bound, now);
@@ -30,7 +30,7 @@
     }
 
     /// Returns the number of control instances known, this one among them.
-    fn control_instances(&self) -> u32 {
+    fn count_control_instances(&self) -> u32 {
         self.state.borrow().links.len() as u32 + 1
     }
 
@@ -38,11 +38,11 @@
     /// what this instance may give out without it.
     pub async fn grant_caps(self: &Rc<Self>, asks: Vec<CapAsk>) -> Vec<CapGrant> {
         let mut grants = Vec::with_capacity(asks.len());
-        let mut lacking = Vec::new();
+        let mut unmet_requests = Vec::new();
         {
             let now = self.now();
             let mut state = self.state.borrow_mut();
-            for (place, ask) in asks.iter().enumerate() {
+            for (position, ask) in asks.iter().enumerate() {
                 let tokens = state.cap_stock.take(&ask.workspace, ask.waiting, now);
                 grants.push(CapGrant {
                     tokens,
@@ -50,8 +50,8 @@
                 });
                 let waiting = ask.waiting - tokens;
                 if waiting > 0 {
-                    lacking.push((
-                        place,
+                    unmet_requests.push((
+                        position,
                         CapAsk {
                             waiting,
                             ..ask.clone()
@@ -61,45 +61,45 @@
             }
         }
         self.caps_used.notify_one();
-        if lacking.is_empty() {
+        if unmet_requests.is_empty() {
             return grants;
         }
-        let questions = lacking.iter().map(|(_, ask)| ask.clone()).collect();
-        let told = self.ask_owner(questions).await;
-        for (number, (place, ask)) in lacking.iter().enumerate() {
-            let granted = match told.as_ref().and_then(|told| told.get(number)) {
+        let requests = unmet_requests.iter().map(|(_, ask)| ask.clone()).collect();
+        let reply = self.request_from_leader(requests).await;
+        for (index, (position, ask)) in unmet_requests.iter().enumerate() {
+            let granted = match reply.as_ref().and_then(|reply| reply.get(index)) {
                 Some(granted) => *granted,
-                None => self.grant_floor(ask),
+                None => self.grant_minimum(ask),
             };
-            grants[*place].tokens += granted.tokens;
-            grants[*place].retry_ms = granted.retry_ms;
+            grants[*position].tokens += granted.tokens;
+            grants[*position].retry_ms = granted.retry_ms;
         }
         grants
     }
 
-    fn grant_floor(&self, ask: &CapAsk) -> CapGrant {
-        let (now, instances) = (self.now(), self.control_instances());
+    fn grant_minimum(&self, ask: &CapAsk) -> CapGrant {
+        let (now, instances) = (self.now(), self.count_control_instances());
         let stock = &mut self.state.borrow_mut().cap_stock;
         let tokens = stock.take_floor(&ask.workspace, ask.waiting, instances, now);
         let workspace = &*ask.workspace;
         tracing::info!(target: "group", workspace, tokens, waiting = ask.waiting, "cap: granted without the leader");
         CapGrant {
             tokens,
-            retry_ms: COME_BACK_MS,
+            retry_ms: RETRY_AFTER_MS,
         }
     }
 
-    async fn ask_owner(self: &Rc<Self>, asks: Vec<CapAsk>) -> Option<Vec<CapGrant>> {
-        let asked = self.ask_leader(GroupAsk::Caps(asks));
-        match tokio::time::timeout(LEADER_TIME, asked).await {
+    async fn request_from_leader(self: &Rc<Self>, asks: Vec<CapAsk>) -> Option<Vec<CapGrant>> {
+        let request = self.request_leader(GroupAsk::Caps(asks));
+        match tokio::time::timeout(LEADER_TIMEOUT, request).await {
             Ok(GroupTell::Caps(grants)) => Some(grants),
             _ => None,
         }
     }
 
     /// Grants tokens, if this instance leads.
-    pub fn grant_here(&self, asks: &[CapAsk]) -> GroupTell {
-        if !self.leads() {
+    pub fn grant_as_leader(&self, asks: &[CapAsk]) -> GroupTell {
+        if !self.is_leader() {
             return GroupTell::Unknown;
         }
         let now = self.now();
@@ -110,21 +110,21 @@
 
     /// Keeps tokens of the workspaces that are asked for in stock, until the
     /// instance ends.
-    pub async fn keep_caps(self: Rc<Self>) {
+    pub async fn refill_cap_stock(self: Rc<Self>) {
         loop {
             self.caps_used.notified().await;
-            let lacks = {
-                let (now, instances) = (self.now(), self.control_instances());
+            let shortages = {
+                let (now, instances) = (self.now(), self.count_control_instances());
                 self.state.borrow().cap_stock.lacks(instances, now)
             };
-            if lacks.is_empty() {
+            if shortages.is_empty() {
                 continue;
             }
-            let Some(grants) = self.ask_owner(lacks.clone()).await else {
+            let Some(grants) = self.request_from_leader(shortages.clone()).await else {
                 continue;
             };
             let stock = &mut self.state.borrow_mut().cap_stock;
-            for (ask, grant) in lacks.iter().zip(grants) {
+            for (ask, grant) in shortages.iter().zip(grants) {
                 stock.add(&ask.workspace, grant.tokens);
             }
         }
--- a/crates/node/src/process/group/disk.rs
+++ b/crates/node/src/process/group/disk.rs
@@ -18,15 +18,15 @@
 use crate::ring::{bounded_ring, RingReceiver, RingSender};
 
 /// Orders that may wait for the disk.
-const ORDER_RING: usize = 4096;
+const WRITE_RING_LENGTH: usize = 4096;
 /// Notes that may wait for the replica.
-const NOTE_RING: usize = 64;
+const EVENT_RING_LENGTH: usize = 64;
 /// Time between two tries to open a store that failed.
-const REOPEN_TIME: Duration = Duration::from_millis(400);
+const REOPEN_INTERVAL: Duration = Duration::from_millis(400);
 
 /// What is to be kept.
 #[derive(Debug)]
-pub struct DiskOrder {
+pub struct DiskWrite {
     /// Which opening of the store it is for.
     pub epoch: u64,
     /// Number of the batch.
@@ -43,22 +43,22 @@
 
 /// What became of orders.
 #[derive(Debug)]
-pub enum DiskNote {
+pub enum DiskEvent {
     /// All batches up to this one last.
-    Done(u64),
+    Synced(u64),
     /// The disk failed; nothing later lasts.
     Failed(String),
     /// The store was opened anew, for this epoch, with what it holds.
-    Opened(u64, Box<KeptState>),
+    Reopened(u64, Box<KeptState>),
 }
 
 /// The replica's end of the disk thread.
 #[derive(Debug)]
-pub struct DiskLine {
+pub struct DiskHandle {
     /// Takes orders.
-    pub orders: SyncSender<DiskOrder>,
+    pub writes: SyncSender<DiskWrite>,
     /// Gives notes.
-    pub notes: RingReceiver<DiskNote>,
+    pub events: RingReceiver<DiskEvent>,
 }
 
 /// Starts the disk thread for a store.
@@ -66,37 +66,41 @@
 /// # Errors
 ///
 /// Fails if the system gives no thread.
-pub fn start_disk(store: ReplicaStore, path: PathBuf, instance: &str) -> anyhow::Result<DiskLine> {
-    let (orders, receiver) = std::sync::mpsc::sync_channel(ORDER_RING);
-    let (sender, notes) = bounded_ring(NOTE_RING);
-    let duty = DiskDuty {
+pub fn start_disk(
+    store: ReplicaStore,
+    path: PathBuf,
+    instance: &str,
+) -> anyhow::Result<DiskHandle> {
+    let (writes, receiver) = std::sync::mpsc::sync_channel(WRITE_RING_LENGTH);
+    let (sender, events) = bounded_ring(EVENT_RING_LENGTH);
+    let worker = DiskWorker {
         path,
         instance: instance.to_string(),
-        orders: receiver,
-        notes: sender,
+        writes: receiver,
+        events: sender,
         epoch: 0,
     };
-    start_thread("disk", move || duty.run(store))?;
-    Ok(DiskLine { orders, notes })
+    start_thread("disk", move || worker.run(store))?;
+    Ok(DiskHandle { writes, events })
 }
 
-struct DiskDuty {
+struct DiskWorker {
     path: PathBuf,
     instance: String,
-    orders: Receiver<DiskOrder>,
-    notes: RingSender<DiskNote>,
+    writes: Receiver<DiskWrite>,
+    events: RingSender<DiskEvent>,
     epoch: u64,
 }
 
-impl DiskDuty {
+impl DiskWorker {
     fn run(mut self, mut store: ReplicaStore) {
-        while let Ok(order) = self.orders.recv() {
-            match self.keep(&mut store, order) {
-                Ok(Some(batch)) => self.notes.put_blocking(DiskNote::Done(batch)),
+        while let Ok(write) = self.writes.recv() {
+            match self.persist_batch(&mut store, write) {
+                Ok(Some(batch)) => self.events.put_blocking(DiskEvent::Synced(batch)),
                 Ok(None) => {}
                 Err(error) => {
-                    self.notes
-                        .put_blocking(DiskNote::Failed(format!("{error:#}")));
+                    self.events
+                        .put_blocking(DiskEvent::Failed(format!("{error:#}")));
                     // The folder's lock goes with the store.
                     drop(store);
                     store = self.reopen();
@@ -106,21 +110,25 @@
     }
 
     /// Keeps an order and all that wait behind it with one sync.
-    fn keep(&self, store: &mut ReplicaStore, first: DiskOrder) -> anyhow::Result<Option<u64>> {
-        let mut last = None;
+    fn persist_batch(
+        &self,
+        store: &mut ReplicaStore,
+        first: DiskWrite,
+    ) -> anyhow::Result<Option<u64>> {
+        let mut last_batch = None;
         let mut servers = None;
         let mut suspects = None;
         let mut next = Some(first);
-        while let Some(order) = next {
-            if order.epoch == self.epoch {
-                for action in &order.actions {
+        while let Some(write) = next {
+            if write.epoch == self.epoch {
+                for action in &write.actions {
                     store.keep(action)?;
                 }
-                last = Some(order.batch);
-                servers = order.servers.or(servers);
-                suspects = order.suspects.or(suspects);
+                last_batch = Some(write.batch);
+                servers = write.servers.or(servers);
+                suspects = write.suspects.or(suspects);
             }
-            next = self.orders.try_recv().ok();
+            next = self.writes.try_recv().ok();
         }
         store.sync()?;
         let folder = store.folder();
@@ -132,12 +140,12 @@
         if let Some(suspects) = suspects {
             folder.remember(RememberedFile::Suspects, &suspects)?;
         }
-        Ok(last)
+        Ok(last_batch)
     }
 
     fn reopen(&mut self) -> ReplicaStore {
         loop {
-            std::thread::sleep(REOPEN_TIME);
+            std::thread::sleep(REOPEN_INTERVAL);
             let opened = DataFolder::open_own(&self.path, &self.instance);
             let opened = opened.and_then(|(folder, _, _)| {
                 let mut store = ReplicaStore::open(folder)?;
@@ -149,7 +157,8 @@
             };
             self.epoch += 1;
             let kept = Box::new(store.kept().clone());
-            self.notes.put_blocking(DiskNote::Opened(self.epoch, kept));
+            self.events
+                .put_blocking(DiskEvent::Reopened(self.epoch, kept));
             return store;
         }
     }
--- a/crates/node/src/process/group/evacuate.rs
+++ b/crates/node/src/process/group/evacuate.rs
@@ -6,7 +6,7 @@
 use wheelmast_core::process::control::state::{CommandOutcome, ControlCommand};
 use wheelmast_wire::group::GroupTell;
 
-use crate::process::group::node::{GroupNode, ORDER_TIME};
+use crate::process::group::node::{GroupNode, ORDER_TIMEOUT};
 
 impl GroupNode {
     /// Takes a failure domain out of use, or back into use. None if no quorum
@@ -16,8 +16,11 @@
         domain: &str,
         evacuated: bool,
     ) -> Option<EvacuationOutcome> {
-        let order = self.propose_evacuation(domain, evacuated);
-        tokio::time::timeout(ORDER_TIME, order).await.ok().flatten()
+        let proposal = self.propose_evacuation(domain, evacuated);
+        tokio::time::timeout(ORDER_TIMEOUT, proposal)
+            .await
+            .ok()
+            .flatten()
     }
 
     /// Proposes the change on the revision that is known here, and on the one
@@ -27,7 +30,7 @@
         domain: &str,
         evacuated: bool,
     ) -> Option<EvacuationOutcome> {
-        let mut base = self.known_revision(domain)?;
+        let mut base = self.local_revision(domain)?;
         loop {
             let command = ControlCommand::Evacuate(EvacuationChange {
                 domain: domain.into(),
@@ -45,7 +48,7 @@
         }
     }
 
-    fn known_revision(&self, domain: &str) -> Option<u64> {
+    fn local_revision(&self, domain: &str) -> Option<u64> {
         let state = self.state.borrow();
         let replica = state.replica.as_ref()?;
         Some(replica.state().evacuations().revision_of(domain))
--- a/crates/node/src/process/group/followers.rs
+++ b/crates/node/src/process/group/followers.rs
@@ -16,29 +16,29 @@
 
 /// The entries that follow this instance and the others.
 #[derive(Debug, Default)]
-pub struct FollowerBook {
+pub struct FollowerRegistry {
     /// Those of this instance, as the others were told, by identity.
-    own: BTreeMap<Box<str>, FollowerRecord>,
-    others: HashMap<SocketAddr, BTreeMap<Box<str>, FollowerRecord>>,
+    local_followers: BTreeMap<Box<str>, FollowerRecord>,
+    peer_followers: HashMap<SocketAddr, BTreeMap<Box<str>, FollowerRecord>>,
 }
 
-impl FollowerBook {
+impl FollowerRegistry {
     /// Takes over who follows this instance. Returns what the others are to be
     /// told, if that changed.
-    pub fn set_own(
+    pub fn set_local_followers(
         &mut self,
         followers: impl Iterator<Item = FollowerRecord>,
     ) -> Option<GroupMessage> {
-        let followers: BTreeMap<_, _> = followers.map(|known| (known.0.id(), known)).collect();
-        let news = followers.iter();
-        let news = news.filter(|(id, record)| self.own.get(*id) != Some(*record));
-        let joined: Vec<FollowerRecord> = news.map(|(_, record)| record.clone()).collect();
-        let gone = self.own.keys();
-        let gone = gone.filter(|id| !followers.contains_key(*id));
-        let left: Vec<Box<str>> = gone.cloned().collect();
-        let is_news = !joined.is_empty() || !left.is_empty();
-        self.own = followers;
-        is_news.then_some(GroupMessage::Followers {
+        let followers: BTreeMap<_, _> = followers.map(|record| (record.0.id(), record)).collect();
+        let changed = followers.iter();
+        let changed = changed.filter(|(id, record)| self.local_followers.get(*id) != Some(*record));
+        let joined: Vec<FollowerRecord> = changed.map(|(_, record)| record.clone()).collect();
+        let removed = self.local_followers.keys();
+        let removed = removed.filter(|id| !followers.contains_key(*id));
+        let left: Vec<Box<str>> = removed.cloned().collect();
+        let has_changes = !joined.is_empty() || !left.is_empty();
+        self.local_followers = followers;
+        has_changes.then_some(GroupMessage::Followers {
             whole: false,
             joined,
             left,
@@ -46,72 +46,74 @@
     }
 
     /// Returns all that follow this instance, for another one.
-    pub fn whole(&self) -> GroupMessage {
+    pub fn build_full_message(&self) -> GroupMessage {
         GroupMessage::Followers {
             whole: true,
-            joined: self.own.values().cloned().collect(),
+            joined: self.local_followers.values().cloned().collect(),
             left: Vec::new(),
         }
     }
 
     /// Takes what another instance says of its followers.
-    pub fn take(
+    pub fn apply_update(
         &mut self,
         from: SocketAddr,
         whole: bool,
         joined: Vec<FollowerRecord>,
         left: &[Box<str>],
     ) {
-        let known = self.others.entry(from).or_default();
+        let followers = self.peer_followers.entry(from).or_default();
         if whole {
-            known.clear();
+            followers.clear();
         }
         for id in left {
-            known.remove(id);
+            followers.remove(id);
         }
-        known.extend(joined.into_iter().map(|record| (record.0.id(), record)));
+        followers.extend(joined.into_iter().map(|record| (record.0.id(), record)));
     }
 
     /// Forgets the followers of an instance.
-    pub fn forget(&mut self, address: &SocketAddr) {
-        self.others.remove(address);
+    pub fn remove_peer(&mut self, address: &SocketAddr) {
+        self.peer_followers.remove(address);
     }
 
     /// Returns a digest of the followers of this instance, by which the others
     /// notice that they have missed news.
     pub fn digest(&self) -> u64 {
-        digest_of(&self.own)
+        compute_digest(&self.local_followers)
     }
 
     /// Tells whether what is known of another instance's followers has this
     /// digest.
-    pub fn is_current(&self, from: SocketAddr, digest: u64) -> bool {
-        let known = self.others.get(&from);
-        known.map_or(0, digest_of) == digest
+    pub fn matches_digest(&self, from: SocketAddr, digest: u64) -> bool {
+        let followers = self.peer_followers.get(&from);
+        followers.map_or(0, compute_digest) == digest
     }
 
     /// Returns all entries that follow this instance or one in contact, in the
     /// order of their names; one takes requests only if nobody heard that it
     /// leaves.
-    pub fn all(&self, in_contact: impl Fn(&SocketAddr) -> bool) -> Vec<FollowerRecord> {
-        let mut all: BTreeMap<(&str, u64), FollowerRecord> = BTreeMap::new();
-        let others = self.others.iter();
-        let others = others.filter(|(address, _)| in_contact(address));
-        let others = others.flat_map(|(_, followers)| followers.values());
-        for (peer, takes) in self.own.values().chain(others) {
+    pub fn list_all(&self, is_in_contact: impl Fn(&SocketAddr) -> bool) -> Vec<FollowerRecord> {
+        let mut followers_by_key: BTreeMap<(&str, u64), FollowerRecord> = BTreeMap::new();
+        let peer_followers = self.peer_followers.iter();
+        let peer_followers = peer_followers.filter(|(address, _)| is_in_contact(address));
+        let peer_followers = peer_followers.flat_map(|(_, followers)| followers.values());
+        for (peer, takes_requests) in self.local_followers.values().chain(peer_followers) {
             let key = (&*peer.instance, peer.incarnation);
-            let known = all.entry(key).or_insert_with(|| (peer.clone(), *takes));
-            known.1 &= takes;
+            let record = followers_by_key
+                .entry(key)
+                .or_insert_with(|| (peer.clone(), *takes_requests));
+            record.1 &= takes_requests;
         }
-        all.into_values().collect()
+        followers_by_key.into_values().collect()
     }
 }
 
 /// Returns a digest that does not depend on an order.
-fn digest_of(followers: &BTreeMap<Box<str>, FollowerRecord>) -> u64 {
-    let digests = followers.iter().map(|(id, (_, takes))| {
+fn compute_digest(followers: &BTreeMap<Box<str>, FollowerRecord>) -> u64 {
+    let digests = followers.iter().map(|(id, (_, takes_requests))| {
         let digest = xxh3_64(id.as_bytes());
-        if *takes {
+        if *takes_requests {
             digest
         } else {
             !digest
--- a/crates/node/src/process/group/inbound.rs
+++ b/crates/node/src/process/group/inbound.rs
@@ -16,20 +16,20 @@
 use crate::connection::accept::next_stream;
 use crate::connection::frame::{end_when_silent, FrameReader};
 use crate::process::group::node::GroupNode;
-use crate::process::group::state::{ControlPlace, OutFrame, Subscriber};
+use crate::process::group::state::{ControlLocation, EncodedFrame, Subscriber};
 use crate::process::group::suspects::SuspectSource;
 use crate::ring::bounded_ring;
 
 /// Messages that may wait for an entry.
-const SUBSCRIBER_RING: usize = 512;
+const SUBSCRIBER_RING_LENGTH: usize = 512;
 /// Messages written together.
-const BATCH: usize = 64;
+const MAX_BATCH_MESSAGES: usize = 64;
 /// Longest time that a write may take.
-const WRITE_TIME: Duration = Duration::from_secs(2);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time for which a server that leaves is news to an entry that comes.
-const LEAVER_TIME: Duration = Duration::from_secs(12);
+const RECENT_LEAVE_TIME: Duration = Duration::from_secs(12);
 /// Time between two tries to confirm the table for an entry.
-const CONFIRM_PAUSE: Duration = Duration::from_millis(30);
+const CONFIRM_RETRY_INTERVAL: Duration = Duration::from_millis(30);
 
 /// Accepts connections of other instances.
 pub async fn accept_peers(node: Rc<GroupNode>, listener: TcpListener) {
@@ -37,14 +37,14 @@
         let stream = next_stream(&listener).await;
         let node = node.clone();
         tokio::task::spawn_local(async move {
-            if let Err(error) = serve_peer(&node, stream).await {
+            if let Err(error) = serve_connection(&node, stream).await {
                 tracing::debug!(target: "group", "peer: connection ended, {error:#}");
             }
         });
     }
 }
 
-async fn serve_peer(node: &Rc<GroupNode>, mut stream: TcpStream) -> anyhow::Result<()> {
+async fn serve_connection(node: &Rc<GroupNode>, mut stream: TcpStream) -> anyhow::Result<()> {
     end_when_silent(&stream)?;
     let (reader, mut writer) = stream.split();
     let mut reader = FrameReader::new(reader);
@@ -61,36 +61,42 @@
                 servers,
             } => {
                 peer = Some(from.address);
-                let place = ControlPlace { domain, calls };
-                node.state.borrow_mut().places.insert(from.address, place);
+                let position = ControlLocation {
+                    domain,
+                    call_address: calls,
+                };
+                node.state
+                    .borrow_mut()
+                    .locations
+                    .insert(from.address, position);
                 let address = from.address;
-                take_hello(node, from, learns, known);
-                ask_missed(node, address, followers, servers);
+                handle_hello(node, from, learns, known);
+                request_missed_updates(node, address, followers, servers);
             }
             GroupMessage::Subscribe { peer, confirm } => {
                 return serve_entry(node, reader, &mut writer, peer, confirm).await;
             }
-            message => take(node, peer, message),
+            message => handle_control_message(node, peer, message),
         }
         if let Some(peer) = peer {
             let now = node.now();
-            node.state.borrow_mut().contacts.insert(peer, now);
+            node.state.borrow_mut().last_contacts.insert(peer, now);
         }
     }
 }
 
-fn take_hello(node: &Rc<GroupNode>, from: MemberRecord, learns: bool, known: Vec<SocketAddr>) {
+fn handle_hello(node: &Rc<GroupNode>, from: MemberRecord, learns: bool, known: Vec<SocketAddr>) {
     {
         let mut state = node.state.borrow_mut();
         // An identity that had this address before is gone for good.
         state
-            .addresses
+            .replica_addresses
             .retain(|id, address| *id == from.id || *address != from.address);
-        state.addresses.insert(from.id, from.address);
+        state.replica_addresses.insert(from.id, from.address);
     }
-    node.meet(from.address);
+    node.ensure_link(from.address);
     for address in known {
-        node.meet(address);
+        node.ensure_link(address);
     }
     if learns {
         node.step_replica(ReplicaInput::Learner(from));
@@ -99,45 +105,45 @@
 
 /// Asks another control instance for all, if what is known of the entries that
 /// follow it or of the servers that it hears has not these digests.
-fn ask_missed(node: &Rc<GroupNode>, peer: SocketAddr, followers: u64, servers: u64) {
-    let (knows_followers, knows_servers) = {
+fn request_missed_updates(node: &Rc<GroupNode>, peer: SocketAddr, followers: u64, servers: u64) {
+    let (has_followers, has_servers) = {
         let state = node.state.borrow();
-        let known = state.directory.digest(ServerObserver::Peer(peer));
+        let local_digest = state.directory.digest(ServerObserver::Peer(peer));
         (
-            state.followers.is_current(peer, followers),
-            known == servers,
+            state.followers.matches_digest(peer, followers),
+            local_digest == servers,
         )
     };
-    if !knows_followers {
-        answer(node, Some(peer), GroupMessage::AskFollowers);
+    if !has_followers {
+        send_to_peer(node, Some(peer), GroupMessage::AskFollowers);
     }
-    if !knows_servers {
-        answer(node, Some(peer), GroupMessage::AskRenewals);
+    if !has_servers {
+        send_to_peer(node, Some(peer), GroupMessage::AskRenewals);
     }
 }
 
 /// Takes a message of another control instance.
-fn take(node: &Rc<GroupNode>, peer: Option<SocketAddr>, message: GroupMessage) {
+fn handle_control_message(node: &Rc<GroupNode>, peer: Option<SocketAddr>, message: GroupMessage) {
     match message {
-        GroupMessage::Replica { from, to, message } if to == node.me.id => {
+        GroupMessage::Replica { from, to, message } if to == node.local_member.id => {
             node.step_replica(ReplicaInput::Message { from, message });
         }
         GroupMessage::Notices(notices) => {
             for notice in notices {
-                node.take_notice(notice);
+                node.apply_announcement(notice);
             }
         }
         GroupMessage::Keep { tag, notice } => {
-            node.take_notice(*notice);
-            answer(node, peer, GroupMessage::Kept(tag));
+            node.apply_announcement(*notice);
+            send_to_peer(node, peer, GroupMessage::Kept(tag));
         }
         GroupMessage::Suspects(records) => {
-            node.take_suspects(records, SuspectSource::Control);
+            node.merge_suspects(records, SuspectSource::Control);
         }
-        GroupMessage::Tallies(tallies) => node.take_tallies(tallies, false),
+        GroupMessage::Tallies(tallies) => node.record_version_outcomes(tallies, false),
         GroupMessage::AskFollowers => {
-            let whole = node.state.borrow().followers.whole();
-            answer(node, peer, whole);
+            let full_message = node.state.borrow().followers.build_full_message();
+            send_to_peer(node, peer, full_message);
         }
         GroupMessage::Followers {
             whole,
@@ -146,51 +152,51 @@
         } => {
             if let Some(peer) = peer {
                 let followers = &mut node.state.borrow_mut().followers;
-                followers.take(peer, whole, joined, &left);
+                followers.apply_update(peer, whole, joined, &left);
             }
         }
-        GroupMessage::Kept(tag) => node.count_keep(tag),
+        GroupMessage::Kept(tag) => node.record_replication_ack(tag),
         GroupMessage::Renewals { whole, servers } => {
             if let Some(peer) = peer {
-                let missed = node.take_renewals(peer, whole, servers);
-                if !missed.is_empty() {
-                    answer(node, Some(peer), GroupMessage::AskNotices(missed));
+                let unknown_ids = node.apply_renewals(peer, whole, servers);
+                if !unknown_ids.is_empty() {
+                    send_to_peer(node, Some(peer), GroupMessage::AskNotices(unknown_ids));
                 }
             }
         }
         GroupMessage::AskRenewals => {
-            let message = node.whole_renewals();
-            answer(node, peer, message);
+            let message = node.build_full_renewals();
+            send_to_peer(node, peer, message);
         }
         GroupMessage::AskNotices(ids) => {
-            let message = GroupMessage::Notices(node.notices_of(&ids));
-            answer(node, peer, message);
+            let message = GroupMessage::Notices(node.find_ready_announcements(&ids));
+            send_to_peer(node, peer, message);
         }
         GroupMessage::Lapsed(servers) => {
             if let Some(peer) = peer {
-                node.take_lapsed(peer, &servers);
+                node.apply_lapsed(peer, &servers);
             }
         }
         GroupMessage::Ask { tag, ask } => {
             let node = node.clone();
             tokio::task::spawn_local(async move {
                 let tell = match ask {
-                    GroupAsk::Propose(command) => node.propose_here(command).await,
-                    GroupAsk::Read => node.read_here().await,
-                    GroupAsk::Caps(asks) => node.grant_here(&asks),
+                    GroupAsk::Propose(command) => node.propose_as_leader(command).await,
+                    GroupAsk::Read => node.read_as_leader().await,
+                    GroupAsk::Caps(asks) => node.grant_as_leader(&asks),
                 };
-                answer(&node, peer, GroupMessage::Told { tag, tell });
+                send_to_peer(&node, peer, GroupMessage::Told { tag, tell });
             });
         }
         GroupMessage::Told { tag, tell } => {
-            let asked = node.state.borrow_mut().asks.remove(&tag);
-            match asked {
-                Some(asked) => {
+            let pending_reply = node.state.borrow_mut().pending_replies.remove(&tag);
+            match pending_reply {
+                Some(pending_reply) => {
                     // The asker may have given up.
-                    let _ = asked.send(tell);
+                    let _ = pending_reply.send(tell);
                 }
                 None => {
-                    node.state.borrow_mut().stray_answers += 1;
+                    node.state.borrow_mut().unmatched_replies += 1;
                     tracing::warn!(target: "group", ?peer, tag, ?tell, "peer: answer to no question");
                 }
             }
@@ -199,7 +205,7 @@
     }
 }
 
-fn answer(node: &Rc<GroupNode>, peer: Option<SocketAddr>, message: GroupMessage) {
+fn send_to_peer(node: &Rc<GroupNode>, peer: Option<SocketAddr>, message: GroupMessage) {
     let state = node.state.borrow();
     let link = peer.and_then(|peer| state.links.get(&peer));
     if let Some(link) = link {
@@ -214,50 +220,51 @@
     mut reader: FrameReader<R>,
     writer: &mut W,
     peer: EntryPeer,
-    asks_quorum: bool,
+    wants_confirmation: bool,
 ) -> anyhow::Result<()> {
-    let (sender, mut ring) = bounded_ring(SUBSCRIBER_RING);
+    let (sender, mut ring) = bounded_ring(SUBSCRIBER_RING_LENGTH);
     let key = node.next_tag();
     let instance = peer.instance.clone();
     tracing::info!(target: "group", %instance, "entry: follows");
     let subscriber = Subscriber {
         peer,
-        leaving: false,
-        whole: false,
-        told: HashSet::new(),
+        is_leaving: false,
+        is_full_subscriber: false,
+        known_peers: HashSet::new(),
         sender,
     };
-    let greeting = greeting(node);
+    let initial_messages = initial_messages(node);
     {
         let mut state = node.state.borrow_mut();
-        for frame in greeting.iter().filter_map(OutFrame::new) {
+        for frame in initial_messages.iter().filter_map(EncodedFrame::new) {
             // The ring has room: it is new.
-            subscriber.offer(frame, &mut state.traffic);
+            subscriber.queue_frame(frame, &mut state.traffic);
         }
         state.subscribers.insert(key, subscriber);
     }
-    let confirming = asks_quorum.then(|| tokio::task::spawn_local(confirm(node.clone(), key)));
+    let confirm_task =
+        wants_confirmation.then(|| tokio::task::spawn_local(send_confirmation(node.clone(), key)));
     let result = async {
-        let mut frames = Vec::with_capacity(BATCH);
+        let mut frames = Vec::with_capacity(MAX_BATCH_MESSAGES);
         loop {
             tokio::select! {
-                count = ring.recv_many(&mut frames, BATCH) => {
+                count = ring.recv_many(&mut frames, MAX_BATCH_MESSAGES) => {
                     if count == 0 {
                         return anyhow::Ok(());
                     }
-                    drop_old_tables(&mut frames);
+                    drop_superseded_tables(&mut frames);
                     let bytes: Vec<&[u8]> = frames.iter().map(|frame| &*frame.bytes).collect();
                     let bytes = bytes.concat();
                     frames.clear();
-                    tokio::time::timeout(WRITE_TIME, writer.write_all(&bytes)).await??;
+                    tokio::time::timeout(WRITE_TIMEOUT, writer.write_all(&bytes)).await??;
                 }
-                message = reader.next() => take_wish(node, key, message?),
+                message = reader.next() => handle_entry_message(node, key, message?),
             }
         }
     }
     .await;
-    if let Some(confirming) = confirming {
-        confirming.abort();
+    if let Some(confirm_task) = confirm_task {
+        confirm_task.abort();
     }
     node.state.borrow_mut().subscribers.remove(&key);
     tracing::info!(target: "group", %instance, "entry: gone");
@@ -265,62 +272,66 @@
 }
 
 /// Drops the tables that a newer one among the same messages overtakes.
-fn drop_old_tables(frames: &mut Vec<Rc<OutFrame>>) {
-    let Some(last) = frames.iter().rposition(|frame| frame.is_table) else {
+fn drop_superseded_tables(frames: &mut Vec<Rc<EncodedFrame>>) {
+    let Some(last) = frames.iter().rposition(|frame| frame.is_route_table) else {
         return;
     };
-    let mut place = 0;
+    let mut position = 0;
     frames.retain(|frame| {
-        let is_old = place < last && frame.is_table;
-        place += 1;
-        !is_old
+        let is_superseded = position < last && frame.is_route_table;
+        position += 1;
+        !is_superseded
     });
 }
 
 /// Takes what an entry wishes; otherwise only signs of life come.
-fn take_wish(node: &Rc<GroupNode>, key: u64, message: GroupMessage) {
+fn handle_entry_message(node: &Rc<GroupNode>, key: u64, message: GroupMessage) {
     match message {
         GroupMessage::Suspects(records) => {
-            node.take_suspects(records, SuspectSource::Entry);
+            node.merge_suspects(records, SuspectSource::Entry);
         }
-        GroupMessage::Tallies(tallies) => node.take_tallies(tallies, true),
-        GroupMessage::Leaving => leave(node, key),
+        GroupMessage::Tallies(tallies) => node.record_version_outcomes(tallies, true),
+        GroupMessage::Leaving => mark_leaving(node, key),
         GroupMessage::Whole { have, servers } => {
-            let messages = all_known(node, key, have, &servers);
-            tell_one(node, key, messages, |subscriber| subscriber.whole = true);
+            let messages = build_full_state(node, key, have, &servers);
+            send_to_subscriber(node, key, messages, |subscriber| {
+                subscriber.is_full_subscriber = true
+            });
         }
         GroupMessage::Urgent => {
-            tell_one(node, key, Vec::new(), |subscriber| subscriber.whole = false);
+            send_to_subscriber(node, key, Vec::new(), |subscriber| {
+                subscriber.is_full_subscriber = false
+            });
         }
         GroupMessage::AskCaps { tag, asks } => {
             let node = node.clone();
             tokio::task::spawn_local(async move {
                 let grants = node.grant_caps(asks).await;
-                tell_one(&node, key, vec![GroupMessage::Caps { tag, grants }], |_| ());
+                send_to_subscriber(&node, key, vec![GroupMessage::Caps { tag, grants }], |_| ());
             });
         }
         GroupMessage::Fetch { have } => {
-            let messages = newer_table(node, have);
-            tell_one(node, key, messages, |_| ());
+            let messages = build_newer_table(node, have);
+            send_to_subscriber(node, key, messages, |_| ());
         }
         _ => {}
     }
 }
 
-fn tell_one(
+fn send_to_subscriber(
     node: &Rc<GroupNode>,
     key: u64,
     messages: Vec<GroupMessage>,
-    change: impl FnOnce(&mut Subscriber),
+    update: impl FnOnce(&mut Subscriber),
 ) {
     let mut state = node.state.borrow_mut();
     let state = &mut *state;
     let Some(subscriber) = state.subscribers.get_mut(&key) else {
         return;
     };
-    change(subscriber);
-    for frame in messages.iter().filter_map(OutFrame::new) {
-        if !subscriber.offer(frame, &mut state.traffic) {
+    update(subscriber);
+    for frame in messages.iter().filter_map(EncodedFrame::new) {
+        if !subscriber.queue_frame(frame, &mut state.traffic) {
             // It does not keep up: it is let go and asks again.
             state.subscribers.remove(&key);
             return;
@@ -329,36 +340,41 @@
 }
 
 /// Takes note that an entry takes no more requests of others.
-fn leave(node: &Rc<GroupNode>, key: u64) {
+fn mark_leaving(node: &Rc<GroupNode>, key: u64) {
     if let Some(subscriber) = node.state.borrow_mut().subscribers.get_mut(&key) {
-        subscriber.leaving = true;
+        subscriber.is_leaving = true;
     }
-    node.tell_members();
+    node.publish_members();
 }
 
 /// Returns what every entry is told at first.
-fn greeting(node: &Rc<GroupNode>) -> Vec<GroupMessage> {
-    let leavers = node.late_leavers(LEAVER_TIME);
+fn initial_messages(node: &Rc<GroupNode>) -> Vec<GroupMessage> {
+    let recent_leavers = node.list_recent_leavers(RECENT_LEAVE_TIME);
     let state = node.state.borrow();
-    let mut messages = vec![node.here(&state), state.evacuations.message()];
+    let mut messages = vec![node.build_status(&state), state.evacuations.to_message()];
     if state.rollouts.revision > 0 {
-        messages.push(state.rollouts.message());
+        messages.push(state.rollouts.to_message());
     }
-    messages.push(node.all_suspects());
-    messages.push(GroupMessage::Control(state.told_control.clone()));
-    if !leavers.is_empty() {
-        messages.push(GroupMessage::Notices(leavers));
+    messages.push(node.build_all_suspects());
+    messages.push(GroupMessage::Control(state.last_sent_control.clone()));
+    if !recent_leavers.is_empty() {
+        messages.push(GroupMessage::Notices(recent_leavers));
     }
     messages
 }
 
 /// Returns all that is known, for an entry that has a table of version `have` and
 /// servers with these digests.
-fn all_known(node: &Rc<GroupNode>, key: u64, have: u64, servers: &[u64]) -> Vec<GroupMessage> {
-    let notices = node.lacking_notices(servers);
-    let mut messages = newer_table(node, have);
+fn build_full_state(
+    node: &Rc<GroupNode>,
+    key: u64,
+    have: u64,
+    servers: &[u64],
+) -> Vec<GroupMessage> {
+    let notices = node.list_missing_announcements(servers);
+    let mut messages = build_newer_table(node, have);
     let mut state = node.state.borrow_mut();
-    messages.extend(state.first_members(key));
+    messages.extend(state.build_initial_members(key));
     messages.push(GroupMessage::Notices(notices));
     let expired = state.directory.iter().filter(|record| record.expired);
     let expired = expired.map(|record| (record.notice.id.clone(), true));
@@ -367,18 +383,18 @@
 }
 
 /// Returns the table in force, if it is newer than `have`.
-fn newer_table(node: &Rc<GroupNode>, have: u64) -> Vec<GroupMessage> {
+fn build_newer_table(node: &Rc<GroupNode>, have: u64) -> Vec<GroupMessage> {
     let state = node.state.borrow();
-    if state.published.version <= have {
+    if state.published_table.version <= have {
         return Vec::new();
     }
-    vec![state.published.message()]
+    vec![state.published_table.to_message()]
 }
 
 /// Confirms the table to an entry, as soon as a quorum says so.
-async fn confirm(node: Rc<GroupNode>, key: u64) {
+async fn send_confirmation(node: Rc<GroupNode>, key: u64) {
     loop {
-        if let GroupTell::Mark(mark) = node.read().await {
+        if let GroupTell::Mark(mark) = node.read_confirmed().await {
             if node.wait_published(mark).await {
                 let mut state = node.state.borrow_mut();
                 let state = &mut *state;
@@ -387,14 +403,14 @@
                     // in the same ring.
                     let version = mark.version;
                     let message = GroupMessage::Confirmed { version };
-                    if let Some(frame) = OutFrame::new(&message) {
+                    if let Some(frame) = EncodedFrame::new(&message) {
                         // Full: it is let go and asks again.
-                        subscriber.offer(frame, &mut state.traffic);
+                        subscriber.queue_frame(frame, &mut state.traffic);
                     }
                 }
                 return;
             }
         }
-        tokio::time::sleep(CONFIRM_PAUSE).await;
+        tokio::time::sleep(CONFIRM_RETRY_INTERVAL).await;
     }
 }
--- a/crates/node/src/process/group/link.rs
+++ b/crates/node/src/process/group/link.rs
@@ -15,76 +15,82 @@
 use crate::ring::RingReceiver;
 
 /// Messages written together.
-const BATCH: usize = 64;
+const MAX_BATCH_MESSAGES: usize = 64;
 /// Time between two tries to connect.
-const RETRY_TIME: Duration = Duration::from_millis(100);
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// The same for the first tries: instances that start together find each other
 /// so before their first election.
-const FIRST_RETRY_TIME: Duration = Duration::from_millis(25);
+const INITIAL_RETRY_INTERVAL: Duration = Duration::from_millis(25);
 /// Longest time that a write may take.
-const WRITE_TIME: Duration = Duration::from_secs(1);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Tries without success after which an instance that nobody names is let go.
-const MOST_TRIES: u32 = 50;
+const MAX_CONNECT_FAILURES: u32 = 50;
 
 /// Keeps a connection to another control instance.
-pub async fn keep_link(
+pub async fn run_link(
     node: Rc<GroupNode>,
     address: SocketAddr,
     mut ring: RingReceiver<GroupMessage>,
 ) {
-    let mut tries = 0;
-    while tries < MOST_TRIES || node.is_wanted(address) {
-        tries += 1;
-        if let Err(error) = carry(&node, address, &mut ring, &mut tries).await {
+    let mut failures = 0;
+    while failures < MAX_CONNECT_FAILURES || node.is_member_or_seed(address) {
+        failures += 1;
+        if let Err(error) = run_connection(&node, address, &mut ring, &mut failures).await {
             tracing::debug!(target: "group", peer = %address, "link: lost, {error:#}");
         }
-        tokio::time::sleep(retry_wait(tries, FIRST_RETRY_TIME, RETRY_TIME)).await;
+        tokio::time::sleep(retry_wait(failures, INITIAL_RETRY_INTERVAL, RETRY_INTERVAL)).await;
     }
     let mut state = node.state.borrow_mut();
     state.links.remove(&address);
-    state.contacts.remove(&address);
-    state.followers.forget(&address);
-    state.places.remove(&address);
+    state.last_contacts.remove(&address);
+    state.followers.remove_peer(&address);
+    state.locations.remove(&address);
 }
 
-async fn carry(
+async fn run_connection(
     node: &Rc<GroupNode>,
     address: SocketAddr,
     ring: &mut RingReceiver<GroupMessage>,
-    tries: &mut u32,
+    failures: &mut u32,
 ) -> anyhow::Result<()> {
     let mut stream = connect(address).await?;
-    *tries = 0;
+    *failures = 0;
     // What waited while there was no connection is old.
     while ring.try_recv().is_ok() {}
     let mut bytes = Vec::new();
     write_frame(&node.hello(), &mut bytes)?;
-    write_frame(&GroupMessage::Notices(node.all_notices()), &mut bytes)?;
-    write_frame(&node.all_suspects(), &mut bytes)?;
-    write_frame(&node.state.borrow().followers.whole(), &mut bytes)?;
-    write_frame(&node.whole_renewals(), &mut bytes)?;
-    tokio::time::timeout(WRITE_TIME, stream.write_all(&bytes)).await??;
+    write_frame(
+        &GroupMessage::Notices(node.list_announcements()),
+        &mut bytes,
+    )?;
+    write_frame(&node.build_all_suspects(), &mut bytes)?;
+    write_frame(
+        &node.state.borrow().followers.build_full_message(),
+        &mut bytes,
+    )?;
+    write_frame(&node.build_full_renewals(), &mut bytes)?;
+    tokio::time::timeout(WRITE_TIMEOUT, stream.write_all(&bytes)).await??;
     let (mut reader, mut writer) = stream.split();
-    let mut messages = Vec::with_capacity(BATCH);
-    let mut end = [0; 1];
+    let mut messages = Vec::with_capacity(MAX_BATCH_MESSAGES);
+    let mut close_buffer = [0; 1];
     loop {
         tokio::select! {
-            count = ring.recv_many(&mut messages, BATCH) => {
+            count = ring.recv_many(&mut messages, MAX_BATCH_MESSAGES) => {
                 if count == 0 {
                     bail!("link is gone");
                 }
             }
             // The other side sends nothing here: it closed.
-            _ = reader.read(&mut end) => bail!("closed"),
+            _ = reader.read(&mut close_buffer) => bail!("closed"),
         }
         bytes.clear();
         for message in messages.drain(..) {
-            let begin = bytes.len();
+            let frame_start = bytes.len();
             write_frame(&message, &mut bytes)?;
             let traffic = &mut node.state.borrow_mut().traffic;
-            let written = bytes.len() - begin;
+            let written = bytes.len() - frame_start;
             traffic.add(TrafficTarget::Control, message.kind(), written);
         }
-        tokio::time::timeout(WRITE_TIME, writer.write_all(&bytes)).await??;
+        tokio::time::timeout(WRITE_TIMEOUT, writer.write_all(&bytes)).await??;
     }
 }
--- a/crates/node/src/process/group/measure.rs
+++ b/crates/node/src/process/group/measure.rs
@@ -6,23 +6,26 @@
 use crate::process::group::node::GroupNode;
 
 /// Renders all metrics of a control instance.
-pub fn render_group(node: &GroupNode) -> String {
+pub fn render_metrics(node: &GroupNode) -> String {
     let recorder = PrometheusBuilder::new().build_recorder();
-    with_local_recorder(&recorder, || copy(node));
+    with_local_recorder(&recorder, || update_metrics(node));
     recorder.handle().render()
 }
 
-fn copy(node: &GroupNode) {
+fn update_metrics(node: &GroupNode) {
     let now = node.now();
     let state = node.state.borrow();
     let servers = state.directory.iter();
     let expired = servers.filter(|record| record.expired).count();
-    let waiting = state.batch.saturating_sub(state.lasting);
+    let waiting = state.batch.saturating_sub(state.synced_batch);
     let gauges = [
-        ("wheelmast_route_table_version", state.published.version),
+        (
+            "wheelmast_route_table_version",
+            state.published_table.version,
+        ),
         (
             "wheelmast_route_table_bytes",
-            state.published.packed.len() as u64,
+            state.published_table.packed.len() as u64,
         ),
         ("wheelmast_group_entries", state.subscribers.len() as u64),
         ("wheelmast_group_contacts", state.count_contacts(now) as u64),
@@ -33,15 +36,21 @@
             state.evacuations.domains.len() as u64,
         ),
         ("wheelmast_evacuations_revision", state.evacuations.revision),
-        ("wheelmast_disk_batches_total", state.lasting),
+        ("wheelmast_disk_batches_total", state.synced_batch),
         ("wheelmast_disk_batches_waiting", waiting),
-        ("wheelmast_group_asks_waiting", state.asks.len() as u64),
+        (
+            "wheelmast_group_asks_waiting",
+            state.pending_replies.len() as u64,
+        ),
     ];
     for (name, value) in gauges {
         gauge!(name).set(value as f64);
     }
     let totals = [
-        ("wheelmast_group_stray_answers_total", state.stray_answers),
+        (
+            "wheelmast_group_stray_answers_total",
+            state.unmatched_replies,
+        ),
         ("wheelmast_servers_missed_total", state.servers_missed),
         (
             "wheelmast_announcements_refused_total",
@@ -52,7 +61,7 @@
         counter!(name).absolute(total);
     }
     for (target, kind, count) in state.traffic.iter() {
-        let labels = [("to", target.word()), ("kind", kind)];
+        let labels = [("to", target.label()), ("kind", kind)];
         counter!("wheelmast_group_messages_total", &labels).absolute(count.messages);
         counter!("wheelmast_group_bytes_total", &labels).absolute(count.bytes);
     }
--- a/crates/node/src/process/group/node.rs
+++ b/crates/node/src/process/group/node.rs
@@ -17,30 +17,30 @@
 use wheelmast_wire::group::GroupMessage;
 
 use crate::process::clock::ProcessClock;
-use crate::process::group::disk::DiskOrder;
-use crate::process::group::link::keep_link;
-use crate::process::group::state::{GroupRoll, GroupState};
+use crate::process::group::disk::DiskWrite;
+use crate::process::group::link::run_link;
+use crate::process::group::state::{EntryRoster, GroupState};
 use crate::ring::bounded_ring;
 use crate::settings::role::RoleSettings;
 
 /// Longest time that an order may take: its operator gives up after a second
 /// and sends it elsewhere.
-pub(super) const ORDER_TIME: Duration = Duration::from_millis(900);
+pub(super) const ORDER_TIMEOUT: Duration = Duration::from_millis(900);
 /// Messages that may wait for another control instance.
-const LINK_RING: usize = 1024;
+const LINK_RING_LENGTH: usize = 1024;
 /// Interval at which the instance looks after what it holds.
-const TICK: Duration = Duration::from_millis(250);
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(250);
 /// Ticks between two greetings of an instance that has its vote.
 const HELLO_TICKS: u32 = 8;
 /// Ticks between two rounds of renewals.
-const RENEW_TICKS: u32 = 2;
+const RENEWAL_TICKS: u32 = 2;
 /// Ticks between two signs of life to entries.
-const HERE_TICKS: u32 = 4;
+const STATUS_TICKS: u32 = 4;
 /// Ticks between two log lines of what was sent.
-const TRAFFIC_TICKS: u32 = 40;
+const TRAFFIC_LOG_TICKS: u32 = 40;
 /// Time after the start in which the instance may not know yet what the
 /// others know.
-pub(super) const FRESH_TIME: Duration = Duration::from_secs(3);
+pub(super) const INITIAL_SYNC_TIME: Duration = Duration::from_secs(3);
 
 /// Reads a route table as an operator sent it.
 pub type TableReader = fn(&[u8]) -> Result<RouteDraft, FindingList>;
@@ -51,59 +51,59 @@
     /// Its settings.
     pub settings: RoleSettings,
     /// Who it is.
-    pub me: MemberRecord,
+    pub local_member: MemberRecord,
     /// Where it takes the calls of servers and operators.
-    pub calls: SocketAddr,
+    pub call_address: SocketAddr,
     /// What it holds.
     pub state: RefCell<GroupState>,
     /// Takes what is to be kept.
-    pub disk: SyncSender<DiskOrder>,
+    pub disk: SyncSender<DiskWrite>,
     /// Wakes the replica's timer.
-    pub wake: Notify,
+    pub wake_changed: Notify,
     /// Tells that the table in force changed.
-    pub published: Notify,
+    pub state_published: Notify,
     /// Tells that there is news of requests under which servers ended, to be kept.
-    pub suspects_changed: Notify,
+    pub suspects_to_persist: Notify,
     /// The same, to be told.
-    pub suspects_heard: Notify,
+    pub suspects_to_send: Notify,
     /// Tells that tokens of capped workspaces were asked for.
     pub caps_used: Notify,
     /// Reads a route table, in the dialect of the operators.
     pub read_table: TableReader,
     /// The time since the process started.
     pub clock: ProcessClock,
-    tags: Cell<u64>,
+    tag_counter: Cell<u64>,
     seeds: RefCell<HashSet<SocketAddr>>,
     /// When a refused announcement was last logged.
-    pub(super) refusal_told: Cell<Option<Duration>>,
+    pub(super) refusal_logged_at: Cell<Option<Duration>>,
 }
 
 impl GroupNode {
     /// Returns an instance with this state.
     pub fn new(
         settings: RoleSettings,
-        me: MemberRecord,
+        local_member: MemberRecord,
         state: GroupState,
-        disk: SyncSender<DiskOrder>,
+        disk: SyncSender<DiskWrite>,
         clock: ProcessClock,
         read_table: TableReader,
     ) -> GroupNode {
         GroupNode {
-            calls: settings.control.unwrap_or(me.address),
+            call_address: settings.control.unwrap_or(local_member.address),
             settings,
-            me,
+            local_member,
             state: RefCell::new(state),
             disk,
-            wake: Notify::new(),
-            published: Notify::new(),
-            suspects_changed: Notify::new(),
-            suspects_heard: Notify::new(),
+            wake_changed: Notify::new(),
+            state_published: Notify::new(),
+            suspects_to_persist: Notify::new(),
+            suspects_to_send: Notify::new(),
             caps_used: Notify::new(),
             read_table,
             clock,
-            tags: Cell::new(rand::random()),
+            tag_counter: Cell::new(rand::random()),
             seeds: RefCell::default(),
-            refusal_told: Cell::new(None),
+            refusal_logged_at: Cell::new(None),
         }
     }
 
@@ -115,31 +115,32 @@
     /// Returns a name for a question or a request. Names of other lifetimes lie
     /// elsewhere: an answer may come after a restart.
     pub fn next_tag(&self) -> u64 {
-        let tag = self.tags.get();
-        self.tags.set(tag.wrapping_add(1));
+        let tag = self.tag_counter.get();
+        self.tag_counter.set(tag.wrapping_add(1));
         tag
     }
 
     /// Links to another control instance, unless there is a link already.
-    pub fn meet(self: &Rc<Self>, address: SocketAddr) {
-        if address == self.me.address || self.state.borrow().links.contains_key(&address) {
+    pub fn ensure_link(self: &Rc<Self>, address: SocketAddr) {
+        if address == self.local_member.address || self.state.borrow().links.contains_key(&address)
+        {
             return;
         }
-        let (sender, ring) = bounded_ring(LINK_RING);
+        let (sender, ring) = bounded_ring(LINK_RING_LENGTH);
         self.state.borrow_mut().links.insert(address, sender);
-        tokio::task::spawn_local(keep_link(self.clone(), address, ring));
+        tokio::task::spawn_local(run_link(self.clone(), address, ring));
     }
 
     /// Takes over the seeds that the settings name.
     pub fn set_seeds(self: &Rc<Self>, seeds: Vec<SocketAddr>) {
         for seed in &seeds {
-            self.meet(*seed);
+            self.ensure_link(*seed);
         }
         self.seeds.replace(seeds.into_iter().collect());
     }
 
     /// Tells whether an instance at this address is wanted in any case.
-    pub fn is_wanted(&self, address: SocketAddr) -> bool {
+    pub fn is_member_or_seed(&self, address: SocketAddr) -> bool {
         let state = self.state.borrow();
         let replica = state.replica.as_ref();
         let is_member = replica.is_some_and(|replica| {
@@ -155,10 +156,10 @@
         let mut known: Vec<SocketAddr> = state.links.keys().copied().collect();
         known.sort_unstable();
         GroupMessage::Hello {
-            from: self.me.clone(),
+            from: self.local_member.clone(),
             domain: self.settings.domain.as_str().into(),
-            calls: self.calls,
-            learns: self.learns(),
+            calls: self.call_address,
+            learns: self.requests_learner_role(),
             known,
             followers: state.followers.digest(),
             servers: state.directory.digest(ServerObserver::Local),
@@ -166,88 +167,90 @@
     }
 
     /// Looks after what the instance holds, now and then.
-    pub async fn keep_house(self: Rc<Self>) {
-        let mut tick = tokio::time::interval(TICK);
+    pub async fn run_housekeeping(self: Rc<Self>) {
+        let mut tick = tokio::time::interval(HOUSEKEEPING_INTERVAL);
         let mut ticks: u32 = 0;
         loop {
             tick.tick().await;
             ticks += 1;
-            self.greet(ticks);
-            self.sweep_servers();
-            if ticks.is_multiple_of(RENEW_TICKS) {
-                self.tell_renewals();
+            self.send_hello(ticks);
+            self.expire_servers();
+            if ticks.is_multiple_of(RENEWAL_TICKS) {
+                self.send_renewals();
             }
-            self.tell_members();
-            if ticks.is_multiple_of(TRAFFIC_TICKS) {
-                let sent = self.state.borrow().traffic.to_string();
-                tracing::info!(target: "group", sent, "group: sent, messages and bytes by kind");
+            self.publish_members();
+            if ticks.is_multiple_of(TRAFFIC_LOG_TICKS) {
+                let traffic = self.state.borrow().traffic.to_string();
+                tracing::info!(target: "group", sent = traffic, "group: sent, messages and bytes by kind");
             }
-            if ticks.is_multiple_of(HERE_TICKS) {
-                self.keep_servers();
+            if ticks.is_multiple_of(STATUS_TICKS) {
+                self.persist_servers();
                 let mut state = self.state.borrow_mut();
-                let here = self.here(&state);
-                state.tell_entries(here);
+                let status = self.build_status(&state);
+                state.send_to_entries(status);
             }
         }
     }
 
-    fn greet(&self, ticks: u32) {
-        if self.learns() || ticks.is_multiple_of(HELLO_TICKS) {
+    fn send_hello(&self, ticks: u32) {
+        if self.requests_learner_role() || ticks.is_multiple_of(HELLO_TICKS) {
             let hello = self.hello();
-            self.state.borrow().tell_control(&hello);
+            self.state.borrow().send_to_control(&hello);
         }
     }
 
     /// Tells whether this instance asks to be kept up to date.
-    fn learns(&self) -> bool {
+    fn requests_learner_role(&self) -> bool {
         let state = self.state.borrow();
         let replica = state.replica.as_ref();
         replica.is_some_and(ReplicaMachine::asks_to_learn)
     }
 
     /// Returns what this instance says of itself to entries.
-    pub fn here(&self, state: &GroupState) -> GroupMessage {
+    pub fn build_status(&self, state: &GroupState) -> GroupMessage {
         let now = self.now();
         let replica = state.replica.as_ref();
         let has_leader = replica.is_some_and(|replica| replica.leader().is_some());
-        let in_contact = state.count_contacts(now) >= self.settings.tolerate;
+        let is_in_contact = state.count_contacts(now) >= self.settings.tolerate;
         GroupMessage::Here {
             domain: self.settings.domain.as_str().into(),
-            settled: has_leader && in_contact,
-            fresh: now < FRESH_TIME,
-            version: state.published.version,
+            settled: has_leader && is_in_contact,
+            fresh: now < INITIAL_SYNC_TIME,
+            version: state.published_table.version,
         }
     }
 
     /// Tells the entries of the group and of each other, if that changed.
-    pub fn tell_members(&self) {
+    pub fn publish_members(&self) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        let contacts = state.contacts.keys();
-        let sites = contacts.filter_map(|address| {
-            let place = state.places.get(address)?;
+        let addresses = state.last_contacts.keys();
+        let sites = addresses.filter_map(|address| {
+            let location = state.locations.get(address)?;
             Some(ControlSite {
                 address: *address,
-                domain: place.domain.clone(),
+                domain: location.domain.clone(),
             })
         });
         let mut control: Vec<ControlSite> = sites.collect();
         control.push(ControlSite {
-            address: self.me.address,
+            address: self.local_member.address,
             domain: self.settings.domain.as_str().into(),
         });
         control.sort_unstable();
-        if control != state.told_control {
-            state.told_control.clone_from(&control);
-            state.tell_entries(GroupMessage::Control(control));
+        if control != state.last_sent_control {
+            state.last_sent_control.clone_from(&control);
+            state.send_to_entries(GroupMessage::Control(control));
         }
-        if let Some(news) = state.note_followers() {
-            state.tell_control(&news);
+        if let Some(update) = state.update_followers() {
+            state.send_to_control(&update);
         }
-        let all = state.all_followers(now);
-        let entries = state.count_entries(&all, now);
-        let staying = all.into_iter().filter(|(_, takes)| *takes);
-        let peers = staying.map(|(peer, _)| peer).collect();
-        state.take_roll(GroupRoll { entries, peers });
+        let followers = state.list_followers(now);
+        let entries = state.update_entry_count(&followers, now);
+        let accepting = followers
+            .into_iter()
+            .filter(|(_, takes_requests)| *takes_requests);
+        let peers = accepting.map(|(peer, _)| peer).collect();
+        state.apply_roster(EntryRoster { entries, peers });
     }
 }
--- a/crates/node/src/process/group/replica.rs
+++ b/crates/node/src/process/group/replica.rs
@@ -13,16 +13,16 @@
 use wheelmast_wire::group::{ControlMark, GroupAsk, GroupMessage, GroupTell};
 use wheelmast_wire::pack::unpack;
 
-use crate::process::group::disk::{DiskNote, DiskOrder};
+use crate::process::group::disk::{DiskEvent, DiskWrite};
 use crate::process::group::node::GroupNode;
 use crate::process::group::state::{PublishedEvacuations, PublishedTable};
 use crate::process::store::replica_store::KeptState;
 use crate::ring::RingReceiver;
 
 /// Longest time that a question to the leader may take.
-const ASK_TIME: Duration = Duration::from_millis(850);
+const LEADER_REPLY_TIMEOUT: Duration = Duration::from_millis(850);
 /// Pause before a leader is looked for again.
-const LEADER_PAUSE: Duration = Duration::from_millis(20);
+const LEADER_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// Timing of the replicas.
 const TIMING: ReplicaTiming = ReplicaTiming {
     heartbeat: Duration::from_millis(120),
@@ -30,7 +30,7 @@
 };
 
 /// Returns a replica that goes on with what its disk holds.
-pub fn make_replica(id: u64, kept: KeptState, tolerate: usize, now: Duration) -> ReplicaMachine {
+pub fn create_replica(id: u64, kept: KeptState, tolerate: usize, now: Duration) -> ReplicaMachine {
     let start = ReplicaStart {
         id,
         members: Vec::new(),
@@ -60,74 +60,74 @@
             };
             replica.step(now, input, &mut actions);
         }
-        let (keeps, others): (Vec<_>, Vec<_>) =
+        let (persist_actions, deferred_actions): (Vec<_>, Vec<_>) =
             actions.into_iter().partition(ReplicaAction::is_kept);
         {
             let mut state = self.state.borrow_mut();
-            if !keeps.is_empty() {
+            if !persist_actions.is_empty() {
                 state.batch += 1;
-                let order = DiskOrder {
-                    actions: keeps,
-                    ..state.disk_order()
+                let write = DiskWrite {
+                    actions: persist_actions,
+                    ..state.new_disk_write()
                 };
-                if self.disk.try_send(order).is_err() {
+                if self.disk.try_send(write).is_err() {
                     tracing::error!(target: "group", "disk: too much waits for it");
                     state.replica = None;
                     return;
                 }
             }
             let batch = state.batch;
-            state.outbox.push_back((batch, others));
+            state.outbox.push_back((batch, deferred_actions));
         }
-        self.flush(0);
-        self.wake.notify_one();
+        self.run_synced_actions(0);
+        self.wake_changed.notify_one();
     }
 
     /// Does what waited for the disk, up to a batch that lasts.
-    fn flush(self: &Rc<Self>, done: u64) {
-        let mut ready = Vec::new();
+    fn run_synced_actions(self: &Rc<Self>, newly_synced: u64) {
+        let mut runnable = Vec::new();
         {
             let mut state = self.state.borrow_mut();
-            state.lasting = state.lasting.max(done);
-            let lasts = state.lasting;
+            state.synced_batch = state.synced_batch.max(newly_synced);
+            let synced_batch = state.synced_batch;
             while let Some((batch, _)) = state.outbox.front() {
-                if *batch > lasts {
+                if *batch > synced_batch {
                     break;
                 }
                 if let Some((_, actions)) = state.outbox.pop_front() {
-                    ready.extend(actions);
+                    runnable.extend(actions);
                 }
             }
         }
-        self.act_all(ready);
+        self.run_actions(runnable);
     }
 
-    fn act_all(self: &Rc<Self>, actions: Vec<ReplicaAction>) {
+    fn run_actions(self: &Rc<Self>, actions: Vec<ReplicaAction>) {
         for action in actions {
-            self.act(action);
+            self.run_action(action);
         }
     }
 
-    fn act(self: &Rc<Self>, action: ReplicaAction) {
+    fn run_action(self: &Rc<Self>, action: ReplicaAction) {
         match action {
             ReplicaAction::Send { to, message } => {
                 let state = self.state.borrow();
-                let address = state.address_of(to);
+                let address = state.replica_address(to);
                 let link = address.and_then(|address| state.links.get(&address));
                 if let Some(link) = link {
-                    let from = self.me.id;
+                    let from = self.local_member.id;
                     // A full ring loses it, as the network may.
                     let _ = link.offer(GroupMessage::Replica { from, to, message });
                 } else if let Some(address) = address {
                     drop(state);
-                    self.meet(address);
+                    self.ensure_link(address);
                 }
             }
             ReplicaAction::End { tag, end } => {
-                let asked = self.state.borrow_mut().asks.remove(&tag);
-                if let Some(asked) = asked {
+                let pending_reply = self.state.borrow_mut().pending_replies.remove(&tag);
+                if let Some(pending_reply) = pending_reply {
                     // The asker may have given up.
-                    let _ = asked.send(self.tell(end));
+                    let _ = pending_reply.send(self.build_reply(end));
                 }
             }
             ReplicaAction::Changed => self.publish(),
@@ -145,7 +145,7 @@
         }
     }
 
-    fn tell(&self, end: ProposalEnd) -> GroupTell {
+    fn build_reply(&self, end: ProposalEnd) -> GroupTell {
         match end {
             ProposalEnd::Done(outcome) => GroupTell::Done(outcome),
             ProposalEnd::NotLeader(_) | ProposalEnd::Unknown => GroupTell::Unknown,
@@ -157,7 +157,7 @@
         self.publish_evacuations();
         self.publish_rollouts();
         self.publish_routes();
-        self.published.notify_waiters();
+        self.state_published.notify_waiters();
     }
 
     /// Takes over which failure domains are out of use. Every entry is told:
@@ -167,18 +167,18 @@
         let Some(replica) = &state.replica else {
             return;
         };
-        let book = replica.state().evacuations();
-        if book.revision() <= state.evacuations.revision {
+        let registry = replica.state().evacuations();
+        if registry.revision() <= state.evacuations.revision {
             return;
         }
         let published = PublishedEvacuations {
-            revision: book.revision(),
-            domains: book.evacuated().map(Into::into).collect(),
+            revision: registry.revision(),
+            domains: registry.evacuated().map(Into::into).collect(),
         };
         tracing::info!(target: "group", revision = published.revision, domains = ?published.domains, "evacuation: in force");
-        let message = published.message();
+        let message = published.to_message();
         state.evacuations = published;
-        state.tell_entries(message);
+        state.send_to_entries(message);
     }
 
     /// Puts the replica's table in force and tells the entries.
@@ -194,25 +194,25 @@
             .collect();
         let committed = replica.state();
         let version = committed.route_version();
-        if version <= state.published.version {
+        if version <= state.published_table.version {
             tracing::info!(target: "group", ?members, "group: members");
             return;
         }
         let packed = Rc::new(committed.route_text().to_vec());
         tracing::info!(target: "group", table_version = version, ?members, "table: in force");
-        state.published = PublishedTable { version, packed };
-        let routes = state.published.message();
-        state.tell_whole(routes);
-        let here = self.here(&state);
-        state.tell_urgent(here);
-        let packed = state.published.packed.clone();
+        state.published_table = PublishedTable { version, packed };
+        let routes = state.published_table.to_message();
+        state.send_to_full_subscribers(routes);
+        let status = self.build_status(&state);
+        state.send_to_urgent_subscribers(status);
+        let packed = state.published_table.packed.clone();
         drop(state);
-        self.adopt_table(&packed);
+        self.apply_table(&packed);
     }
 
     /// Takes over the services and caps of a table in force, as it was sent and
     /// packed.
-    fn adopt_table(&self, packed: &[u8]) {
+    fn apply_table(&self, packed: &[u8]) {
         let table = unpack(packed).ok();
         let table = table.and_then(|text| (self.read_table)(&text).ok());
         let Some(table) = table else {
@@ -227,7 +227,7 @@
             Some((workspace.name.into(), cap))
         });
         let caps: Vec<_> = capped.collect();
-        self.adopt_caps(&caps);
+        self.apply_caps(&caps);
     }
 
     /// Waits until what is in force here has come as far as `mark`, for a short
@@ -235,57 +235,59 @@
     pub async fn wait_published(&self, mark: ControlMark) -> bool {
         let wait = async {
             loop {
-                let changed = self.published.notified();
+                let changed = self.state_published.notified();
                 if self.state.borrow().has_reached(mark) {
                     return;
                 }
                 changed.await;
             }
         };
-        tokio::time::timeout(ASK_TIME, wait).await.is_ok()
+        tokio::time::timeout(LEADER_REPLY_TIMEOUT, wait)
+            .await
+            .is_ok()
     }
 
     /// Makes a change, wherever the leader is.
     pub async fn propose(self: &Rc<Self>, command: ControlCommand) -> GroupTell {
-        self.ask_leader(GroupAsk::Propose(command)).await
+        self.request_leader(GroupAsk::Propose(command)).await
     }
 
     /// Asks what is in force for sure, wherever the leader is.
-    pub async fn read(self: &Rc<Self>) -> GroupTell {
-        self.ask_leader(GroupAsk::Read).await
+    pub async fn read_confirmed(self: &Rc<Self>) -> GroupTell {
+        self.request_leader(GroupAsk::Read).await
     }
 
-    pub(super) async fn ask_leader(self: &Rc<Self>, ask: GroupAsk) -> GroupTell {
+    pub(super) async fn request_leader(self: &Rc<Self>, ask: GroupAsk) -> GroupTell {
         let wait = async {
             loop {
-                if self.leads() {
+                if self.is_leader() {
                     return match ask {
-                        GroupAsk::Propose(command) => self.propose_here(command).await,
-                        GroupAsk::Read => self.read_here().await,
-                        GroupAsk::Caps(asks) => self.grant_here(&asks),
+                        GroupAsk::Propose(command) => self.propose_as_leader(command).await,
+                        GroupAsk::Read => self.read_as_leader().await,
+                        GroupAsk::Caps(asks) => self.grant_as_leader(&asks),
                     };
                 }
-                if let Some(answer) = self.ask_over_link(&ask) {
-                    return answer.await.unwrap_or(GroupTell::Unknown);
+                if let Some(reply_receiver) = self.send_to_leader(&ask) {
+                    return reply_receiver.await.unwrap_or(GroupTell::Unknown);
                 }
-                tokio::time::sleep(LEADER_PAUSE).await;
+                tokio::time::sleep(LEADER_RETRY_INTERVAL).await;
             }
         };
-        let told = tokio::time::timeout(ASK_TIME, wait).await;
-        told.unwrap_or(GroupTell::Unknown)
+        let reply = tokio::time::timeout(LEADER_REPLY_TIMEOUT, wait).await;
+        reply.unwrap_or(GroupTell::Unknown)
     }
 
-    pub(super) fn leads(&self) -> bool {
+    pub(super) fn is_leader(&self) -> bool {
         let state = self.state.borrow();
         let replica = state.replica.as_ref();
         replica.is_some_and(ReplicaMachine::is_leader)
     }
 
-    fn ask_over_link(&self, ask: &GroupAsk) -> Option<oneshot::Receiver<GroupTell>> {
+    fn send_to_leader(&self, ask: &GroupAsk) -> Option<oneshot::Receiver<GroupTell>> {
         let tag = self.next_tag();
         let mut state = self.state.borrow_mut();
         let leader = state.replica.as_ref()?.leader()?;
-        let address = state.address_of(leader)?;
+        let address = state.replica_address(leader)?;
         let (sender, receiver) = oneshot::channel();
         let ask = ask.clone();
         state
@@ -293,7 +295,7 @@
             .get(&address)?
             .offer(GroupMessage::Ask { tag, ask })
             .ok()?;
-        state.asks.insert(tag, sender);
+        state.pending_replies.insert(tag, sender);
         Some(receiver)
     }
 
@@ -301,7 +303,7 @@
     ///
     /// Nothing is taken before the group has the size it needs: what is
     /// acknowledged must outlast the losses that are to be borne.
-    pub async fn propose_here(self: &Rc<Self>, command: ControlCommand) -> GroupTell {
+    pub async fn propose_as_leader(self: &Rc<Self>, command: ControlCommand) -> GroupTell {
         let is_founded = {
             let state = self.state.borrow();
             let replica = state.replica.as_ref();
@@ -315,9 +317,9 @@
     }
 
     /// Asks what is in force for sure, if this instance leads.
-    pub async fn read_here(self: &Rc<Self>) -> GroupTell {
+    pub async fn read_as_leader(self: &Rc<Self>) -> GroupTell {
         match self.step_and_wait(|tag| ReplicaInput::Read { tag }).await {
-            GroupTell::Done(_) => GroupTell::Mark(self.state.borrow().mark()),
+            GroupTell::Done(_) => GroupTell::Mark(self.state.borrow().current_mark()),
             _ => GroupTell::Unknown,
         }
     }
@@ -325,61 +327,61 @@
     async fn step_and_wait(self: &Rc<Self>, input: impl FnOnce(u64) -> ReplicaInput) -> GroupTell {
         let tag = self.next_tag();
         let (sender, receiver) = oneshot::channel();
-        self.state.borrow_mut().asks.insert(tag, sender);
+        self.state.borrow_mut().pending_replies.insert(tag, sender);
         self.step_replica(input(tag));
-        let told = tokio::time::timeout(ASK_TIME, receiver).await;
-        self.state.borrow_mut().asks.remove(&tag);
-        match told {
-            Ok(Ok(tell)) => tell,
+        let reply = tokio::time::timeout(LEADER_REPLY_TIMEOUT, receiver).await;
+        self.state.borrow_mut().pending_replies.remove(&tag);
+        match reply {
+            Ok(Ok(reply)) => reply,
             _ => GroupTell::Unknown,
         }
     }
 
     /// Wakes the replica when its timers are due.
-    pub async fn keep_time(self: Rc<Self>) {
+    pub async fn run_timers(self: Rc<Self>) {
         loop {
             let next = {
                 let state = self.state.borrow();
                 state.replica.as_ref().map(ReplicaMachine::next_wake)
             };
             let Some(next) = next else {
-                self.wake.notified().await;
+                self.wake_changed.notified().await;
                 continue;
             };
             let wait = self.clock.sleep_until(next);
             tokio::select! {
                 () = tokio::time::sleep(wait) => self.step_replica(ReplicaInput::Wake),
-                () = self.wake.notified() => {}
+                () = self.wake_changed.notified() => {}
             }
         }
     }
 
     /// Takes the notes of the disk thread.
-    pub async fn take_notes(self: Rc<Self>, mut notes: RingReceiver<DiskNote>) {
-        while let Some(note) = notes.recv().await {
-            match note {
-                DiskNote::Done(batch) => self.flush(batch),
-                DiskNote::Failed(error) => {
+    pub async fn handle_disk_events(self: Rc<Self>, mut events: RingReceiver<DiskEvent>) {
+        while let Some(event) = events.recv().await {
+            match event {
+                DiskEvent::Synced(batch) => self.run_synced_actions(batch),
+                DiskEvent::Failed(error) => {
                     tracing::error!(target: "group", "disk: replica steps aside, {error}");
                     let mut state = self.state.borrow_mut();
                     state.replica = None;
                     state.outbox = VecDeque::new();
-                    state.asks.clear();
+                    state.pending_replies.clear();
                 }
-                DiskNote::Opened(epoch, kept) => {
+                DiskEvent::Reopened(epoch, kept) => {
                     tracing::warn!(target: "group", "disk: replica goes on with what it holds");
                     let tolerate = self.settings.tolerate;
-                    let replica = make_replica(self.me.id, *kept, tolerate, self.now());
+                    let replica = create_replica(self.local_member.id, *kept, tolerate, self.now());
                     {
                         let mut state = self.state.borrow_mut();
                         state.epoch = epoch;
-                        state.lasting = state.batch;
+                        state.synced_batch = state.batch;
                         state.replica = Some(replica);
                     }
                     self.publish();
-                    self.wake.notify_one();
+                    self.wake_changed.notify_one();
                     // What was given for the former opening is not kept.
-                    self.suspects_changed.notify_one();
+                    self.suspects_to_persist.notify_one();
                 }
             }
         }
--- a/crates/node/src/process/group/rollouts.rs
+++ b/crates/node/src/process/group/rollouts.rs
@@ -14,10 +14,10 @@
 use wheelmast_wire::dialect::RolloutOrder;
 use wheelmast_wire::group::{GroupMessage, GroupTell};
 
-use crate::process::group::node::{GroupNode, FRESH_TIME, ORDER_TIME};
+use crate::process::group::node::{GroupNode, INITIAL_SYNC_TIME, ORDER_TIMEOUT};
 
 /// Interval at which the leader looks at the roll-outs.
-const JUDGE_INTERVAL: Duration = Duration::from_millis(200);
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The roll-outs in force, and what is known of them here.
 #[derive(Debug, Default)]
@@ -27,22 +27,22 @@
     /// All of them.
     pub views: Vec<RolloutView>,
     /// What entries have told.
-    pub judge: RolloutJudge,
+    pub version_evaluator: RolloutJudge,
     /// When the roll-outs that go on were ordered and turned, by service.
-    seen: HashMap<Box<str>, SeenRollout>,
+    timings: HashMap<Box<str>, RolloutTiming>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct SeenRollout {
+struct RolloutTiming {
     order: u64,
     state: RolloutState,
     ordered_at: Duration,
-    turned_at: Duration,
+    state_since: Duration,
 }
 
 impl PublishedRollouts {
     /// Returns the message that tells them.
-    pub fn message(&self) -> GroupMessage {
+    pub fn to_message(&self) -> GroupMessage {
         GroupMessage::Rollouts {
             revision: self.revision,
             views: self.views.clone(),
@@ -51,36 +51,39 @@
 
     /// Takes note of when a roll-out was ordered and turned, by the clock of this
     /// instance: the time of day may jump.
-    fn note(&mut self, service: &str, record: &RolloutRecord, now: Duration) {
-        let known = self.seen.get(service).copied();
-        let known = known.filter(|known| known.order == record.order);
-        let ordered_at = known.map_or_else(|| now - age_of(record, now), |known| known.ordered_at);
-        let turned_at = match known {
-            Some(known) if known.state == record.state => known.turned_at,
+    fn record_timing(&mut self, service: &str, record: &RolloutRecord, now: Duration) {
+        let previous = self.timings.get(service).copied();
+        let previous = previous.filter(|timing| timing.order == record.order);
+        let ordered_at = previous.map_or_else(
+            || now - initial_age(record, now),
+            |timing| timing.ordered_at,
+        );
+        let state_since = match previous {
+            Some(timing) if timing.state == record.state => timing.state_since,
             _ => now,
         };
-        let seen = SeenRollout {
+        let timing = RolloutTiming {
             order: record.order,
             state: record.state,
             ordered_at,
-            turned_at,
+            state_since,
         };
-        self.seen.insert(service.into(), seen);
+        self.timings.insert(service.into(), timing);
     }
 
     fn age(&self, service: &str, now: Duration) -> Option<RolloutAge> {
-        let seen = self.seen.get(service)?;
+        let timing = self.timings.get(service)?;
         Some(RolloutAge {
-            since_order: now.saturating_sub(seen.ordered_at),
-            in_state: now.saturating_sub(seen.turned_at),
+            since_order: now.saturating_sub(timing.ordered_at),
+            in_state: now.saturating_sub(timing.state_since),
         })
     }
 }
 
 /// Returns how old an order is that is seen for the first time: the time of day
 /// counts only right after the start.
-fn age_of(record: &RolloutRecord, now: Duration) -> Duration {
-    if now > FRESH_TIME {
+fn initial_age(record: &RolloutRecord, now: Duration) -> Duration {
+    if now > INITIAL_SYNC_TIME {
         return Duration::ZERO;
     }
     let age = unix_ms().saturating_sub(record.ordered_ms);
@@ -88,8 +91,8 @@
 }
 
 fn unix_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |since| since.as_millis() as u64)
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    since_epoch.map_or(0, |since_epoch| since_epoch.as_millis() as u64)
 }
 
 impl GroupNode {
@@ -102,15 +105,15 @@
             duration_ms: order.duration.as_millis() as u64,
             at_ms: unix_ms(),
         });
-        let told = tokio::time::timeout(ORDER_TIME, self.propose(command)).await;
-        match told {
+        let reply = tokio::time::timeout(ORDER_TIMEOUT, self.propose(command)).await;
+        match reply {
             Ok(GroupTell::Done(CommandOutcome::Rollout(outcome))) => Some(outcome),
             _ => None,
         }
     }
 
     /// Tells whether the route table in force names a service.
-    pub fn knows_service(&self, service: &str) -> bool {
+    pub fn has_service(&self, service: &str) -> bool {
         self.state.borrow().services.contains(service)
     }
 
@@ -122,64 +125,68 @@
         let Some(replica) = &state.replica else {
             return;
         };
-        let book = replica.state().rollouts();
-        if book.revision() <= state.rollouts.revision {
+        let registry = replica.state().rollouts();
+        if registry.revision() <= state.rollouts.revision {
             return;
         }
-        let views = book.iter().map(|(service, record)| RolloutView {
+        let views = registry.iter().map(|(service, record)| RolloutView {
             service: service.into(),
             target: record.target.clone(),
             state: record.state,
             order: record.order,
         });
         state.rollouts.views = views.collect();
-        state.rollouts.revision = book.revision();
-        for (service, record) in book.iter() {
-            state.rollouts.note(service, record, now);
+        state.rollouts.revision = registry.revision();
+        for (service, record) in registry.iter() {
+            state.rollouts.record_timing(service, record, now);
         }
-        let open = |service: &str| book.get(service).is_some_and(|known| known.state.is_open());
-        state.rollouts.judge.retain(open);
-        let message = state.rollouts.message();
+        let is_rollout_open = |service: &str| {
+            registry
+                .get(service)
+                .is_some_and(|known| known.state.is_open())
+        };
+        state.rollouts.version_evaluator.retain(is_rollout_open);
+        let message = state.rollouts.to_message();
         tracing::info!(target: "group", revision = state.rollouts.revision, "rollout: in force");
-        state.tell_entries(message);
+        state.send_to_entries(message);
     }
 
     /// Takes what entries tell of versions. Every control instance holds it:
     /// whoever leads next decides by the same evidence.
-    pub fn take_tallies(&self, tallies: Vec<VersionTally>, is_first: bool) {
+    pub fn record_version_outcomes(&self, tallies: Vec<VersionTally>, is_from_entry: bool) {
         let mut state = self.state.borrow_mut();
-        state.rollouts.judge.take(&tallies);
-        if is_first {
-            state.tell_control(&GroupMessage::Tallies(tallies));
+        state.rollouts.version_evaluator.take(&tallies);
+        if is_from_entry {
+            state.send_to_control(&GroupMessage::Tallies(tallies));
         }
     }
 
     /// Turns roll-outs to their next state, whenever this instance leads.
-    pub async fn keep_rollouts(self: Rc<Self>) {
-        let mut tick = tokio::time::interval(JUDGE_INTERVAL);
+    pub async fn run_rollouts(self: Rc<Self>) {
+        let mut tick = tokio::time::interval(EVALUATION_INTERVAL);
         loop {
             tick.tick().await;
-            if !self.leads() {
+            if !self.is_leader() {
                 continue;
             }
-            for change in self.due_turns() {
+            for change in self.due_transitions() {
                 tracing::info!(target: "group", ?change, "rollout: turned");
                 self.propose(ControlCommand::Rollout(change)).await;
             }
         }
     }
 
-    fn due_turns(&self) -> Vec<RolloutChange> {
+    fn due_transitions(&self) -> Vec<RolloutChange> {
         let now = self.now();
         let state = self.state.borrow();
         let Some(replica) = &state.replica else {
             return Vec::new();
         };
         let rollouts = &state.rollouts;
-        let book = replica.state().rollouts();
-        let due = book.iter().filter_map(|(service, record)| {
+        let registry = replica.state().rollouts();
+        let due_changes = registry.iter().filter_map(|(service, record)| {
             let age = rollouts.age(service, now)?;
-            let next = rollouts.judge.verdict(service, record, age)?;
+            let next = rollouts.version_evaluator.verdict(service, record, age)?;
             Some(RolloutChange::Turn {
                 service: service.into(),
                 order: record.order,
@@ -187,6 +194,6 @@
                 at_ms: unix_ms(),
             })
         });
-        due.collect()
+        due_changes.collect()
     }
 }
--- a/crates/node/src/process/group/run.rs
+++ b/crates/node/src/process/group/run.rs
@@ -15,12 +15,12 @@
 use crate::process::clock::ProcessClock;
 use crate::process::expose::expose_metrics;
 use crate::process::forward::callers::listen;
-use crate::process::group::answer::accept_calls;
+use crate::process::group::answer::serve_calls;
 use crate::process::group::disk::start_disk;
 use crate::process::group::inbound::accept_peers;
-use crate::process::group::measure::render_group;
+use crate::process::group::measure::render_metrics;
 use crate::process::group::node::GroupNode;
-use crate::process::group::replica::make_replica;
+use crate::process::group::replica::create_replica;
 use crate::process::group::state::GroupState;
 use crate::process::reload::watch_seeds;
 use crate::process::store::folder::DataFolder;
@@ -29,9 +29,9 @@
 use crate::settings::role::RoleSettings;
 
 /// Time in which a group that exists already would have been heard of.
-const FOUND_AFTER: Duration = Duration::from_millis(400);
+const BOOTSTRAP_DELAY: Duration = Duration::from_millis(400);
 /// Time for what is at work when the instance ends.
-const END_TIME: Duration = Duration::from_millis(600);
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(600);
 
 /// Runs a control instance until it is told to end.
 ///
@@ -64,65 +64,66 @@
         tracing::warn!(target: "group", "disk: suspects not remembered, {error:#}");
         Vec::new()
     });
-    let me = MemberRecord {
+    let local_member = MemberRecord {
         id,
         instance: settings.instance.as_str().into(),
         address: settings.peer_address(),
     };
-    tracing::info!(target: "group", replica = id, is_new, address = %me.address, "replica: opened");
-    let kept = store.kept().clone();
-    let replica = make_replica(id, kept, settings.tolerate, clock.elapsed());
-    let line = start_disk(store, data, &settings.instance)?;
+    tracing::info!(target: "group", replica = id, is_new, address = %local_member.address, "replica: opened");
+    let kept_state = store.kept().clone();
+    let replica = create_replica(id, kept_state, settings.tolerate, clock.elapsed());
+    let disk_handle = start_disk(store, data, &settings.instance)?;
     let state = GroupState {
         replica: Some(replica),
         cap_stock: CapStock::new(settings.caps),
         ..GroupState::default()
     };
     let control = settings.control.context("could not find listen.control")?;
-    let calls = listen(control).await?;
-    let peers = listen(settings.peer_address()).await?;
+    let call_listener = listen(control).await?;
+    let peer_listener = listen(settings.peer_address()).await?;
     let seeds = settings.seed_peers();
-    let founds = settings.first_start && seeds.iter().min() == Some(&me.address);
+    let should_bootstrap =
+        settings.first_start && seeds.iter().min() == Some(&local_member.address);
     let node = Rc::new(GroupNode::new(
         settings,
-        me,
+        local_member,
         state,
-        line.orders,
+        disk_handle.writes,
         clock,
         D::read_table,
     ));
-    node.remember(servers);
-    node.remember_suspects(suspects);
+    node.restore_servers(servers);
+    node.restore_suspects(suspects);
     node.publish();
     node.set_seeds(seeds);
-    tokio::task::spawn_local(node.clone().take_notes(line.notes));
-    tokio::task::spawn_local(node.clone().keep_time());
-    tokio::task::spawn_local(node.clone().keep_house());
-    tokio::task::spawn_local(node.clone().keep_suspects());
-    tokio::task::spawn_local(node.clone().tell_suspects());
-    tokio::task::spawn_local(node.clone().keep_caps());
-    tokio::task::spawn_local(node.clone().keep_rollouts());
-    tokio::task::spawn_local(accept_peers(node.clone(), peers));
-    tokio::task::spawn_local(accept_calls::<D>(node.clone(), calls));
-    let seeded = node.clone();
-    tokio::task::spawn_local(watch_seeds(path, move |seeds| seeded.set_seeds(seeds)));
+    tokio::task::spawn_local(node.clone().handle_disk_events(disk_handle.events));
+    tokio::task::spawn_local(node.clone().run_timers());
+    tokio::task::spawn_local(node.clone().run_housekeeping());
+    tokio::task::spawn_local(node.clone().persist_suspects());
+    tokio::task::spawn_local(node.clone().send_suspects());
+    tokio::task::spawn_local(node.clone().refill_cap_stock());
+    tokio::task::spawn_local(node.clone().run_rollouts());
+    tokio::task::spawn_local(accept_peers(node.clone(), peer_listener));
+    tokio::task::spawn_local(serve_calls::<D>(node.clone(), call_listener));
+    let seeds_node = node.clone();
+    tokio::task::spawn_local(watch_seeds(path, move |seeds| seeds_node.set_seeds(seeds)));
     if let Some(address) = node.settings.metrics {
-        let measured = node.clone();
-        let render = move || render_group(&measured);
+        let metrics_node = node.clone();
+        let render = move || render_metrics(&metrics_node);
         tokio::task::spawn_local(expose_metrics(address, render));
     }
-    if founds {
-        let founder = node.clone();
+    if should_bootstrap {
+        let bootstrap_node = node.clone();
         tokio::task::spawn_local(async move {
-            tokio::time::sleep(FOUND_AFTER).await;
-            let me = founder.me.clone();
-            founder.step_replica(ReplicaInput::Found(me));
+            tokio::time::sleep(BOOTSTRAP_DELAY).await;
+            let local_member = bootstrap_node.local_member.clone();
+            bootstrap_node.step_replica(ReplicaInput::Found(local_member));
         });
     }
     terminate.recv().await;
     tracing::info!(target: "group", "control: leaving");
     node.step_replica(ReplicaInput::HandOver);
-    tokio::time::sleep(END_TIME).await;
+    tokio::time::sleep(SHUTDOWN_GRACE).await;
     tracing::info!(target: "group", "control: ended");
     Ok(())
 }
--- a/crates/node/src/process/group/servers.rs
+++ b/crates/node/src/process/group/servers.rs
@@ -10,49 +10,49 @@
 };
 use wheelmast_wire::group::GroupMessage;
 
-use crate::process::group::disk::DiskOrder;
+use crate::process::group::disk::DiskWrite;
 use crate::process::group::node::GroupNode;
-use crate::process::group::state::KeepWait;
+use crate::process::group::state::ReplicationWait;
 use crate::process::store::remembered::encode_records;
 
 /// Longest time to wait until others hold that a server leaves.
-const KEEP_TIME: Duration = Duration::from_millis(600);
+const REPLICATION_TIMEOUT: Duration = Duration::from_millis(600);
 /// Time between two log lines on announcements that were refused.
-const REFUSAL_PAUSE: Duration = Duration::from_secs(1);
+const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 impl GroupNode {
     /// Returns all that is known of servers; of two lifetimes at an address the
     /// later one stands behind.
-    pub fn all_notices(&self) -> Vec<ServerAnnouncement> {
-        self.lacking_notices(&[])
+    pub fn list_announcements(&self) -> Vec<ServerAnnouncement> {
+        self.list_missing_announcements(&[])
     }
 
     /// Returns what is known of servers, in the same order, but for the parts of
     /// them that have one of these digests.
-    pub fn lacking_notices(&self, digests: &[u64]) -> Vec<ServerAnnouncement> {
+    pub fn list_missing_announcements(&self, digests: &[u64]) -> Vec<ServerAnnouncement> {
         let state = self.state.borrow();
         let records = state.directory.records_to_sync(digests).into_iter();
         records.map(|record| record.notice.clone()).collect()
     }
 
     /// Returns the servers that were heard to leave in the last `time`.
-    pub fn late_leavers(&self, time: Duration) -> Vec<ServerAnnouncement> {
+    pub fn list_recent_leavers(&self, time: Duration) -> Vec<ServerAnnouncement> {
         let now = self.now();
         let state = self.state.borrow();
-        let leavers = state.directory.iter().filter(|record| {
+        let recent_leavers = state.directory.iter().filter(|record| {
             record.notice.standing != ServerLifecycle::Ready && now < record.last_seen_at + time
         });
-        leavers
+        recent_leavers
             .map(|record| record.notice.lifecycle_only())
             .collect()
     }
 
     /// Takes news of a server and tells the entries what they change.
-    pub fn take_notice(&self, notice: ServerAnnouncement) -> AnnouncementEffect {
+    pub fn apply_announcement(&self, notice: ServerAnnouncement) -> AnnouncementEffect {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let id = notice.id.clone();
-        let was_silent = state
+        let was_expired = state
             .directory
             .get(&id)
             .is_some_and(|record| record.expired);
@@ -67,11 +67,11 @@
         let notice = record.notice.clone();
         tracing::info!(target: "group", server = %id, service = %notice.service, standing = ?notice.standing, sequence = notice.sequence, "server: changed");
         if notice.standing != ServerLifecycle::Ready {
-            state.tell_urgent(GroupMessage::Notices(vec![notice.lifecycle_only()]));
+            state.send_to_urgent_subscribers(GroupMessage::Notices(vec![notice.lifecycle_only()]));
         }
-        state.tell_whole(GroupMessage::Notices(vec![notice]));
-        if was_silent {
-            state.tell_whole(GroupMessage::Silent(vec![(id, false)]));
+        state.send_to_full_subscribers(GroupMessage::Notices(vec![notice]));
+        if was_expired {
+            state.send_to_full_subscribers(GroupMessage::Silent(vec![(id, false)]));
         }
         effect
     }
@@ -79,16 +79,16 @@
     /// Returns where a server of a failure domain should announce itself next:
     /// at the control instance there, so that its heartbeats cross no border.
     /// None if that is this one, or if there is none.
-    pub fn next_place(&self, domain: &str) -> Option<SocketAddr> {
+    pub fn next_announce_address(&self, domain: &str) -> Option<SocketAddr> {
         if *domain == *self.settings.domain {
             return None;
         }
-        self.state.borrow().calls_in(domain, self.now())
+        self.state.borrow().find_call_address(domain, self.now())
     }
 
     /// Returns what speaks against an announcement made here, if it is none of
     /// the server that it names.
-    pub fn doubt_announcement(&self, notice: &ServerAnnouncement) -> Option<&'static str> {
+    pub fn find_conflict(&self, notice: &ServerAnnouncement) -> Option<&'static str> {
         let state = self.state.borrow();
         let known = &state.directory.get(&notice.id)?.notice;
         if notice.address.is_some() && notice.born == 0 && known.born != 0 {
@@ -101,96 +101,102 @@
 
     /// Counts what was taken for no announcement, and logs it at times: another
     /// writer may send many.
-    pub fn refuse_announcement(&self, id: &str, reason: &str) {
+    pub fn record_refusal(&self, id: &str, reason: &str) {
         self.state.borrow_mut().announcements_refused += 1;
         let now = self.now();
         if self
-            .refusal_told
+            .refusal_logged_at
             .get()
-            .is_some_and(|told| now < told + REFUSAL_PAUSE)
+            .is_some_and(|logged_at| now < logged_at + REFUSAL_LOG_INTERVAL)
         {
             return;
         }
-        self.refusal_told.set(Some(now));
+        self.refusal_logged_at.set(Some(now));
         tracing::warn!(target: "group", server = id, reason, "server: announcement refused");
     }
 
     /// Takes an announcement made here. Returns whether it may be
     /// acknowledged: that a server leaves must outlast this instance, and that
     /// it lives must come to the others, or they would take it for silent.
-    pub async fn take_announcement(self: &Rc<Self>, notice: ServerAnnouncement) -> bool {
+    pub async fn handle_announcement(self: &Rc<Self>, notice: ServerAnnouncement) -> bool {
         let (id, position) = (notice.id.clone(), notice.position());
-        let leaves = notice.standing != ServerLifecycle::Ready;
-        let effect = self.take_notice(notice.clone());
-        let is_news = matches!(
+        let is_leaving = notice.standing != ServerLifecycle::Ready;
+        let effect = self.apply_announcement(notice.clone());
+        let is_new = matches!(
             effect,
             AnnouncementEffect::Changed | AnnouncementEffect::Renewed
         );
-        if is_news && !leaves && self.state.borrow_mut().directory.observe_locally(&id) {
-            self.state.borrow_mut().renewals.insert(id, position);
+        if is_new && !is_leaving && self.state.borrow_mut().directory.observe_locally(&id) {
+            self.state.borrow_mut().unsent_renewals.insert(id, position);
         }
-        if leaves {
-            return self.keep_leaving(notice).await;
+        if is_leaving {
+            return self.replicate_leave(notice).await;
         }
         if effect == AnnouncementEffect::Changed {
             let message = GroupMessage::Notices(vec![notice]);
-            self.state.borrow().tell_control(&message);
+            self.state.borrow().send_to_control(&message);
         }
-        let contacts = self.state.borrow().count_contacts(self.now());
-        contacts >= self.settings.tolerate
+        let last_contacts = self.state.borrow().count_contacts(self.now());
+        last_contacts >= self.settings.tolerate
     }
 
-    async fn keep_leaving(self: &Rc<Self>, notice: ServerAnnouncement) -> bool {
-        let missing = self.settings.tolerate;
-        if missing == 0 {
+    async fn replicate_leave(self: &Rc<Self>, notice: ServerAnnouncement) -> bool {
+        let missing_acks = self.settings.tolerate;
+        if missing_acks == 0 {
             return true;
         }
         let tag = self.next_tag();
-        let (done, receiver) = oneshot::channel();
+        let (completed, receiver) = oneshot::channel();
         {
             let mut state = self.state.borrow_mut();
-            state.keeps.insert(tag, KeepWait { missing, done });
+            state.pending_replications.insert(
+                tag,
+                ReplicationWait {
+                    missing_acks,
+                    completed,
+                },
+            );
             let notice = Box::new(notice);
-            state.tell_control(&GroupMessage::Keep { tag, notice });
+            state.send_to_control(&GroupMessage::Keep { tag, notice });
         }
-        let observed = tokio::time::timeout(KEEP_TIME, receiver).await;
-        self.state.borrow_mut().keeps.remove(&tag);
-        matches!(observed, Ok(Ok(())))
+        let replicated = tokio::time::timeout(REPLICATION_TIMEOUT, receiver).await;
+        self.state.borrow_mut().pending_replications.remove(&tag);
+        matches!(replicated, Ok(Ok(())))
     }
 
     /// Takes another instance's word that it holds news.
-    pub fn count_keep(&self, tag: u64) {
+    pub fn record_replication_ack(&self, tag: u64) {
         let mut state = self.state.borrow_mut();
-        let Some(wait) = state.keeps.get_mut(&tag) else {
+        let Some(wait) = state.pending_replications.get_mut(&tag) else {
             return;
         };
-        wait.missing -= 1;
-        if wait.missing > 0 {
+        wait.missing_acks -= 1;
+        if wait.missing_acks > 0 {
             return;
         }
-        if let Some(wait) = state.keeps.remove(&tag) {
+        if let Some(wait) = state.pending_replications.remove(&tag) {
             // The server may have given up.
-            let _ = wait.done.send(());
+            let _ = wait.completed.send(());
         }
     }
 
     /// Tells the other control instances which servers this one hears now and did
     /// not before.
-    pub fn tell_renewals(&self) {
+    pub fn send_renewals(&self) {
         let mut state = self.state.borrow_mut();
-        if state.renewals.is_empty() {
+        if state.unsent_renewals.is_empty() {
             return;
         }
-        let renewals = std::mem::take(&mut state.renewals);
+        let renewals = std::mem::take(&mut state.unsent_renewals);
         let message = GroupMessage::Renewals {
             whole: false,
             servers: renewals.into_iter().collect(),
         };
-        state.tell_control(&message);
+        state.send_to_control(&message);
     }
 
     /// Returns all servers that this instance hears.
-    pub fn whole_renewals(&self) -> GroupMessage {
+    pub fn build_full_renewals(&self) -> GroupMessage {
         let state = self.state.borrow();
         let observed = state.directory.observed();
         GroupMessage::Renewals {
@@ -203,7 +209,7 @@
 
     /// Takes over which servers another control instance hears. Returns those of
     /// which nothing is known here, as their notice was missed.
-    pub fn take_renewals(
+    pub fn apply_renewals(
         &self,
         peer: SocketAddr,
         whole: bool,
@@ -213,12 +219,13 @@
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
         let directory = &mut state.directory;
-        let missed = servers.iter();
-        let missed = missed.filter(|(id, position)| !directory.knows_incarnation(id, *position));
-        let missed: Vec<Box<str>> = missed.map(|(id, _)| id.clone()).collect();
-        if !missed.is_empty() {
-            state.servers_missed += missed.len() as u64;
-            tracing::warn!(target: "group", %peer, servers = missed.len(), "server: heard by another instance, not known here");
+        let unknown_ids = servers.iter();
+        let unknown_ids =
+            unknown_ids.filter(|(id, position)| !directory.knows_incarnation(id, *position));
+        let unknown_ids: Vec<Box<str>> = unknown_ids.map(|(id, _)| id.clone()).collect();
+        if !unknown_ids.is_empty() {
+            state.servers_missed += unknown_ids.len() as u64;
+            tracing::warn!(target: "group", %peer, servers = unknown_ids.len(), "server: heard by another instance, not known here");
         }
         for (id, position) in &servers {
             directory.renew_lease(id, *position, now);
@@ -228,11 +235,11 @@
             let ids = servers.into_iter().map(|(id, _)| id).collect();
             directory.retain_observed_at_peer(peer, &ids, now);
         }
-        missed
+        unknown_ids
     }
 
     /// Returns the notices of the servers with these ids that take work.
-    pub fn notices_of(&self, ids: &[Box<str>]) -> Vec<ServerAnnouncement> {
+    pub fn find_ready_announcements(&self, ids: &[Box<str>]) -> Vec<ServerAnnouncement> {
         let state = self.state.borrow();
         let records = ids.iter().filter_map(|id| state.directory.get(id));
         let notices = records.map(|record| &record.notice);
@@ -241,7 +248,7 @@
     }
 
     /// Takes another control instance's word that servers are silent.
-    pub fn take_lapsed(&self, peer: SocketAddr, servers: &[(Box<str>, AnnouncementPosition)]) {
+    pub fn apply_lapsed(&self, peer: SocketAddr, servers: &[(Box<str>, AnnouncementPosition)]) {
         let mut state = self.state.borrow_mut();
         let directory = &mut state.directory;
         let lapsed = servers.iter();
@@ -252,11 +259,11 @@
             return;
         }
         state.servers_changed = true;
-        state.tell_whole(GroupMessage::Silent(lapsed));
+        state.send_to_full_subscribers(GroupMessage::Silent(lapsed));
     }
 
     /// Has the disk keep which servers live, if that changed.
-    pub fn keep_servers(&self) {
+    pub fn persist_servers(&self) {
         let mut state = self.state.borrow_mut();
         if !std::mem::take(&mut state.servers_changed) {
             return;
@@ -265,16 +272,16 @@
         let Ok(servers) = encode_records(&confirmed_alive) else {
             return;
         };
-        let order = DiskOrder {
+        let write = DiskWrite {
             servers: Some(servers),
-            ..state.disk_order()
+            ..state.new_disk_write()
         };
         // A full line: its disk stalls, and what it keeps would be old.
-        let _ = self.disk.try_send(order);
+        let _ = self.disk.try_send(write);
     }
 
     /// Takes the servers that were known before a restart.
-    pub fn remember(&self, servers: Vec<ServerAnnouncement>) {
+    pub fn restore_servers(&self, servers: Vec<ServerAnnouncement>) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         tracing::info!(target: "group", servers = servers.len(), "server: remembered");
@@ -285,18 +292,18 @@
 
     /// Tells the entries which servers are silent. An instance that is out of
     /// contact with a quorum knows nothing about that.
-    pub fn sweep_servers(&self) {
+    pub fn expire_servers(&self) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         if state.count_contacts(now) < self.settings.tolerate {
             return;
         }
         let state = &mut *state;
-        let contacts = &state.contacts;
-        let heard_peer = |peer: &SocketAddr| contacts.get(peer).copied();
+        let last_contacts = &state.last_contacts;
+        let peer_last_contact = |peer: &SocketAddr| last_contacts.get(peer).copied();
         let expired = state
             .directory
-            .expire_leases(now, self.settings.lease, heard_peer);
+            .expire_leases(now, self.settings.lease, peer_last_contact);
         if expired.is_empty() {
             return;
         }
@@ -304,14 +311,14 @@
         for id in &expired {
             tracing::warn!(target: "group", server = %id, "server: silent");
         }
-        let own = expired.iter().filter_map(|id| {
+        let locally_observed = expired.iter().filter_map(|id| {
             let record = state.directory.get(id)?;
             (record.observer == ServerObserver::Local)
                 .then(|| (id.clone(), record.notice.position()))
         });
-        let lapsed = GroupMessage::Lapsed(own.collect());
-        state.tell_control(&lapsed);
+        let lapsed = GroupMessage::Lapsed(locally_observed.collect());
+        state.send_to_control(&lapsed);
         let expired = expired.into_iter().map(|id| (id, true)).collect();
-        state.tell_whole(GroupMessage::Silent(expired));
+        state.send_to_full_subscribers(GroupMessage::Silent(expired));
     }
 }
--- a/crates/node/src/process/group/state.rs
+++ b/crates/node/src/process/group/state.rs
@@ -20,17 +20,17 @@
 use wheelmast_wire::group::{ControlMark, GroupMessage, GroupTell};
 
 use crate::connection::frame::write_frame;
-use crate::process::group::disk::DiskOrder;
-use crate::process::group::followers::FollowerBook;
+use crate::process::group::disk::DiskWrite;
+use crate::process::group::followers::FollowerRegistry;
 use crate::process::group::rollouts::PublishedRollouts;
-use crate::process::group::traffic::{TrafficBook, TrafficTarget};
+use crate::process::group::traffic::{TrafficStats, TrafficTarget};
 use crate::ring::RingSender;
 
 /// Time that an entry which is no longer subscribed keeps its part of the
 /// servers' limits: it may be cut off and at work.
 const ENTRY_LEASE: Duration = Duration::from_secs(10);
 /// Time without a message after which a control instance is not in contact.
-const CONTACT_TIME: Duration = Duration::from_secs(2);
+const CONTACT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A route table in force.
 #[derive(Debug, Clone, Default)]
@@ -43,7 +43,7 @@
 
 impl PublishedTable {
     /// Returns the message that tells it.
-    pub fn message(&self) -> GroupMessage {
+    pub fn to_message(&self) -> GroupMessage {
         GroupMessage::Routes {
             version: self.version,
             packed: self.packed.to_vec(),
@@ -62,7 +62,7 @@
 
 impl PublishedEvacuations {
     /// Returns the message that tells them.
-    pub fn message(&self) -> GroupMessage {
+    pub fn to_message(&self) -> GroupMessage {
         GroupMessage::Evacuations {
             revision: self.revision,
             domains: self.domains.clone(),
@@ -72,11 +72,11 @@
 
 /// News of a server that wait to be held by others.
 #[derive(Debug)]
-pub struct KeepWait {
+pub struct ReplicationWait {
     /// Others that still have to hold it.
-    pub missing: usize,
+    pub missing_acks: usize,
     /// Takes the word that they do.
-    pub done: oneshot::Sender<()>,
+    pub completed: oneshot::Sender<()>,
 }
 
 /// An entry that follows this instance.
@@ -85,39 +85,43 @@
     /// Who it is.
     pub peer: EntryPeer,
     /// Whether it takes no more requests of other entries.
-    pub leaving: bool,
+    pub is_leaving: bool,
     /// Whether it hears everything here, not only what is urgent.
-    pub whole: bool,
+    pub is_full_subscriber: bool,
     /// Identities of the entries that it was told of.
-    pub told: HashSet<Box<str>>,
+    pub known_peers: HashSet<Box<str>>,
     /// Takes messages for it.
-    pub sender: RingSender<Rc<OutFrame>>,
+    pub sender: RingSender<Rc<EncodedFrame>>,
 }
 
 impl Subscriber {
     /// Gives it a frame and counts that. Returns whether it keeps up.
-    pub fn offer(&self, frame: Rc<OutFrame>, traffic: &mut TrafficBook) -> bool {
+    pub fn queue_frame(&self, frame: Rc<EncodedFrame>, traffic: &mut TrafficStats) -> bool {
         traffic.add(TrafficTarget::Entry, frame.kind, frame.bytes.len());
         self.sender.offer(frame).is_ok()
     }
 
-    /// Returns the message that brings it from what it was told to `roll`, if
+    /// Returns the message that brings it from what it was told to `roster`, if
     /// there is anything to tell.
-    fn catch_up(&mut self, roll: &GroupRoll, entries_changed: bool) -> Option<GroupMessage> {
+    fn build_members_update(
+        &mut self,
+        roster: &EntryRoster,
+        entries_changed: bool,
+    ) -> Option<GroupMessage> {
         let mut joined = Vec::new();
         let mut ids = HashSet::new();
-        for peer in select_known_peers(&self.peer, &roll.peers) {
+        for peer in select_known_peers(&self.peer, &roster.peers) {
             let id = peer.id();
-            if !self.told.contains(&id) {
+            if !self.known_peers.contains(&id) {
                 joined.push(peer.clone());
             }
             ids.insert(id);
         }
-        let left: Vec<Box<str>> = self.told.difference(&ids).cloned().collect();
-        let is_news = entries_changed || !joined.is_empty() || !left.is_empty();
-        self.told = ids;
-        is_news.then_some(GroupMessage::Members {
-            entries: roll.entries,
+        let left: Vec<Box<str>> = self.known_peers.difference(&ids).cloned().collect();
+        let has_changes = entries_changed || !joined.is_empty() || !left.is_empty();
+        self.known_peers = ids;
+        has_changes.then_some(GroupMessage::Members {
+            entries: roster.entries,
             joined,
             left,
         })
@@ -126,36 +130,36 @@
 
 /// A message as it is written, the same for all that it goes to.
 #[derive(Debug)]
-pub struct OutFrame {
+pub struct EncodedFrame {
     /// Its bytes.
     pub bytes: Vec<u8>,
     /// A word for its kind.
     pub kind: &'static str,
     /// Whether it is a route table, which a newer one overtakes.
-    pub is_table: bool,
+    pub is_route_table: bool,
 }
 
-impl OutFrame {
+impl EncodedFrame {
     /// Returns the frame of a message; none if it is too large.
-    pub fn new(message: &GroupMessage) -> Option<Rc<OutFrame>> {
+    pub fn new(message: &GroupMessage) -> Option<Rc<EncodedFrame>> {
         let mut bytes = Vec::new();
         if let Err(error) = write_frame(message, &mut bytes) {
             tracing::error!(target: "group", "peer: message not sent, {error:#}");
             return None;
         }
-        let is_table = matches!(message, GroupMessage::Routes { .. });
+        let is_route_table = matches!(message, GroupMessage::Routes { .. });
         let kind = message.kind();
-        Some(Rc::new(OutFrame {
+        Some(Rc::new(EncodedFrame {
             bytes,
             kind,
-            is_table,
+            is_route_table,
         }))
     }
 }
 
 /// What entries are told of each other and of the group.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct GroupRoll {
+pub struct EntryRoster {
     /// Entries that share the servers' limits.
     pub entries: u32,
     /// Entries that take requests.
@@ -164,11 +168,11 @@
 
 /// Where another control instance stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ControlPlace {
+pub struct ControlLocation {
     /// Its failure domain.
     pub domain: Box<str>,
     /// Where it takes the calls of servers and operators.
-    pub calls: SocketAddr,
+    pub call_address: SocketAddr,
 }
 
 /// What a control instance holds.
@@ -181,11 +185,11 @@
     /// Number of the last batch given to the disk.
     pub batch: u64,
     /// Number of the last batch that lasts.
-    pub lasting: u64,
+    pub synced_batch: u64,
     /// What waits for the disk, with the batch it waits for.
     pub outbox: VecDeque<(u64, Vec<ReplicaAction>)>,
     /// The route table in force.
-    pub published: PublishedTable,
+    pub published_table: PublishedTable,
     /// The failure domains out of use.
     pub evacuations: PublishedEvacuations,
     /// The last roll-outs of the services.
@@ -197,37 +201,37 @@
     /// Whether servers came or went since they were last kept.
     pub servers_changed: bool,
     /// Servers heard of here since the others were told.
-    pub renewals: HashMap<Box<str>, AnnouncementPosition>,
+    pub unsent_renewals: HashMap<Box<str>, AnnouncementPosition>,
     /// Lines to other control instances.
     pub links: HashMap<SocketAddr, RingSender<GroupMessage>>,
     /// When another control instance was last heard.
-    pub contacts: HashMap<SocketAddr, Duration>,
+    pub last_contacts: HashMap<SocketAddr, Duration>,
     /// Where the other control instances stand, by their addresses.
-    pub places: HashMap<SocketAddr, ControlPlace>,
+    pub locations: HashMap<SocketAddr, ControlLocation>,
     /// Addresses of replicas, from what they said themselves.
-    pub addresses: HashMap<ReplicaId, SocketAddr>,
+    pub replica_addresses: HashMap<ReplicaId, SocketAddr>,
     /// What was sent to others.
-    pub traffic: TrafficBook,
+    pub traffic: TrafficStats,
     /// Entries that follow this instance.
     pub subscribers: HashMap<u64, Subscriber>,
     /// When each entry was last subscribed.
-    pub entries: HashMap<Box<str>, Duration>,
+    pub entries_last_seen: HashMap<Box<str>, Duration>,
     /// Who the entries are.
-    pub roll: GroupRoll,
+    pub roster: EntryRoster,
     /// Which entries follow which control instance.
-    pub followers: FollowerBook,
+    pub followers: FollowerRegistry,
     /// What the entries were told last of the control instances.
-    pub told_control: Vec<ControlSite>,
+    pub last_sent_control: Vec<ControlSite>,
     /// Questions that wait for their answer.
-    pub asks: HashMap<u64, oneshot::Sender<GroupTell>>,
+    pub pending_replies: HashMap<u64, oneshot::Sender<GroupTell>>,
     /// Answers that came to no question.
-    pub stray_answers: u64,
+    pub unmatched_replies: u64,
     /// Servers that other instances said to hear and that were not known here.
     pub servers_missed: u64,
     /// Announcements that were refused.
     pub announcements_refused: u64,
     /// News that wait to be held by others.
-    pub keeps: HashMap<u64, KeepWait>,
+    pub pending_replications: HashMap<u64, ReplicationWait>,
     /// The tokens of all capped workspaces, while this instance leads.
     pub cap_owner: CapOwner,
     /// The tokens that this instance holds.
@@ -235,16 +239,16 @@
     /// Requests under which servers ended.
     pub suspects: SuspectRegistry,
     /// Those of them of which there is news to tell to other control instances.
-    pub suspect_news: HashSet<RequestFingerprint>,
+    pub suspects_for_control: HashSet<RequestFingerprint>,
     /// The same, to tell to entries.
-    pub suspect_heard: HashSet<RequestFingerprint>,
+    pub suspects_for_entries: HashSet<RequestFingerprint>,
 }
 
 impl GroupState {
     /// Returns an order to the disk, of the batch given last and with nothing to
     /// keep yet.
-    pub fn disk_order(&self) -> DiskOrder {
-        DiskOrder {
+    pub fn new_disk_write(&self) -> DiskWrite {
+        DiskWrite {
             epoch: self.epoch,
             batch: self.batch,
             actions: Vec::new(),
@@ -254,9 +258,9 @@
     }
 
     /// Returns how far what is in force here has come.
-    pub fn mark(&self) -> ControlMark {
+    pub fn current_mark(&self) -> ControlMark {
         ControlMark {
-            version: self.published.version,
+            version: self.published_table.version,
             evacuations: self.evacuations.revision,
             rollouts: self.rollouts.revision,
         }
@@ -264,132 +268,143 @@
 
     /// Tells whether what is in force here has come as far as `mark`.
     pub fn has_reached(&self, mark: ControlMark) -> bool {
-        let here = self.mark();
-        here.version >= mark.version
-            && here.evacuations >= mark.evacuations
-            && here.rollouts >= mark.rollouts
+        let current = self.current_mark();
+        current.version >= mark.version
+            && current.evacuations >= mark.evacuations
+            && current.rollouts >= mark.rollouts
     }
 
     /// Takes note of who follows this instance. Returns what the others are to
     /// be told, if that changed.
-    pub fn note_followers(&mut self) -> Option<GroupMessage> {
+    pub fn update_followers(&mut self) -> Option<GroupMessage> {
         let subscribers = self.subscribers.values();
         let followers =
-            subscribers.map(|subscriber| (subscriber.peer.clone(), !subscriber.leaving));
-        self.followers.set_own(followers)
+            subscribers.map(|subscriber| (subscriber.peer.clone(), !subscriber.is_leaving));
+        self.followers.set_local_followers(followers)
     }
 
     /// Returns all entries that follow this instance or one in contact, and
     /// whether they take requests.
-    pub fn all_followers(&self, now: Duration) -> Vec<(EntryPeer, bool)> {
-        self.followers.all(|address| self.in_contact(address, now))
+    pub fn list_followers(&self, now: Duration) -> Vec<(EntryPeer, bool)> {
+        self.followers
+            .list_all(|address| self.is_in_contact(address, now))
     }
 
     /// Returns the number of entries that share the servers' limits, where these
     /// follow some instance.
-    pub fn count_entries(&mut self, all: &[(EntryPeer, bool)], now: Duration) -> u32 {
-        for (peer, _) in all {
-            self.entries.insert(peer.instance.clone(), now);
+    pub fn update_entry_count(&mut self, followers: &[(EntryPeer, bool)], now: Duration) -> u32 {
+        for (peer, _) in followers {
+            self.entries_last_seen.insert(peer.instance.clone(), now);
         }
-        self.entries.retain(|_, seen| now < *seen + ENTRY_LEASE);
-        self.entries.len() as u32
+        self.entries_last_seen
+            .retain(|_, last_seen| now < *last_seen + ENTRY_LEASE);
+        self.entries_last_seen.len() as u32
     }
 
     /// Returns how many other control instances were heard lately.
     pub fn count_contacts(&self, now: Duration) -> usize {
-        let contacts = self.contacts.keys();
-        contacts
-            .filter(|address| self.in_contact(address, now))
+        let addresses = self.last_contacts.keys();
+        addresses
+            .filter(|address| self.is_in_contact(address, now))
             .count()
     }
 
-    fn in_contact(&self, address: &SocketAddr, now: Duration) -> bool {
-        let heard = self.contacts.get(address);
-        heard.is_some_and(|heard| now < *heard + CONTACT_TIME)
+    fn is_in_contact(&self, address: &SocketAddr, now: Duration) -> bool {
+        let last_contact = self.last_contacts.get(address);
+        last_contact.is_some_and(|last_contact| now < *last_contact + CONTACT_TIMEOUT)
     }
 
     /// Returns where another control instance of a failure domain takes calls,
     /// if one is in contact.
-    pub fn calls_in(&self, domain: &str, now: Duration) -> Option<SocketAddr> {
-        let mut places = self.places.iter();
-        let found = places
-            .find(|(address, place)| *place.domain == *domain && self.in_contact(address, now));
-        found.map(|(_, place)| place.calls)
+    pub fn find_call_address(&self, domain: &str, now: Duration) -> Option<SocketAddr> {
+        let mut locations = self.locations.iter();
+        let location = locations.find(|(address, location)| {
+            *location.domain == *domain && self.is_in_contact(address, now)
+        });
+        location.map(|(_, location)| location.call_address)
     }
 
     /// Returns the address of a replica.
-    pub fn address_of(&self, id: ReplicaId) -> Option<SocketAddr> {
-        if let Some(address) = self.addresses.get(&id) {
+    pub fn replica_address(&self, id: ReplicaId) -> Option<SocketAddr> {
+        if let Some(address) = self.replica_addresses.get(&id) {
             return Some(*address);
         }
         let replica = self.replica.as_ref()?;
         let mut members = replica.member_records().iter();
-        let found = members.find(|member| member.id == id);
-        found.map(|member| member.address)
+        let member = members.find(|member| member.id == id);
+        member.map(|member| member.address)
     }
 
     /// Tells all entries that follow this instance.
-    pub fn tell_entries(&mut self, message: GroupMessage) {
-        self.tell(message, |_| true);
+    pub fn send_to_entries(&mut self, message: GroupMessage) {
+        self.send_to_subscribers(message, |_| true);
     }
 
     /// Tells the entries that hear everything here.
-    pub fn tell_whole(&mut self, message: GroupMessage) {
-        self.tell(message, |subscriber| subscriber.whole);
+    pub fn send_to_full_subscribers(&mut self, message: GroupMessage) {
+        self.send_to_subscribers(message, |subscriber| subscriber.is_full_subscriber);
     }
 
     /// Tells the entries that hear only what is urgent here.
-    pub fn tell_urgent(&mut self, message: GroupMessage) {
-        self.tell(message, |subscriber| !subscriber.whole);
+    pub fn send_to_urgent_subscribers(&mut self, message: GroupMessage) {
+        self.send_to_subscribers(message, |subscriber| !subscriber.is_full_subscriber);
     }
 
     /// Tells some of the entries. One that does not keep up is let go, and
     /// asks for everything again.
-    fn tell(&mut self, message: GroupMessage, wants: impl Fn(&Subscriber) -> bool) {
-        let Some(frame) = OutFrame::new(&message) else {
+    fn send_to_subscribers(
+        &mut self,
+        message: GroupMessage,
+        is_recipient: impl Fn(&Subscriber) -> bool,
+    ) {
+        let Some(frame) = EncodedFrame::new(&message) else {
             return;
         };
         let traffic = &mut self.traffic;
-        self.subscribers
-            .retain(|_, subscriber| !wants(subscriber) || subscriber.offer(frame.clone(), traffic));
+        self.subscribers.retain(|_, subscriber| {
+            !is_recipient(subscriber) || subscriber.queue_frame(frame.clone(), traffic)
+        });
     }
 
     /// Takes over who the entries are, and tells those that hear everything
     /// here what has changed for them.
-    pub fn take_roll(&mut self, roll: GroupRoll) {
-        if roll == self.roll {
+    pub fn apply_roster(&mut self, roster: EntryRoster) {
+        if roster == self.roster {
             return;
         }
-        let entries_changed = roll.entries != self.roll.entries;
-        self.roll = roll;
-        let roll = &self.roll;
+        let entries_changed = roster.entries != self.roster.entries;
+        self.roster = roster;
+        let roster = &self.roster;
         let traffic = &mut self.traffic;
         self.subscribers.retain(|_, subscriber| {
-            if !subscriber.whole {
+            if !subscriber.is_full_subscriber {
                 return true;
             }
-            let news = subscriber.catch_up(roll, entries_changed);
-            let frame = news.and_then(|news| OutFrame::new(&news));
-            frame.is_none_or(|frame| subscriber.offer(frame, traffic))
+            let update = subscriber.build_members_update(roster, entries_changed);
+            let frame = update.and_then(|update| EncodedFrame::new(&update));
+            frame.is_none_or(|frame| subscriber.queue_frame(frame, traffic))
         });
     }
 
     /// Returns what an entry is told of the others when it asks for all.
-    pub fn first_members(&mut self, key: u64) -> Option<GroupMessage> {
+    pub fn build_initial_members(&mut self, key: u64) -> Option<GroupMessage> {
         let subscriber = self.subscribers.get_mut(&key)?;
-        subscriber.told.clear();
-        subscriber.catch_up(&self.roll, true)
+        subscriber.known_peers.clear();
+        subscriber.build_members_update(&self.roster, true)
     }
 
     /// Returns the message that tells what is known of these requests.
-    pub fn suspects_message(&self, marks: &HashSet<RequestFingerprint>) -> GroupMessage {
-        let records = marks.iter();
+    pub fn build_suspects_message(
+        &self,
+        fingerprints: &HashSet<RequestFingerprint>,
+    ) -> GroupMessage {
+        let records = fingerprints.iter();
         let records = records.filter_map(|mark| self.suspects.record(*mark));
         GroupMessage::Suspects(records.cloned().collect())
     }
 
     /// Tells all other control instances.
-    pub fn tell_control(&self, message: &GroupMessage) {
+    pub fn send_to_control(&self, message: &GroupMessage) {
         for link in self.links.values() {
             // A full ring loses it, as the network may.
             let _ = link.offer(message.clone());
--- a/crates/node/src/process/group/traffic.rs
+++ b/crates/node/src/process/group/traffic.rs
@@ -14,7 +14,7 @@
 
 impl TrafficTarget {
     /// Returns a word for metrics and logs.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             TrafficTarget::Entry => "entry",
             TrafficTarget::Control => "control",
@@ -33,11 +33,11 @@
 
 /// Counts since the start.
 #[derive(Debug, Clone, Default)]
-pub struct TrafficBook {
+pub struct TrafficStats {
     counts: BTreeMap<(TrafficTarget, &'static str), TrafficCount>,
 }
 
-impl TrafficBook {
+impl TrafficStats {
     /// Counts a message of this kind.
     pub fn add(&mut self, target: TrafficTarget, kind: &'static str, bytes: usize) {
         let count = self.counts.entry((target, kind)).or_default();
@@ -53,11 +53,11 @@
 }
 
 /// Target, kind, messages and bytes of each count, for logs.
-impl fmt::Display for TrafficBook {
+impl fmt::Display for TrafficStats {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (target, kind, count) in self.iter() {
             let TrafficCount { messages, bytes } = count;
-            write!(f, "{}.{kind}={messages}/{bytes} ", target.word())?;
+            write!(f, "{}.{kind}={messages}/{bytes} ", target.label())?;
         }
         Ok(())
     }
--- a/crates/node/tests/cluster.rs
+++ b/crates/node/tests/cluster.rs
@@ -19,21 +19,21 @@
 /// Instances: the replicas, and one without a disk.
 const INSTANCES: usize = REPLICAS + 1;
 /// Last byte and port of the address that claims a block.
-const CLAIM_HOST: u8 = 250;
+const CLAIM_HOST_BYTE: u8 = 250;
 const CLAIM_PORT: u16 = 7400;
 /// Longest time for anything that must come about.
-const PATIENCE: Duration = Duration::from_secs(15);
+const TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Some processes of one control group; killed if the test ends early.
 struct Cluster {
     folder: tempfile::TempDir,
     children: Vec<Option<GuardedChild>>,
-    net: AddressBlock,
+    addresses: AddressBlock,
 }
 
 /// The first three bytes of a cluster's addresses.
 struct AddressBlock {
-    bytes: [u8; 3],
+    prefix: [u8; 3],
     /// Held as long as the cluster is there: no other run gets these addresses.
     _claim: TcpListener,
 }
@@ -43,11 +43,11 @@
     fn claim(test: u8) -> AddressBlock {
         let first = std::process::id() as u8;
         let blocks = (0..=u8::MAX).map(|step| [127, 100 + test, first.wrapping_add(step)]);
-        let mut claims = blocks.filter_map(|bytes| {
-            let [a, b, c] = bytes;
-            let address = SocketAddr::from(([a, b, c, CLAIM_HOST], CLAIM_PORT));
+        let mut claims = blocks.filter_map(|prefix| {
+            let [a, b, c] = prefix;
+            let address = SocketAddr::from(([a, b, c, CLAIM_HOST_BYTE], CLAIM_PORT));
             let _claim = TcpListener::bind(address).ok()?;
-            Some(AddressBlock { bytes, _claim })
+            Some(AddressBlock { prefix, _claim })
         });
         claims.next().expect("a free block of addresses")
     }
@@ -61,7 +61,7 @@
     }
 }
 
-fn settings_of(cluster: &Cluster, node: usize) -> String {
+fn render_settings(cluster: &Cluster, node: usize) -> String {
     let peers = (0..INSTANCES).filter(|other| *other != node).map(|other| {
         let address = cluster.address(other, 7403);
         let is_replica = other < REPLICAS;
@@ -96,16 +96,16 @@
         let cluster = Cluster {
             folder: tempfile::TempDir::new().expect("a folder"),
             children: (0..INSTANCES).map(|_| None).collect(),
-            net: AddressBlock::claim(test),
+            addresses: AddressBlock::claim(test),
         };
         std::fs::write(cluster.path("key"), "0123456789abcdef\n").expect("written");
         for node in 0..INSTANCES {
             let path = cluster.path(&format!("n{node}.jsonc"));
-            std::fs::write(path, settings_of(&cluster, node)).expect("written");
+            std::fs::write(path, render_settings(&cluster, node)).expect("written");
         }
         for node in 0..REPLICAS {
-            let made = cluster.command(node).arg("--init").status();
-            assert!(made.expect("wheelmastd starts").success());
+            let status = cluster.command(node).arg("--init").status();
+            assert!(status.expect("wheelmastd starts").success());
         }
         cluster
     }
@@ -115,7 +115,7 @@
     }
 
     fn address(&self, node: usize, port: u16) -> SocketAddr {
-        let [a, b, c] = self.net.bytes;
+        let [a, b, c] = self.addresses.prefix;
         SocketAddr::from(([a, b, c, node as u8 + 1], port))
     }
 
@@ -147,10 +147,10 @@
     /// Applies a change at an instance until it is decided.
     async fn apply(&self, node: usize, base: u64, change: &str) -> ApplyBody {
         let csv = format!("service,kind,weight\nsearch,query,{}\n", base % 1000 + 1);
-        self.apply_csv(node, base, change, &csv).await
+        self.apply_table(node, base, change, &csv).await
     }
 
-    async fn apply_csv(&self, node: usize, base: u64, change: &str, csv: &str) -> ApplyBody {
+    async fn apply_table(&self, node: usize, base: u64, change: &str, csv: &str) -> ApplyBody {
         let body = serde_json::json!({
             "base": base, "change": change, "note": "test", "csv": csv,
         });
@@ -159,19 +159,19 @@
             "content-type: application/json\r\n",
             &body.to_string(),
         );
-        let until = Instant::now() + PATIENCE;
-        let mut turn = node;
+        let deadline = Instant::now() + TIMEOUT;
+        let mut target = node;
         loop {
-            if let Ok((200, body)) = self.try_exchange(turn, &request).await {
+            if let Ok((200, body)) = self.exchange_with(target, &request).await {
                 return serde_json::from_str(&body).expect("an outcome");
             }
-            assert!(Instant::now() < until, "change {change} was not decided");
-            turn = (turn + 1) % INSTANCES;
+            assert!(Instant::now() < deadline, "change {change} was not decided");
+            target = (target + 1) % INSTANCES;
             tokio::time::sleep(Duration::from_millis(30)).await;
         }
     }
 
-    async fn try_exchange(&self, node: usize, request: &str) -> Result<(u16, String), ()> {
+    async fn exchange_with(&self, node: usize, request: &str) -> Result<(u16, String), ()> {
         let address = self.address(node, 7401);
         // An instance that is down is not there to connect to.
         if std::net::TcpStream::connect(address).is_err() {
@@ -184,13 +184,13 @@
 
     async fn get<T: serde::de::DeserializeOwned>(&self, node: usize, path: &str) -> Option<T> {
         let request = format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
-        let (status, body) = self.try_exchange(node, &request).await.ok()?;
+        let (status, body) = self.exchange_with(node, &request).await.ok()?;
         (status == 200).then(|| serde_json::from_str(&body).expect("the promised JSON"))
     }
 
     /// Waits until `version` is in force at an instance.
     async fn wait_version(&self, node: usize, version: u64) {
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             let status: Option<TableStatus> = self.get(node, "/v1/table").await;
             let found = status.map_or(0, |status| status.version);
@@ -199,7 +199,7 @@
             }
             assert!(found < version, "n{node} is at {found}, beyond {version}");
             assert!(
-                Instant::now() < until,
+                Instant::now() < deadline,
                 "n{node} stays at {found}, not {version}"
             );
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -208,12 +208,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn killed_leaders_and_a_whole_restart_lose_nothing() {
+async fn accepted_changes_survive_killed_leaders_and_a_full_restart() {
     const CHANGES: u64 = 120;
     let mut cluster = Cluster::new(1);
     cluster.start_all();
     for number in 0..CHANGES {
-        // Each replica in turn, so that leaders are among them.
+        // Each replica in target, so that leaders are among them.
         if number % 20 == 10 {
             cluster.kill((number / 20) as usize % REPLICAS);
         }
@@ -256,28 +256,33 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn of_two_operators_with_equal_numbers_one_wins() {
+async fn one_of_two_concurrent_changes_on_the_same_base_wins() {
     let mut cluster = Cluster::new(2);
     cluster.start_all();
     for base in 0..100 {
-        let (one, other) = (format!("a{base}"), format!("b{base}"));
-        let (one, other) =
-            tokio::join!(cluster.apply(0, base, &one), cluster.apply(3, base, &other));
-        let mut won = 0;
-        for outcome in [one, other] {
+        let (first_change, second_change) = (format!("a{base}"), format!("b{base}"));
+        let (first, second) = tokio::join!(
+            cluster.apply(0, base, &first_change),
+            cluster.apply(3, base, &second_change)
+        );
+        let mut accepted_count = 0;
+        for outcome in [first, second] {
             match outcome {
                 ApplyBody::Accepted { version } => {
                     assert_eq!(version, base + 1);
-                    won += 1;
+                    accepted_count += 1;
                 }
                 ApplyBody::Conflict { version, csv } => {
                     assert_eq!(version, base + 1);
-                    assert!(csv.contains("search"), "it shows what stands");
+                    assert!(
+                        csv.contains("search"),
+                        "the conflict returns the current table"
+                    );
                 }
                 ApplyBody::Rejected { findings } => panic!("{findings:?}"),
             }
         }
-        assert_eq!(won, 1, "base {base}");
+        assert_eq!(accepted_count, 1, "base {base}");
     }
 }
 
@@ -292,7 +297,7 @@
 /// with `table None`. What comes in force is acknowledged since only once a
 /// quorum has kept that it is committed.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_disk_does_not_come_back_as_itself_and_a_quorum_goes_on() {
+async fn a_replica_without_its_disk_refuses_to_start_and_a_quorum_goes_on() {
     let mut cluster = Cluster::new(3);
     cluster.start_all();
     for number in 0..5 {
@@ -308,7 +313,10 @@
     cluster.kill(2);
     let body = r#"{"base":6,"change":"c6","csv":"service,kind\nsearch,query\n"}"#;
     let request = post("/v1/table", "content-type: application/json\r\n", body);
-    let (status, body) = cluster.try_exchange(3, &request).await.expect("it answers");
+    let (status, body) = cluster
+        .exchange_with(3, &request)
+        .await
+        .expect("it answers");
     assert!(status == 503 || status == 504, "{status}: {body}");
     cluster.wait_version(0, 6).await;
     cluster.wait_version(3, 6).await;
@@ -319,13 +327,13 @@
 }
 
 /// Two of the three others are gone, and the instance that starts asks for the
-/// table: whichever it asks first, it must not wait for its next turn with each
+/// table: whichever it asks first, it must not wait for its next target with each
 /// one that is not there.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_instance_finds_the_one_that_is_left() {
+async fn a_restarted_instance_fetches_the_table_from_the_only_running_replica() {
     const STARTS: usize = 8;
     /// Two of its turns: it must not need a third.
-    const FOUND_IN: Duration = Duration::from_secs(1);
+    const MAX_FIND_TIME: Duration = Duration::from_secs(1);
     let mut cluster = Cluster::new(7);
     cluster.start_all();
     cluster.apply(3, 0, "c0").await;
@@ -340,13 +348,13 @@
         }
         let begin = Instant::now();
         cluster.wait_version(3, 1).await;
-        let found = begin.elapsed();
-        assert!(found < FOUND_IN, "start {start}: after {found:?}");
+        let elapsed = begin.elapsed();
+        assert!(elapsed < MAX_FIND_TIME, "start {start}: after {elapsed:?}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_wrong_cluster_key_is_turned_away() {
+async fn a_request_with_a_wrong_cluster_key_is_rejected() {
     let mut cluster = Cluster::new(4);
     cluster.start_all();
     cluster.apply(0, 0, "c0").await;
@@ -365,10 +373,10 @@
 }
 
 async fn wait_ready(cluster: &Cluster, node: usize) {
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TIMEOUT;
     let request = "GET /ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
     while exchange(cluster.address(node, 7400), request).await.0 != 200 {
-        assert!(Instant::now() < until, "n{node} did not become ready");
+        assert!(Instant::now() < deadline, "n{node} did not become ready");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
@@ -376,7 +384,7 @@
 /// Waits, for a drain's three seconds, until an instance sees a server in a
 /// phase.
 async fn wait_phase(cluster: &Cluster, node: usize, server: &str, phase: &str) {
-    let until = Instant::now() + Duration::from_secs(3);
+    let deadline = Instant::now() + Duration::from_secs(3);
     loop {
         let status: Option<InstanceStatus> = cluster.get(node, "/v1/status").await;
         let servers = status.map(|status| status.servers).unwrap_or_default();
@@ -385,7 +393,7 @@
             return;
         }
         assert!(
-            Instant::now() < until,
+            Instant::now() < deadline,
             "n{node} sees {found:?}, not {phase}"
         );
         tokio::time::sleep(Duration::from_millis(30)).await;
@@ -393,7 +401,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn members_notice_a_killed_one_and_take_it_back() {
+async fn members_detect_a_killed_instance_and_readmit_it() {
     let mut cluster = Cluster::new(6);
     cluster.start_all();
     wait_members(&cluster, INSTANCES).await;
@@ -405,7 +413,7 @@
 
 /// Waits until every running instance sees `count` members alive.
 async fn wait_members(cluster: &Cluster, count: usize) {
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TIMEOUT;
     let running = (0..INSTANCES).filter(|node| cluster.children[*node].is_some());
     for node in running {
         loop {
@@ -416,7 +424,7 @@
                 break;
             }
             assert!(
-                Instant::now() < until,
+                Instant::now() < deadline,
                 "n{node} sees {members:?}, not {count} alive"
             );
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -425,11 +433,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_keyed_submission_runs_once_over_all_instances() {
+async fn a_submission_with_an_idempotency_key_runs_once_across_instances() {
     let mut cluster = Cluster::new(5);
     cluster.start_all();
     let table = include_str!("../../../examples/kivela.csv");
-    cluster.apply_csv(0, 0, "c0", table).await;
+    cluster.apply_table(0, 0, "c0", table).await;
     let world = FakeWorld::start(kivela()).await.expect("fakes start");
     // At one instance only: the others hear of the servers from it.
     let target = AnnounceTarget {
@@ -449,18 +457,18 @@
         );
         let all = [one, two, three];
         assert!(all.iter().any(|(status, _)| *status == 200), "{all:?}");
-        let is_told = |status: &u16| [200, 409].contains(status);
-        assert!(all.iter().all(|(status, _)| is_told(status)), "{all:?}");
+        let is_decided = |status: &u16| [200, 409].contains(status);
+        assert!(all.iter().all(|(status, _)| is_decided(status)), "{all:?}");
         let (status, answer) = submit(&cluster, 2, &key, &term).await;
         assert_eq!(status, 200, "{answer}");
         assert!(all.iter().any(|(_, first)| *first == answer));
         assert_eq!(world.ledger.runs(&term), 1);
     }
     // A drain announced at that one instance is known at all.
-    let leaving = &world.upstream("kiln-watch")[0];
-    leaving.drain();
+    let draining = &world.upstream("kiln-watch")[0];
+    draining.drain();
     for node in 0..INSTANCES {
-        wait_phase(&cluster, node, &leaving.shape.name, "draining").await;
+        wait_phase(&cluster, node, &draining.shape.name, "draining").await;
     }
     let (status, body) = submit(&cluster, 1, "k0", "something else").await;
     assert_eq!(status, 422, "{body}");
