--- a/crates/node/src/process/group/inbound.rs
+++ b/crates/node/src/process/group/inbound.rs
@@ -234,7 +234,7 @@
     let (sender, mut ring) = bounded_ring(SUBSCRIBER_RING_LENGTH);
     let key = node.next_tag();
     let instance = peer.instance.clone();
-    tracing::info!(target: "group", %instance, "entry: subscribed");
+    tracing::info!(target: "group", %instance, "entry: follows");
     let subscriber = Subscriber {
         peer,
         is_leaving: false,
@@ -276,7 +276,7 @@
         confirm_task.abort();
     }
     node.state.borrow_mut().subscribers.remove(&key);
-    tracing::info!(target: "group", %instance, "entry: subscription ended");
+    tracing::info!(target: "group", %instance, "entry: gone");
     result
 }
 
--- a/crates/node/src/process/group/node.rs
+++ b/crates/node/src/process/group/node.rs
@@ -186,8 +186,8 @@
             }
             self.publish_members();
             if ticks.is_multiple_of(TRAFFIC_LOG_TICKS) {
-                let traffic = self.state.borrow().traffic.to_string();
-                tracing::info!(target: "group", sent = traffic, "group: sent, messages and bytes by kind");
+                let sent = self.state.borrow().traffic.to_string();
+                tracing::info!(target: "group", sent, "group: sent, messages and bytes by kind");
             }
             if ticks.is_multiple_of(STATUS_TICKS) {
                 self.persist_servers();
--- a/crates/node/src/process/group/run.rs
+++ b/crates/node/src/process/group/run.rs
@@ -64,7 +64,7 @@
     });
     let suspects = store.folder().remembered(RememberedFile::Suspects);
     let suspects = suspects.unwrap_or_else(|error| {
-        tracing::warn!(target: "group", "disk: suspect requests could not be restored, {error:#}");
+        tracing::warn!(target: "group", "disk: suspects could not be restored, {error:#}");
         Vec::new()
     });
     let local_member = MemberRecord {
--- a/crates/node/src/process/group/servers.rs
+++ b/crates/node/src/process/group/servers.rs
@@ -168,11 +168,8 @@
                     completed,
                 },
             );
-            let announcement = Box::new(announcement);
-            state.send_to_control(&GroupMessage::Keep {
-                tag,
-                notice: announcement,
-            });
+            let notice = Box::new(announcement);
+            state.send_to_control(&GroupMessage::Keep { tag, notice });
         }
         let replicated = tokio::time::timeout(REPLICATION_TIMEOUT, receiver).await;
         self.state.borrow_mut().pending_replications.remove(&tag);
--- a/crates/node/src/process/group/state.rs
+++ b/crates/node/src/process/group/state.rs
@@ -90,7 +90,7 @@
     /// Whether the entry accepts no more requests of other entries.
     pub is_leaving: bool,
     /// Whether the entry receives the full state and all changes, not only urgent
-    /// messages.
+    /// messages (leaving servers, control instances, versions of the route table).
     pub is_full_subscriber: bool,
     /// Identities of the other entries that this entry knows from earlier messages.
     pub known_peers: HashSet<Box<str>>,
@@ -323,7 +323,8 @@
             .count()
     }
 
-    /// Returns whether a message of the control instance at this address arrived recently.
+    /// Returns whether a message of the control instance at this address arrived within
+    /// the contact time-out.
     fn is_in_contact(&self, address: &SocketAddr, now: Duration) -> bool {
         let last_contact = self.last_contacts.get(address);
         last_contact.is_some_and(|last_contact| now < *last_contact + CONTACT_TIMEOUT)
@@ -416,7 +417,7 @@
         fingerprints: &HashSet<RequestFingerprint>,
     ) -> GroupMessage {
         let records = fingerprints.iter();
-        let records = records.filter_map(|mark| self.suspects.record(*mark));
+        let records = records.filter_map(|fingerprint| self.suspects.record(*fingerprint));
         GroupMessage::Suspects(records.cloned().collect())
     }
 
--- a/crates/node/src/process/group/suspects.rs
+++ b/crates/node/src/process/group/suspects.rs
@@ -112,7 +112,7 @@
             if self.disk.try_send(write).is_err() {
                 // The disk stalls. The records are written with the next change, and
                 // other control instances hold them too.
-                tracing::warn!(target: "group", "disk: write queue is full; suspect requests not saved");
+                tracing::warn!(target: "group", "disk: write queue is full; suspects not saved");
             }
         }
     }
