--- a/crates/node/src/process/group/inbound.rs
+++ b/crates/node/src/process/group/inbound.rs
@@ -91,8 +91,7 @@
 fn handle_hello(node: &Rc<GroupNode>, from: MemberRecord, learns: bool, known: Vec<SocketAddr>) {
     {
         let mut state = node.state.borrow_mut();
-        // A replica that had this address under another id has lost its disk and never
-        // returns.
+        // Another replica id that had this address before never returns.
         state
             .replica_addresses
             .retain(|id, address| *id == from.id || *address != from.address);
