--- a/crates/cli/src/cmd/data.rs
+++ b/crates/cli/src/cmd/data.rs
@@ -56,24 +56,24 @@
     pub fn run(&self) -> anyhow::Result<ExitCode> {
         let (folder, replica) = DataFolder::open_existing(&self.folder)?;
         let store = ReplicaStore::open(folder)?;
-        let kept = store.kept();
-        let last = kept
+        let persisted_state = store.persisted_state();
+        let last = persisted_state
             .entries
             .last()
-            .map_or(kept.place.index, |entry| entry.index);
+            .map_or(persisted_state.snapshot_position.index, |entry| entry.index);
         println!(
             "replica {replica}, term {}, vote {:?}",
-            kept.hard_state.term, kept.hard_state.vote
+            persisted_state.hard_state.term, persisted_state.hard_state.vote
         );
         println!(
             "snapshot up to {}, entries up to {last}, committed up to {}",
-            kept.place.index, kept.commit
+            persisted_state.snapshot_position.index, persisted_state.commit
         );
         println!(
             "route table in the snapshot: version {}",
-            kept.state.route_version()
+            persisted_state.state.route_version()
         );
-        for member in kept.state.members() {
+        for member in persisted_state.state.members() {
             println!(
                 "member {} {} at {}",
                 member.id, member.instance, member.address
--- a/crates/cli/src/measure/control.rs
+++ b/crates/cli/src/measure/control.rs
@@ -271,10 +271,10 @@
                 csv: "service,kind\nsearch,query\n".into(),
             },
         };
-        duty.store.keep(&ReplicaAction::PersistEntry(entry))?;
+        duty.store.persist(&ReplicaAction::PersistEntry(entry))?;
     }
     duty.store
-        .keep(&ReplicaAction::PersistCommitIndex(changes))?;
+        .persist(&ReplicaAction::PersistCommitIndex(changes))?;
     duty.store.sync()?;
     drop(duty);
     let begin = Instant::now();
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -15,7 +15,7 @@
 use wheelmast_node::process::group::run::run_control;
 use wheelmast_node::process::member::initialize;
 use wheelmast_node::process::output::start_output;
-use wheelmast_node::settings::read::{read_any_file, AnySettings};
+use wheelmast_node::settings::read::{read_settings_file, ParsedSettings};
 use wheelmast_node::settings::role::{DialectKind, RoleKind, RoleSettings};
 use wheelmast_platform::PlatformDialect;
 use wheelmast_wire::dialect::ForwardDialect;
@@ -25,7 +25,7 @@
 const EXIT_FAILURE: u8 = 1;
 
 fn main() -> ExitCode {
-    let matches = command().get_matches();
+    let matches = build_command().get_matches();
     match run(&matches) {
         Ok(code) => code,
         Err(error) => {
@@ -35,7 +35,7 @@
     }
 }
 
-fn command() -> Command {
+fn build_command() -> Command {
     Command::new("wheelmastd")
         .version(clap::crate_version!())
         .about("One instance of the wheelmast query tier")
@@ -72,13 +72,13 @@
     let path = matches
         .get_one::<PathBuf>("settings")
         .context("could not find --settings")?;
-    let settings = match read_any_file(path)? {
-        Ok(AnySettings::Instance(settings)) => *settings,
-        Ok(AnySettings::Role(settings)) => return run_role(matches, path, *settings),
-        Err(findings) => return Ok(report(path, &findings)),
+    let settings = match read_settings_file(path)? {
+        Ok(ParsedSettings::Instance(settings)) => *settings,
+        Ok(ParsedSettings::Role(settings)) => return run_role(matches, path, *settings),
+        Err(findings) => return Ok(print_findings(path, &findings)),
     };
     if matches.get_flag("init") {
-        return make_folder(&settings);
+        return create_data_folder(&settings);
     }
     let mut table = None;
     if let Some(path) = &settings.table {
@@ -86,7 +86,7 @@
             .with_context(|| format!("could not read table {}", path.display()))?;
         match ServiceTable::parse(&text, 1) {
             Ok(read) => table = Some(read),
-            Err(findings) => return Ok(report(path, &findings)),
+            Err(findings) => return Ok(print_findings(path, &findings)),
         }
     }
     if matches.get_flag("check") {
@@ -94,7 +94,7 @@
         return Ok(ExitCode::SUCCESS);
     }
     start_log(&settings.log)?;
-    serve(settings, table)?;
+    run_instance(settings, table)?;
     Ok(ExitCode::SUCCESS)
 }
 
@@ -117,20 +117,20 @@
         "instance: starting; no group key is set, other instances are believed by their address"
     );
     match settings.dialect {
-        DialectKind::Native => run_in::<NativeDialect>(settings, path)?,
-        DialectKind::Platform => run_in::<PlatformDialect>(settings, path)?,
+        DialectKind::Native => run_with_dialect::<NativeDialect>(settings, path)?,
+        DialectKind::Platform => run_with_dialect::<PlatformDialect>(settings, path)?,
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn run_in<D: ForwardDialect>(settings: RoleSettings, path: &Path) -> anyhow::Result<()> {
+fn run_with_dialect<D: ForwardDialect>(settings: RoleSettings, path: &Path) -> anyhow::Result<()> {
     match settings.role {
         RoleKind::Entry => run_entry::<D>(settings, path.to_path_buf()),
         RoleKind::Control => run_control::<D>(settings, path.to_path_buf()),
     }
 }
 
-fn make_folder(settings: &InstanceSettings) -> anyhow::Result<ExitCode> {
+fn create_data_folder(settings: &InstanceSettings) -> anyhow::Result<ExitCode> {
     let cluster = settings.cluster.as_ref();
     let cluster = cluster.context("could not initialize: the settings name no cluster")?;
     initialize(cluster, &settings.instance)?;
@@ -138,7 +138,10 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn report(path: &std::path::Path, findings: &wheelmast_core::finding::FindingList) -> ExitCode {
+fn print_findings(
+    path: &std::path::Path,
+    findings: &wheelmast_core::finding::FindingList,
+) -> ExitCode {
     for finding in findings.items() {
         eprintln!("{}:{finding}", path.display());
     }
@@ -159,7 +162,7 @@
     Ok(())
 }
 
-fn serve(settings: InstanceSettings, table: Option<ServiceTable>) -> anyhow::Result<()> {
+fn run_instance(settings: InstanceSettings, table: Option<ServiceTable>) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
--- a/crates/node/src/process/callers.rs
+++ b/crates/node/src/process/callers.rs
@@ -22,7 +22,7 @@
 use crate::process::fence::{claim_end, FenceDesk, FenceStop};
 use crate::process::ready::ReadyFlag;
 use crate::request::call::{make_call, CallError, CallRequest};
-use crate::request::respond::{respond_kept, respond_outcome, respond_problem};
+use crate::request::respond::{respond_outcome, respond_problem, respond_stored_answer};
 use crate::ring::RingSender;
 
 /// Largest body of a request, in bytes.
@@ -158,7 +158,7 @@
 ) -> Response {
     let claim = match fence.claim(&service, &request.body).await {
         Ok(claim) => claim,
-        Err(FenceStop::Ended(body)) => return respond_kept(body),
+        Err(FenceStop::Ended(body)) => return respond_stored_answer(body),
         Err(FenceStop::Problem(problem)) => return respond_problem(&problem),
     };
     let outcome = match make_call(&state.entry, request).await {
--- a/crates/node/src/process/control.rs
+++ b/crates/node/src/process/control.rs
@@ -293,7 +293,7 @@
 
 fn keep_all(store: &mut ReplicaStore, actions: &[ReplicaAction]) -> anyhow::Result<()> {
     for action in actions {
-        store.keep(action)?;
+        store.persist(action)?;
     }
     store.sync()
 }
--- a/crates/node/src/process/forward/run.rs
+++ b/crates/node/src/process/forward/run.rs
@@ -71,7 +71,7 @@
     let entry = Rc::new(EntryDuty::<D>::new(options, settings.log_plain_every));
     let (close, closing) = watch::channel(false);
     let feed = Rc::new(GroupFeed::new(entry.clone(), peer));
-    for seed in settings.seed_peers() {
+    for seed in settings.seed_peer_addresses() {
         feed.follow(seed);
     }
     tokio::task::spawn_local(entry.clone().keep_time());
--- a/crates/node/src/process/group/disk.rs
+++ b/crates/node/src/process/group/disk.rs
@@ -14,7 +14,7 @@
 use crate::process::duty::start_thread;
 use crate::process::store::folder::DataFolder;
 use crate::process::store::remembered::RememberedFile;
-use crate::process::store::replica_store::{KeptState, ReplicaStore};
+use crate::process::store::replica_store::{PersistedState, ReplicaStore};
 use crate::ring::{bounded_ring, RingReceiver, RingSender};
 
 /// Orders that may wait for the disk.
@@ -49,7 +49,7 @@
     /// The disk failed; nothing later lasts.
     Failed(String),
     /// The store was opened anew, for this epoch, with what it holds.
-    Opened(u64, Box<KeptState>),
+    Opened(u64, Box<PersistedState>),
 }
 
 /// The replica's end of the disk thread.
@@ -91,7 +91,7 @@
 impl DiskDuty {
     fn run(mut self, mut store: ReplicaStore) {
         while let Ok(order) = self.orders.recv() {
-            match self.keep(&mut store, order) {
+            match self.persist(&mut store, order) {
                 Ok(Some(batch)) => self.notes.put_blocking(DiskNote::Done(batch)),
                 Ok(None) => {}
                 Err(error) => {
@@ -106,7 +106,7 @@
     }
 
     /// Keeps an order and all that wait behind it with one sync.
-    fn keep(&self, store: &mut ReplicaStore, first: DiskOrder) -> anyhow::Result<Option<u64>> {
+    fn persist(&self, store: &mut ReplicaStore, first: DiskOrder) -> anyhow::Result<Option<u64>> {
         let mut last = None;
         let mut servers = None;
         let mut suspects = None;
@@ -114,7 +114,7 @@
         while let Some(order) = next {
             if order.epoch == self.epoch {
                 for action in &order.actions {
-                    store.keep(action)?;
+                    store.persist(action)?;
                 }
                 last = Some(order.batch);
                 servers = order.servers.or(servers);
@@ -124,13 +124,14 @@
         }
         store.sync()?;
         let folder = store.folder();
-        let remembered = servers.map(|servers| folder.remember(RememberedFile::Servers, &servers));
+        let remembered =
+            servers.map(|servers| folder.replace_remembered(RememberedFile::Servers, &servers));
         if let Some(Err(error)) = remembered {
             // They announce themselves in any case.
             tracing::warn!(target: "group", "disk: servers not remembered, {error:#}");
         }
         if let Some(suspects) = suspects {
-            folder.remember(RememberedFile::Suspects, &suspects)?;
+            folder.replace_remembered(RememberedFile::Suspects, &suspects)?;
         }
         Ok(last)
     }
@@ -138,18 +139,19 @@
     fn reopen(&mut self) -> ReplicaStore {
         loop {
             std::thread::sleep(REOPEN_TIME);
-            let opened = DataFolder::open_own(&self.path, &self.instance);
+            let opened = DataFolder::open_or_create(&self.path, &self.instance);
             let opened = opened.and_then(|(folder, _, _)| {
                 let mut store = ReplicaStore::open(folder)?;
-                store.rewrite()?;
+                store.rewrite_log()?;
                 Ok(store)
             });
             let Ok(store) = opened else {
                 continue;
             };
             self.epoch += 1;
-            let kept = Box::new(store.kept().clone());
-            self.notes.put_blocking(DiskNote::Opened(self.epoch, kept));
+            let persisted_state = Box::new(store.persisted_state().clone());
+            self.notes
+                .put_blocking(DiskNote::Opened(self.epoch, persisted_state));
             return store;
         }
     }
--- a/crates/node/src/process/group/replica.rs
+++ b/crates/node/src/process/group/replica.rs
@@ -16,7 +16,7 @@
 use crate::process::group::disk::{DiskNote, DiskOrder};
 use crate::process::group::node::GroupNode;
 use crate::process::group::state::{PublishedEvacuations, PublishedTable};
-use crate::process::store::replica_store::KeptState;
+use crate::process::store::replica_store::PersistedState;
 use crate::ring::RingReceiver;
 
 /// Longest time that a question to the leader may take.
@@ -30,13 +30,18 @@
 };
 
 /// Returns a replica that goes on with what its disk holds.
-pub fn make_replica(id: u64, kept: KeptState, tolerate: usize, now: Duration) -> ReplicaMachine {
+pub fn make_replica(
+    id: u64,
+    kept: PersistedState,
+    tolerate: usize,
+    now: Duration,
+) -> ReplicaMachine {
     let start = ReplicaStart {
         id,
         members: Vec::new(),
         target_size: tolerate * 2 + 1,
         hard_state: kept.hard_state,
-        snapshot: (kept.place, kept.state),
+        snapshot: (kept.snapshot_position, kept.state),
         entries: kept.entries,
         commit: kept.commit,
         timing: TIMING,
--- a/crates/node/src/process/group/run.rs
+++ b/crates/node/src/process/group/run.rs
@@ -52,7 +52,7 @@
         .data_folder
         .clone()
         .context("could not find data_folder")?;
-    let (folder, id, is_new) = DataFolder::open_own(&data, &settings.instance)?;
+    let (folder, id, is_new) = DataFolder::open_or_create(&data, &settings.instance)?;
     let store = ReplicaStore::open(folder)?;
     let servers = store.folder().remembered(RememberedFile::Servers);
     let servers = servers.unwrap_or_else(|error| {
@@ -70,8 +70,8 @@
         address: settings.peer_address(),
     };
     tracing::info!(target: "group", replica = id, is_new, address = %me.address, "replica: opened");
-    let kept = store.kept().clone();
-    let replica = make_replica(id, kept, settings.tolerate, clock.elapsed());
+    let persisted_state = store.persisted_state().clone();
+    let replica = make_replica(id, persisted_state, settings.tolerate, clock.elapsed());
     let line = start_disk(store, data, &settings.instance)?;
     let state = GroupState {
         replica: Some(replica),
@@ -81,7 +81,7 @@
     let control = settings.control.context("could not find listen.control")?;
     let calls = listen(control).await?;
     let peers = listen(settings.peer_address()).await?;
-    let seeds = settings.seed_peers();
+    let seeds = settings.seed_peer_addresses();
     let founds = settings.first_start && seeds.iter().min() == Some(&me.address);
     let node = Rc::new(GroupNode::new(
         settings,
--- a/crates/node/src/process/member.rs
+++ b/crates/node/src/process/member.rs
@@ -70,7 +70,7 @@
     };
     let folder = DataFolder::open(path, &identity(cluster, instance))?;
     let store = ReplicaStore::open(folder)?;
-    let kept = store.kept().clone();
+    let persisted_state = store.persisted_state().clone();
     let mut members = vec![replica_id(instance)];
     let replicas = cluster.peers.iter().filter(|peer| peer.is_replica);
     members.extend(replicas.map(|peer| replica_id(&peer.name)));
@@ -79,10 +79,10 @@
         id: replica_id(instance),
         members,
         target_size: 0,
-        hard_state: kept.hard_state,
-        snapshot: (kept.place, kept.state),
-        entries: kept.entries,
-        commit: kept.commit,
+        hard_state: persisted_state.hard_state,
+        snapshot: (persisted_state.snapshot_position, persisted_state.state),
+        entries: persisted_state.entries,
+        commit: persisted_state.commit,
         timing: ReplicaTiming::default(),
         safety_checks: SafetyChecks::default(),
         seed: rand::random(),
--- a/crates/node/src/process/reload.rs
+++ b/crates/node/src/process/reload.rs
@@ -9,7 +9,7 @@
 
 use tokio::signal::unix::{signal, SignalKind};
 
-use crate::settings::read::{read_any_file, AnySettings};
+use crate::settings::read::{read_settings_file, ParsedSettings};
 use crate::settings::role::RoleSettings;
 
 /// Interval at which the file is read without a signal.
@@ -31,7 +31,7 @@
         let Some(settings) = read_role_file(&path) else {
             continue;
         };
-        let seeds = settings.seed_peers();
+        let seeds = settings.seed_peer_addresses();
         if seeds != last {
             tracing::info!(?seeds, "settings: read");
             take(seeds.clone());
@@ -41,8 +41,8 @@
 }
 
 fn read_role_file(path: &Path) -> Option<RoleSettings> {
-    match read_any_file(path) {
-        Ok(Ok(AnySettings::Role(settings))) => Some(*settings),
+    match read_settings_file(path) {
+        Ok(Ok(ParsedSettings::Role(settings))) => Some(*settings),
         // It may be half written; what was read last holds.
         _ => None,
     }
--- a/crates/node/src/process/store/folder.rs
+++ b/crates/node/src/process/store/folder.rs
@@ -8,16 +8,16 @@
 use wheelmast_core::process::control::log::ReplicaId;
 
 /// Name of the lock file.
-const LOCK_NAME: &str = "lock";
+const LOCK_FILE: &str = "lock";
 /// Name of the identity file.
-const IDENTITY_NAME: &str = "identity.json";
+const IDENTITY_FILE: &str = "identity.json";
 
 /// Name of the identity file of a replica that draws its own identity.
-const REPLICA_NAME: &str = "replica.json";
+const REPLICA_IDENTITY_FILE: &str = "replica.json";
 
 /// The identity that a replica drew when its folder was made.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-struct OwnIdentity {
+struct ReplicaIdentity {
     instance: String,
     replica: ReplicaId,
     format: u32,
@@ -55,15 +55,15 @@
         std::fs::create_dir_all(path)
             .with_context(|| format!("could not make data folder {}", path.display()))?;
         let folder = DataFolder::lock(path)?;
-        let file = path.join(IDENTITY_NAME);
-        if file.exists() {
+        let file_path = path.join(IDENTITY_FILE);
+        if file_path.exists() {
             bail!(
                 "could not initialize {}: it holds data already; start without --init",
                 path.display()
             );
         }
         let text = serde_json::to_vec_pretty(identity)?;
-        folder.replace(IDENTITY_NAME, &text)?;
+        folder.replace_file(IDENTITY_FILE, &text)?;
         Ok(folder)
     }
 
@@ -73,29 +73,29 @@
     ///
     /// Fails if it is locked, empty, another's, or of a newer format.
     pub fn open(path: &Path, identity: &FolderIdentity) -> anyhow::Result<DataFolder> {
-        let file = path.join(IDENTITY_NAME);
-        let text = std::fs::read(&file).with_context(|| {
+        let file_path = path.join(IDENTITY_FILE);
+        let text = std::fs::read(&file_path).with_context(|| {
             format!(
                 "could not read {}; a replica that lost its disk must not come back as itself, \
                  as it may have voted; only a new control group is started with --init",
-                file.display()
+                file_path.display()
             )
         })?;
-        let found: FolderIdentity = serde_json::from_slice(&text)
-            .with_context(|| format!("could not read identity {}", file.display()))?;
-        if found.format > FOLDER_FORMAT {
+        let stored_identity: FolderIdentity = serde_json::from_slice(&text)
+            .with_context(|| format!("could not read identity {}", file_path.display()))?;
+        if stored_identity.format > FOLDER_FORMAT {
             bail!(
                 "could not use {}: format {} is newer than {FOLDER_FORMAT}; start a newer program",
                 path.display(),
-                found.format
+                stored_identity.format
             );
         }
-        if found != *identity {
+        if stored_identity != *identity {
             bail!(
                 "could not use {}: it belongs to instance {} of cluster {}",
                 path.display(),
-                found.instance,
-                found.cluster
+                stored_identity.instance,
+                stored_identity.cluster
             );
         }
         DataFolder::lock(path)
@@ -108,29 +108,34 @@
     /// # Errors
     ///
     /// Fails if the folder cannot be read or written, or is locked.
-    pub fn open_own(path: &Path, instance: &str) -> anyhow::Result<(DataFolder, ReplicaId, bool)> {
+    pub fn open_or_create(
+        path: &Path,
+        instance: &str,
+    ) -> anyhow::Result<(DataFolder, ReplicaId, bool)> {
         std::fs::create_dir_all(path)
             .with_context(|| format!("could not make data folder {}", path.display()))?;
         let folder = DataFolder::lock(path)?;
-        let file = path.join(REPLICA_NAME);
-        match std::fs::read(&file) {
+        let file_path = path.join(REPLICA_IDENTITY_FILE);
+        match std::fs::read(&file_path) {
             Ok(text) => {
-                let own: OwnIdentity = serde_json::from_slice(&text)
-                    .with_context(|| format!("could not read identity {}", file.display()))?;
-                Ok((folder, own.replica, false))
+                let replica_identity: ReplicaIdentity = serde_json::from_slice(&text)
+                    .with_context(|| format!("could not read identity {}", file_path.display()))?;
+                Ok((folder, replica_identity.replica, false))
             }
             Err(error) if error.kind() == std::io::ErrorKind::NotFound => {
-                let own = OwnIdentity {
+                let replica_identity = ReplicaIdentity {
                     instance: instance.to_string(),
                     replica: rand::random(),
                     format: FOLDER_FORMAT,
                 };
-                folder.replace(REPLICA_NAME, &serde_json::to_vec_pretty(&own)?)?;
-                Ok((folder, own.replica, true))
-            }
-            Err(error) => {
-                Err(error).with_context(|| format!("could not read identity {}", file.display()))
+                folder.replace_file(
+                    REPLICA_IDENTITY_FILE,
+                    &serde_json::to_vec_pretty(&replica_identity)?,
+                )?;
+                Ok((folder, replica_identity.replica, true))
             }
+            Err(error) => Err(error)
+                .with_context(|| format!("could not read identity {}", file_path.display())),
         }
     }
 
@@ -141,22 +146,22 @@
     ///
     /// Fails if it is none, or if another process uses it.
     pub fn open_existing(path: &Path) -> anyhow::Result<(DataFolder, ReplicaId)> {
-        let file = path.join(REPLICA_NAME);
-        let text = std::fs::read(&file)
-            .with_context(|| format!("could not read identity {}", file.display()))?;
-        let own: OwnIdentity = serde_json::from_slice(&text)
-            .with_context(|| format!("could not read identity {}", file.display()))?;
-        Ok((DataFolder::lock(path)?, own.replica))
+        let file_path = path.join(REPLICA_IDENTITY_FILE);
+        let text = std::fs::read(&file_path)
+            .with_context(|| format!("could not read identity {}", file_path.display()))?;
+        let replica_identity: ReplicaIdentity = serde_json::from_slice(&text)
+            .with_context(|| format!("could not read identity {}", file_path.display()))?;
+        Ok((DataFolder::lock(path)?, replica_identity.replica))
     }
 
     fn lock(path: &Path) -> anyhow::Result<DataFolder> {
-        let file = path.join(LOCK_NAME);
+        let file_path = path.join(LOCK_FILE);
         let lock = OpenOptions::new()
             .create(true)
             .truncate(false)
             .write(true)
-            .open(&file)
-            .with_context(|| format!("could not open {}", file.display()))?;
+            .open(&file_path)
+            .with_context(|| format!("could not open {}", file_path.display()))?;
         if lock.try_lock().is_err() {
             bail!("could not lock {}: another process uses it", path.display());
         }
@@ -171,16 +176,16 @@
     /// # Errors
     ///
     /// Fails if any step does; the old file then still stands.
-    pub fn replace(&self, name: &str, bytes: &[u8]) -> anyhow::Result<()> {
-        let place = self.path.join(name);
-        let beside = self.path.join(format!("{name}.new"));
-        let context = || format!("could not write {}", place.display());
-        std::fs::write(&beside, bytes).with_context(context)?;
-        File::open(&beside)
+    pub fn replace_file(&self, name: &str, bytes: &[u8]) -> anyhow::Result<()> {
+        let target_path = self.path.join(name);
+        let temporary_path = self.path.join(format!("{name}.new"));
+        let context = || format!("could not write {}", target_path.display());
+        std::fs::write(&temporary_path, bytes).with_context(context)?;
+        File::open(&temporary_path)
             .and_then(|file| file.sync_all())
             .with_context(context)?;
-        std::fs::rename(&beside, &place).with_context(context)?;
-        self.sync_entries()
+        std::fs::rename(&temporary_path, &target_path).with_context(context)?;
+        self.sync_folder()
     }
 
     /// Reads a file whole; none if there is none.
@@ -188,12 +193,14 @@
     /// # Errors
     ///
     /// Fails if it cannot be read.
-    pub fn read_whole(&self, name: &str) -> anyhow::Result<Option<Vec<u8>>> {
-        let file = self.path.join(name);
-        match std::fs::read(&file) {
+    pub fn read_file(&self, name: &str) -> anyhow::Result<Option<Vec<u8>>> {
+        let file_path = self.path.join(name);
+        match std::fs::read(&file_path) {
             Ok(bytes) => Ok(Some(bytes)),
             Err(error) if error.kind() == std::io::ErrorKind::NotFound => Ok(None),
-            Err(error) => Err(error).with_context(|| format!("could not read {}", file.display())),
+            Err(error) => {
+                Err(error).with_context(|| format!("could not read {}", file_path.display()))
+            }
         }
     }
 
@@ -202,7 +209,7 @@
     /// # Errors
     ///
     /// Fails if the system cannot.
-    pub fn sync_entries(&self) -> anyhow::Result<()> {
+    pub fn sync_folder(&self) -> anyhow::Result<()> {
         File::open(&self.path)
             .and_then(|folder| folder.sync_all())
             .with_context(|| format!("could not sync {}", self.path.display()))
@@ -213,12 +220,12 @@
     /// # Errors
     ///
     /// Fails if the folder cannot be read.
-    pub fn logs(&self) -> anyhow::Result<Vec<u64>> {
+    pub fn list_log_numbers(&self) -> anyhow::Result<Vec<u64>> {
         let entries = std::fs::read_dir(&self.path)
             .with_context(|| format!("could not read {}", self.path.display()))?;
         let mut numbers: Vec<u64> = entries
             .filter_map(|entry| entry.ok()?.file_name().into_string().ok())
-            .filter_map(|name| log_number(&name))
+            .filter_map(|name| parse_log_number(&name))
             .collect();
         numbers.sort_unstable();
         Ok(numbers)
@@ -226,11 +233,11 @@
 }
 
 /// Returns the name of a log file.
-pub fn log_name(number: u64) -> String {
+pub fn log_file_name(number: u64) -> String {
     format!("control-{number}.log")
 }
 
-fn log_number(name: &str) -> Option<u64> {
+fn parse_log_number(name: &str) -> Option<u64> {
     let number = name.strip_prefix("control-")?.strip_suffix(".log")?;
     number.parse().ok()
 }
--- a/crates/node/src/process/store/record.rs
+++ b/crates/node/src/process/store/record.rs
@@ -9,15 +9,15 @@
 /// First bytes of a log file: a name and the version of the format.
 pub const FILE_HEADER: &[u8; 8] = b"WMCTL\x00\x001";
 /// Bytes before a record's body.
-const HEAD: usize = 13;
+const RECORD_HEADER_BYTES: usize = 13;
 /// Largest body.
-const LARGEST: usize = 64 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
 /// Kind of a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordKind {
     /// Term and vote.
-    Hard,
+    HardState,
     /// An entry.
     Entry,
     /// The commit index.
@@ -25,30 +25,30 @@
     /// The state up to a place; entries up to it are dropped.
     Snapshot,
     /// Like a snapshot, and all entries are dropped.
-    Installed,
+    InstalledSnapshot,
     /// The end of what was written and synced together. A tear can only be in
     /// the last batch, in any of its records; that batch is cut as a whole.
-    Batch,
+    BatchEnd,
 }
 
-const KINDS: [(u8, RecordKind); 6] = [
-    (1, RecordKind::Hard),
+const KIND_CODES: [(u8, RecordKind); 6] = [
+    (1, RecordKind::HardState),
     (2, RecordKind::Entry),
     (3, RecordKind::Commit),
     (4, RecordKind::Snapshot),
-    (5, RecordKind::Installed),
-    (6, RecordKind::Batch),
+    (5, RecordKind::InstalledSnapshot),
+    (6, RecordKind::BatchEnd),
 ];
 
 impl RecordKind {
     fn code(self) -> u8 {
-        let mut kinds = KINDS.iter();
+        let mut kinds = KIND_CODES.iter();
         let found = kinds.find(|(_, kind)| *kind == self);
         found.map_or(0, |(code, _)| *code)
     }
 
     fn from_code(code: u8) -> Option<RecordKind> {
-        let mut kinds = KINDS.iter();
+        let mut kinds = KIND_CODES.iter();
         kinds
             .find(|(known, _)| *known == code)
             .map(|(_, kind)| *kind)
@@ -56,12 +56,12 @@
 }
 
 /// Appends a record to `bytes`.
-pub fn write_record(kind: RecordKind, body: &[u8], bytes: &mut Vec<u8>) {
+pub fn append_record(kind: RecordKind, body: &[u8], bytes: &mut Vec<u8>) {
     let start = bytes.len();
     bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
     bytes.push(kind.code());
-    let head = crc32fast::hash(&bytes[start..]);
-    bytes.extend_from_slice(&head.to_le_bytes());
+    let header_checksum = crc32fast::hash(&bytes[start..]);
+    bytes.extend_from_slice(&header_checksum.to_le_bytes());
     bytes.extend_from_slice(&crc32fast::hash(body).to_le_bytes());
     bytes.extend_from_slice(body);
 }
@@ -94,7 +94,7 @@
 
 /// A record read back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ReadRecord<'a> {
+pub struct ParsedRecord<'a> {
     /// Its kind.
     pub kind: RecordKind,
     /// Its body.
@@ -107,9 +107,9 @@
 #[derive(Debug)]
 pub struct FileRecords<'a> {
     /// The records in order.
-    pub records: Vec<ReadRecord<'a>>,
+    pub records: Vec<ParsedRecord<'a>>,
     /// Length of the good part; what is beyond is a torn tail.
-    pub good: usize,
+    pub valid_length: usize,
 }
 
 /// Reads the records of a file.
@@ -127,51 +127,54 @@
     }
     let mut records = Vec::new();
     let mut offset = FILE_HEADER.len();
-    let mut whole = None;
+    let mut last_batch_end = None;
     while offset < bytes.len() {
-        let Some(record) = read_at(bytes, offset) else {
+        let Some(record) = parse_record(bytes, offset) else {
             if count_batch_ends(bytes, offset + 1) > 1 {
                 return Err(FileDamage::Record { offset });
             }
             break;
         };
-        offset += HEAD + record.body.len();
+        offset += RECORD_HEADER_BYTES + record.body.len();
         records.push(record);
-        if record.kind == RecordKind::Batch {
-            whole = Some((records.len(), offset));
+        if record.kind == RecordKind::BatchEnd {
+            last_batch_end = Some((records.len(), offset));
         }
     }
     // A file without any batch was written by an older version.
-    let (count, good) = whole.unwrap_or((records.len(), offset));
+    let (count, valid_length) = last_batch_end.unwrap_or((records.len(), offset));
     records.truncate(count);
-    Ok(FileRecords { records, good })
+    Ok(FileRecords {
+        records,
+        valid_length,
+    })
 }
 
-fn read_at(bytes: &[u8], offset: usize) -> Option<ReadRecord<'_>> {
-    let head = bytes.get(offset..offset + HEAD)?;
-    if crc32fast::hash(&head[..5]) != number(&head[5..9]) {
+fn parse_record(bytes: &[u8], offset: usize) -> Option<ParsedRecord<'_>> {
+    let header = bytes.get(offset..offset + RECORD_HEADER_BYTES)?;
+    if crc32fast::hash(&header[..5]) != read_u32(&header[5..9]) {
         return None;
     }
-    let length = number(&head[..4]) as usize;
-    if length > LARGEST {
+    let length = read_u32(&header[..4]) as usize;
+    if length > MAX_BODY_BYTES {
         return None;
     }
-    let kind = RecordKind::from_code(head[4])?;
-    let body = bytes.get(offset + HEAD..offset + HEAD + length)?;
-    if crc32fast::hash(body) != number(&head[9..13]) {
+    let kind = RecordKind::from_code(header[4])?;
+    let body = bytes.get(offset + RECORD_HEADER_BYTES..offset + RECORD_HEADER_BYTES + length)?;
+    if crc32fast::hash(body) != read_u32(&header[9..13]) {
         return None;
     }
-    Some(ReadRecord { kind, body, offset })
+    Some(ParsedRecord { kind, body, offset })
 }
 
 fn count_batch_ends(bytes: &[u8], from: usize) -> usize {
-    let records = (from..bytes.len()).filter_map(|offset| read_at(bytes, offset));
+    let records = (from..bytes.len()).filter_map(|offset| parse_record(bytes, offset));
     records
-        .filter(|record| record.kind == RecordKind::Batch)
+        .filter(|record| record.kind == RecordKind::BatchEnd)
         .count()
 }
 
-fn number(bytes: &[u8]) -> u32 {
+fn read_u32(bytes: &[u8]) -> u32 {
     let mut array = [0; 4];
     array.copy_from_slice(&bytes[..4]);
     u32::from_le_bytes(array)
--- a/crates/node/src/process/store/remembered.rs
+++ b/crates/node/src/process/store/remembered.rs
@@ -23,7 +23,7 @@
 
 impl RememberedFile {
     /// Returns its name in the folder.
-    fn name(self) -> &'static str {
+    fn file_name(self) -> &'static str {
         match self {
             RememberedFile::Servers => "servers",
             RememberedFile::Suspects => "suspects",
@@ -31,7 +31,7 @@
     }
 }
 
-/// Encodes records for [`DataFolder::remember`].
+/// Encodes records for [`DataFolder::replace_remembered`].
 ///
 /// # Errors
 ///
@@ -46,8 +46,8 @@
     /// # Errors
     ///
     /// Fails if the file cannot be written.
-    pub fn remember(&self, file: RememberedFile, records: &[u8]) -> anyhow::Result<()> {
-        self.replace(file.name(), records)
+    pub fn replace_remembered(&self, file: RememberedFile, records: &[u8]) -> anyhow::Result<()> {
+        self.replace_file(file.file_name(), records)
     }
 
     /// Returns the records kept; none if there is no file.
@@ -56,9 +56,11 @@
     ///
     /// Fails if the file cannot be read or is none of these.
     pub fn remembered<T: DeserializeOwned>(&self, file: RememberedFile) -> anyhow::Result<Vec<T>> {
-        let name = file.name();
-        match self.read_whole(name)? {
-            Some(bytes) => decode(&bytes).with_context(|| format!("could not decode the {name}")),
+        let file_name = file.file_name();
+        match self.read_file(file_name)? {
+            Some(bytes) => {
+                decode(&bytes).with_context(|| format!("could not decode the {file_name}"))
+            }
             None => Ok(Vec::new()),
         }
     }
--- a/crates/node/src/process/store/replica_store.rs
+++ b/crates/node/src/process/store/replica_store.rs
@@ -13,16 +13,16 @@
 use wheelmast_core::process::control::state::ControlState;
 use wheelmast_wire::peer::{decode, encode};
 
-use crate::process::store::folder::{log_name, DataFolder};
-use crate::process::store::record::{read_records, write_record, RecordKind, FILE_HEADER};
+use crate::process::store::folder::{log_file_name, DataFolder};
+use crate::process::store::record::{append_record, read_records, RecordKind, FILE_HEADER};
 
 /// What a replica has kept.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct KeptState {
+pub struct PersistedState {
     /// Term and vote.
     pub hard_state: HardState,
     /// The last entry the snapshot includes.
-    pub place: LogPosition,
+    pub snapshot_position: LogPosition,
     /// The snapshot.
     pub state: ControlState,
     /// The entries after it.
@@ -31,8 +31,8 @@
     pub commit: u64,
 }
 
-impl KeptState {
-    fn keep_entry(&mut self, entry: LogEntry) {
+impl PersistedState {
+    fn apply_entry(&mut self, entry: LogEntry) {
         // Mostly it goes at the end; a new leader may replace the last ones.
         while self
             .entries
@@ -44,8 +44,8 @@
         self.entries.push(entry);
     }
 
-    fn keep_snapshot(&mut self, place: LogPosition, state: ControlState, is_installed: bool) {
-        self.place = place;
+    fn apply_snapshot(&mut self, place: LogPosition, state: ControlState, is_installed: bool) {
+        self.snapshot_position = place;
         self.state = state;
         self.commit = self.commit.max(place.index);
         if is_installed {
@@ -55,34 +55,34 @@
         }
     }
 
-    fn take(&mut self, kind: RecordKind, body: &[u8]) -> anyhow::Result<()> {
+    fn apply_record(&mut self, kind: RecordKind, body: &[u8]) -> anyhow::Result<()> {
         match kind {
-            RecordKind::Hard => self.hard_state = read(body)?,
-            RecordKind::Entry => self.keep_entry(read(body)?),
-            RecordKind::Commit => self.commit = read(body)?,
-            RecordKind::Batch => {}
-            RecordKind::Snapshot | RecordKind::Installed => {
-                let (place, state) = read_snapshot(body)?;
-                self.keep_snapshot(place, state, kind == RecordKind::Installed);
+            RecordKind::HardState => self.hard_state = decode_record(body)?,
+            RecordKind::Entry => self.apply_entry(decode_record(body)?),
+            RecordKind::Commit => self.commit = decode_record(body)?,
+            RecordKind::BatchEnd => {}
+            RecordKind::Snapshot | RecordKind::InstalledSnapshot => {
+                let (place, state) = decode_snapshot(body)?;
+                self.apply_snapshot(place, state, kind == RecordKind::InstalledSnapshot);
             }
         }
         Ok(())
     }
 }
 
-fn read<T: DeserializeOwned>(body: &[u8]) -> anyhow::Result<T> {
+fn decode_record<T: DeserializeOwned>(body: &[u8]) -> anyhow::Result<T> {
     decode(body).context("could not read a record of good checksum")
 }
 
 /// Reads a snapshot. One that an earlier program wrote lacks what is kept at its
 /// end since, and that was empty then.
-fn read_snapshot(body: &[u8]) -> anyhow::Result<(LogPosition, ControlState)> {
+fn decode_snapshot(body: &[u8]) -> anyhow::Result<(LogPosition, ControlState)> {
     let evacuations = encode(&EvacuationRegistry::default())?;
     let rollouts = encode(&RolloutRegistry::default())?;
-    let since_evacuations = [&*evacuations, &rollouts].concat();
-    read(body).or_else(|error| {
-        let mut ends = [rollouts, since_evacuations].into_iter();
-        let found = ends.find_map(|end| read(&[body, &end].concat()).ok());
+    let from_evacuations = [&*evacuations, &rollouts].concat();
+    decode_record(body).or_else(|error| {
+        let mut ends = [rollouts, from_evacuations].into_iter();
+        let found = ends.find_map(|end| decode_record(&[body, &end].concat()).ok());
         found.ok_or(error)
     })
 }
@@ -91,12 +91,12 @@
 #[derive(Debug)]
 pub struct ReplicaStore {
     folder: DataFolder,
-    number: u64,
+    log_number: u64,
     file: File,
-    kept: KeptState,
+    persisted_state: PersistedState,
     buffer: Vec<u8>,
     /// Syncs made, for measurements.
-    syncs: u64,
+    sync_count: u64,
 }
 
 impl ReplicaStore {
@@ -106,11 +106,11 @@
     ///
     /// Fails on damage, with file and offset.
     pub fn open(folder: DataFolder) -> anyhow::Result<ReplicaStore> {
-        let numbers = folder.logs()?;
-        let Some(number) = numbers.last().copied() else {
-            return ReplicaStore::begin(folder);
+        let log_numbers = folder.list_log_numbers()?;
+        let Some(log_number) = log_numbers.last().copied() else {
+            return ReplicaStore::create_log(folder);
         };
-        let path = folder.path.join(log_name(number));
+        let path = folder.path.join(log_file_name(log_number));
         let bytes =
             std::fs::read(&path).with_context(|| format!("could not read {}", path.display()))?;
         let found = match read_records(&bytes) {
@@ -121,61 +121,63 @@
                 path.display()
             ),
         };
-        let mut kept = KeptState::default();
+        let mut persisted_state = PersistedState::default();
         for record in &found.records {
-            kept.take(record.kind, record.body).with_context(|| {
-                format!(
-                    "could not use {}: record at offset {}",
-                    path.display(),
-                    record.offset
-                )
-            })?;
+            persisted_state
+                .apply_record(record.kind, record.body)
+                .with_context(|| {
+                    format!(
+                        "could not use {}: record at offset {}",
+                        path.display(),
+                        record.offset
+                    )
+                })?;
         }
         let mut file = OpenOptions::new().write(true).open(&path)?;
-        if found.good < bytes.len() {
+        if found.valid_length < bytes.len() {
             tracing::warn!(
                 "store: torn tail of {} bytes cut at offset {} of {}",
-                bytes.len() - found.good,
-                found.good,
+                bytes.len() - found.valid_length,
+                found.valid_length,
                 path.display()
             );
-            file.set_len(found.good as u64)?;
+            file.set_len(found.valid_length as u64)?;
             file.sync_all()?;
         }
         file.seek(SeekFrom::End(0))?;
         // Left behind by a crash between two steps of a compaction.
-        for old in &numbers[..numbers.len() - 1] {
-            std::fs::remove_file(folder.path.join(log_name(*old)))?;
+        for old in &log_numbers[..log_numbers.len() - 1] {
+            std::fs::remove_file(folder.path.join(log_file_name(*old)))?;
         }
         Ok(ReplicaStore {
             folder,
-            number,
+            log_number,
             file,
-            kept,
+            persisted_state,
             buffer: Vec::new(),
-            syncs: 0,
+            sync_count: 0,
         })
     }
 
-    fn begin(folder: DataFolder) -> anyhow::Result<ReplicaStore> {
-        let number = 1;
-        folder.replace(&log_name(number), FILE_HEADER)?;
-        let path = folder.path.join(log_name(number));
+    fn create_log(folder: DataFolder) -> anyhow::Result<ReplicaStore> {
+        let log_number = 1;
+        folder.replace_file(&log_file_name(log_number), FILE_HEADER)?;
+        let path = folder.path.join(log_file_name(log_number));
         let mut file = OpenOptions::new().write(true).open(path)?;
         file.seek(SeekFrom::End(0))?;
         Ok(ReplicaStore {
             folder,
-            number,
+            log_number,
             file,
-            kept: KeptState::default(),
+            persisted_state: PersistedState::default(),
             buffer: Vec::new(),
-            syncs: 0,
+            sync_count: 0,
         })
     }
 
     /// Returns what is kept.
-    pub fn kept(&self) -> &KeptState {
-        &self.kept
+    pub fn persisted_state(&self) -> &PersistedState {
+        &self.persisted_state
     }
 
     /// Returns the folder it is kept in.
@@ -184,8 +186,8 @@
     }
 
     /// Returns the number of syncs made.
-    pub fn syncs(&self) -> u64 {
-        self.syncs
+    pub fn sync_count(&self) -> u64 {
+        self.sync_count
     }
 
     /// Takes an action that is to be kept; [`ReplicaStore::sync`] makes it
@@ -194,18 +196,18 @@
     /// # Errors
     ///
     /// Fails if a snapshot cannot be written.
-    pub fn keep(&mut self, action: &ReplicaAction) -> anyhow::Result<()> {
+    pub fn persist(&mut self, action: &ReplicaAction) -> anyhow::Result<()> {
         match action {
             ReplicaAction::PersistHardState(hard_state) => {
-                self.kept.hard_state = *hard_state;
-                self.append(RecordKind::Hard, hard_state)
+                self.persisted_state.hard_state = *hard_state;
+                self.append(RecordKind::HardState, hard_state)
             }
             ReplicaAction::PersistEntry(entry) => {
-                self.kept.keep_entry(entry.clone());
+                self.persisted_state.apply_entry(entry.clone());
                 self.append(RecordKind::Entry, entry)
             }
             ReplicaAction::PersistCommitIndex(commit) => {
-                self.kept.commit = *commit;
+                self.persisted_state.commit = *commit;
                 self.append(RecordKind::Commit, commit)
             }
             ReplicaAction::PersistSnapshot {
@@ -214,15 +216,16 @@
                 is_installed,
             } => {
                 let state = (**state).clone();
-                self.kept.keep_snapshot(*place, state, *is_installed);
-                self.rewrite()
+                self.persisted_state
+                    .apply_snapshot(*place, state, *is_installed);
+                self.rewrite_log()
             }
             _ => Ok(()),
         }
     }
 
     fn append<T: Serialize>(&mut self, kind: RecordKind, value: &T) -> anyhow::Result<()> {
-        write_record(kind, &encode(value)?, &mut self.buffer);
+        append_record(kind, &encode(value)?, &mut self.buffer);
         Ok(())
     }
 
@@ -236,13 +239,13 @@
         if self.buffer.is_empty() {
             return Ok(());
         }
-        write_record(RecordKind::Batch, &[], &mut self.buffer);
+        append_record(RecordKind::BatchEnd, &[], &mut self.buffer);
         self.file
             .write_all(&self.buffer)
             .and_then(|()| self.file.sync_data())
-            .with_context(|| format!("could not keep {}", log_name(self.number)))?;
+            .with_context(|| format!("could not keep {}", log_file_name(self.log_number)))?;
         self.buffer.clear();
-        self.syncs += 1;
+        self.sync_count += 1;
         Ok(())
     }
 
@@ -252,30 +255,37 @@
     /// # Errors
     ///
     /// Fails if the system cannot write or sync.
-    pub fn rewrite(&mut self) -> anyhow::Result<()> {
+    pub fn rewrite_log(&mut self) -> anyhow::Result<()> {
         let mut bytes = FILE_HEADER.to_vec();
-        let snapshot = encode(&(self.kept.place, &self.kept.state))?;
-        write_record(RecordKind::Snapshot, &snapshot, &mut bytes);
-        write_record(
-            RecordKind::Hard,
-            &encode(&self.kept.hard_state)?,
+        let snapshot = encode(&(
+            self.persisted_state.snapshot_position,
+            &self.persisted_state.state,
+        ))?;
+        append_record(RecordKind::Snapshot, &snapshot, &mut bytes);
+        append_record(
+            RecordKind::HardState,
+            &encode(&self.persisted_state.hard_state)?,
             &mut bytes,
         );
-        for entry in &self.kept.entries {
-            write_record(RecordKind::Entry, &encode(entry)?, &mut bytes);
+        for entry in &self.persisted_state.entries {
+            append_record(RecordKind::Entry, &encode(entry)?, &mut bytes);
         }
-        write_record(RecordKind::Commit, &encode(&self.kept.commit)?, &mut bytes);
-        write_record(RecordKind::Batch, &[], &mut bytes);
-        let old = self.folder.path.join(log_name(self.number));
-        self.number += 1;
-        let name = log_name(self.number);
-        self.folder.replace(&name, &bytes)?;
+        append_record(
+            RecordKind::Commit,
+            &encode(&self.persisted_state.commit)?,
+            &mut bytes,
+        );
+        append_record(RecordKind::BatchEnd, &[], &mut bytes);
+        let old = self.folder.path.join(log_file_name(self.log_number));
+        self.log_number += 1;
+        let name = log_file_name(self.log_number);
+        self.folder.replace_file(&name, &bytes)?;
         let path = self.folder.path.join(&name);
         self.file = OpenOptions::new().write(true).open(path)?;
         self.file.seek(SeekFrom::End(0))?;
         // All of it is in the new file.
         self.buffer.clear();
-        self.syncs += 1;
+        self.sync_count += 1;
         std::fs::remove_file(&old).with_context(|| format!("could not remove {}", old.display()))
     }
 }
--- a/crates/node/src/request/call.rs
+++ b/crates/node/src/request/call.rs
@@ -9,18 +9,18 @@
 use crate::process::entry::EntryMessage;
 use crate::ring::RingSender;
 
-static CALLS: AtomicU64 = AtomicU64::new(1);
+static NEXT_CALL_TAG: AtomicU64 = AtomicU64::new(1);
 
 /// Tells the entry thread that a caller left, if it is dropped early.
 struct CallGuard {
     call: CallTag,
     ring: RingSender<EntryMessage>,
-    armed: bool,
+    is_armed: bool,
 }
 
 impl Drop for CallGuard {
     fn drop(&mut self) {
-        if self.armed {
+        if self.is_armed {
             // Without room the query ends at its deadline instead.
             let message = EntryMessage::Input(EntryInput::CallerLeft(self.call));
             let _ = self.ring.offer(message);
@@ -58,7 +58,7 @@
     ring: &RingSender<EntryMessage>,
     request: CallRequest,
 ) -> Result<QueryOutcome, CallError> {
-    let call = CallTag(CALLS.fetch_add(1, Ordering::Relaxed));
+    let call = CallTag(NEXT_CALL_TAG.fetch_add(1, Ordering::Relaxed));
     let (sender, receiver) = oneshot::channel();
     let request = QueryRequest {
         call,
@@ -74,9 +74,9 @@
     let mut guard = CallGuard {
         call,
         ring: ring.clone(),
-        armed: true,
+        is_armed: true,
     };
     let outcome = receiver.await;
-    guard.armed = false;
+    guard.is_armed = false;
     outcome.map_err(|_| CallError::Ended)
 }
--- a/crates/node/src/request/respond.rs
+++ b/crates/node/src/request/respond.rs
@@ -19,7 +19,7 @@
 
 /// Returns the response for a submission that ran before: the answer its
 /// first caller got, as JSON text.
-pub fn respond_kept(answer: String) -> Response {
+pub fn respond_stored_answer(answer: String) -> Response {
     let mut response = answer.into_response();
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, json);
--- a/crates/node/src/ring.rs
+++ b/crates/node/src/ring.rs
@@ -24,9 +24,9 @@
 /// The receiving end of a ring.
 pub type RingReceiver<T> = mpsc::Receiver<T>;
 
-/// Makes a ring with room for `length` messages.
-pub fn bounded_ring<T>(length: usize) -> (RingSender<T>, RingReceiver<T>) {
-    let (sender, receiver) = mpsc::channel(length);
+/// Makes a ring with room for `capacity` messages.
+pub fn bounded_ring<T>(capacity: usize) -> (RingSender<T>, RingReceiver<T>) {
+    let (sender, receiver) = mpsc::channel(capacity);
     let sender = RingSender {
         sender,
         dropped: Arc::default(),
--- a/crates/node/src/settings/read.rs
+++ b/crates/node/src/settings/read.rs
@@ -15,11 +15,11 @@
 use crate::settings::role::{read_role, RoleSettings};
 
 /// What an address must be.
-const ADDRESS_ALLOWED: &str = "an IP address and port, like \"127.0.0.1:7400\"";
+const ADDRESS_FORMAT: &str = "an IP address and port, like \"127.0.0.1:7400\"";
 
 /// Settings of either kind.
 #[derive(Debug, Clone)]
-pub enum AnySettings {
+pub enum ParsedSettings {
     /// Of an instance that answers queries from snapshots.
     Instance(Box<InstanceSettings>),
     /// Of an instance with a role in forwarding.
@@ -32,10 +32,10 @@
 /// # Errors
 ///
 /// Fails if the file cannot be read; the inner result carries the findings.
-pub fn read_any_file(path: &Path) -> anyhow::Result<Result<AnySettings, FindingList>> {
+pub fn read_settings_file(path: &Path) -> anyhow::Result<Result<ParsedSettings, FindingList>> {
     let text = std::fs::read_to_string(path)
         .with_context(|| format!("could not read settings {}", path.display()))?;
-    Ok(read_any(&text))
+    Ok(read_settings_text(&text))
 }
 
 /// Reads settings of either kind out of JSON with comments.
@@ -43,7 +43,7 @@
 /// # Errors
 ///
 /// Returns all findings at once.
-pub fn read_any(text: &str) -> Result<AnySettings, FindingList> {
+pub fn read_settings_text(text: &str) -> Result<ParsedSettings, FindingList> {
     let parsed = parse_to_ast(text, &Default::default(), &Default::default());
     let value = parsed
         .as_ref()
@@ -51,12 +51,13 @@
         .and_then(|parsed| parsed.value.as_ref());
     let object = value.and_then(|value| value.as_object());
     let Some(object) = object.filter(|object| object.get("role").is_some()) else {
-        return read_settings(text).map(|settings| AnySettings::Instance(Box::new(settings)));
+        return read_instance_settings(text)
+            .map(|settings| ParsedSettings::Instance(Box::new(settings)));
     };
     let mut findings = FindingList::default();
     let settings = read_role(text, object, &mut findings);
     match settings {
-        Some(settings) if findings.is_empty() => Ok(AnySettings::Role(Box::new(settings))),
+        Some(settings) if findings.is_empty() => Ok(ParsedSettings::Role(Box::new(settings))),
         _ => Err(findings),
     }
 }
@@ -66,7 +67,7 @@
 /// # Errors
 ///
 /// Returns all findings at once.
-pub fn read_settings(text: &str) -> Result<InstanceSettings, FindingList> {
+pub fn read_instance_settings(text: &str) -> Result<InstanceSettings, FindingList> {
     let mut findings = FindingList::default();
     let parsed = match parse_to_ast(text, &Default::default(), &Default::default()) {
         Ok(parsed) => parsed,
@@ -100,45 +101,48 @@
     findings: &mut FindingList,
 ) {
     for name in ["instance", "failure_domain", "listen"] {
-        reader.require(name, findings);
+        reader.require_field(name, findings);
     }
-    set(&mut settings.instance, reader.text("instance", findings));
-    set(
+    set_if_some(
+        &mut settings.instance,
+        reader.read_string("instance", findings),
+    );
+    set_if_some(
         &mut settings.domain,
-        reader.text("failure_domain", findings),
+        reader.read_string("failure_domain", findings),
     );
-    set(&mut settings.region, reader.text("region", findings));
-    settings.source = reader.parsed("source", "an IP address", findings);
-    settings.table = reader.text("table", findings).map(PathBuf::from);
-    set(
+    set_if_some(&mut settings.region, reader.read_string("region", findings));
+    settings.source = reader.read_parsed("source", "an IP address", findings);
+    settings.table = reader.read_string("table", findings).map(PathBuf::from);
+    set_if_some(
         &mut settings.instances,
-        reader.number("instances", 1, 1000, findings),
+        reader.read_integer("instances", 1, 1000, findings),
     );
-    set(
+    set_if_some(
         &mut settings.in_flight,
-        reader.number("in_flight", 1, 100_000, findings),
+        reader.read_integer("in_flight", 1, 100_000, findings),
     );
-    set(
+    set_if_some(
         &mut settings.connections,
-        reader.number("connections", 1, 100_000, findings),
+        reader.read_integer("connections", 1, 100_000, findings),
     );
-    set(
+    set_if_some(
         &mut settings.decisions_per_second,
-        reader.number("decisions_per_second", 0, 1_000_000, findings),
+        reader.read_integer("decisions_per_second", 0, 1_000_000, findings),
     );
-    let notice = reader.number("drain_notice_ms", 0, 60_000, findings);
-    set(
+    let notice = reader.read_integer("drain_notice_ms", 0, 60_000, findings);
+    set_if_some(
         &mut settings.drain_notice,
         notice.map(|millis| Duration::from_millis(u64::from(millis))),
     );
     let mut peer_listener = None;
-    if let Some(listen) = reader.object("listen", findings) {
+    if let Some(listen) = reader.read_object("listen", findings) {
         peer_listener = read_listen(listen, settings, findings);
     }
-    let token = reader.text("operator_token_file", findings);
+    let token = reader.read_string("operator_token_file", findings);
     settings.operator_token = token.map(|path| KeySource::File(path.into()));
-    if let Some(cluster) = reader.object("cluster", findings) {
-        let place = reader.whole_place();
+    if let Some(cluster) = reader.read_object("cluster", findings) {
+        let place = reader.object_place();
         settings.cluster = read_cluster(cluster, peer_listener, place.clone(), findings);
         if settings.table.is_some() {
             findings.add(
@@ -147,7 +151,7 @@
             );
         }
     }
-    if let Some(log) = reader.object("log", findings) {
+    if let Some(log) = reader.read_object("log", findings) {
         read_log(log, settings, findings);
     }
     reader.finish(findings);
@@ -158,23 +162,23 @@
     settings: &mut InstanceSettings,
     findings: &mut FindingList,
 ) -> Option<SocketAddr> {
-    let allowed = ADDRESS_ALLOWED;
+    let expected = ADDRESS_FORMAT;
     for name in ["callers", "operators", "upstreams"] {
-        reader.require(name, findings);
+        reader.require_field(name, findings);
     }
-    set(
+    set_if_some(
         &mut settings.callers,
-        reader.parsed("callers", allowed, findings),
+        reader.read_parsed("callers", expected, findings),
     );
-    set(
+    set_if_some(
         &mut settings.operators,
-        reader.parsed("operators", allowed, findings),
+        reader.read_parsed("operators", expected, findings),
     );
-    set(
+    set_if_some(
         &mut settings.upstreams,
-        reader.parsed("upstreams", allowed, findings),
+        reader.read_parsed("upstreams", expected, findings),
     );
-    let peers = reader.parsed("peers", allowed, findings);
+    let peers = reader.read_parsed("peers", expected, findings);
     reader.finish(findings);
     peers
 }
@@ -186,12 +190,14 @@
     findings: &mut FindingList,
 ) -> Option<ClusterSettings> {
     for name in ["name", "key_file"] {
-        reader.require(name, findings);
+        reader.require_field(name, findings);
     }
-    let cluster = reader.text("name", findings);
-    let key = reader.text("key_file", findings);
-    let data_folder = reader.text("data_folder", findings).map(PathBuf::from);
-    let readers = reader.objects("peers", findings);
+    let cluster = reader.read_string("name", findings);
+    let key = reader.read_string("key_file", findings);
+    let data_folder = reader
+        .read_string("data_folder", findings)
+        .map(PathBuf::from);
+    let readers = reader.read_object_list("peers", findings);
     let peers = readers
         .into_iter()
         .filter_map(|peer| read_peer(peer, findings));
@@ -211,11 +217,11 @@
 
 fn read_peer(mut reader: ObjectReader<'_, '_>, findings: &mut FindingList) -> Option<PeerSettings> {
     for name in ["name", "address"] {
-        reader.require(name, findings);
+        reader.require_field(name, findings);
     }
-    let name = reader.text("name", findings);
-    let address = reader.parsed("address", ADDRESS_ALLOWED, findings);
-    let replica = reader.flag("replica", findings);
+    let name = reader.read_string("name", findings);
+    let address = reader.read_parsed("address", ADDRESS_FORMAT, findings);
+    let replica = reader.read_bool("replica", findings);
     reader.finish(findings);
     Some(PeerSettings {
         name: name?,
@@ -229,21 +235,24 @@
     settings: &mut InstanceSettings,
     findings: &mut FindingList,
 ) {
-    match reader.word("format", &["text", "json"], findings) {
+    match reader.read_choice("format", &["text", "json"], findings) {
         Some("json") => settings.log.format = LogFormat::Json,
         Some(_) => settings.log.format = LogFormat::Text,
         None => {}
     }
-    set(&mut settings.log.level, reader.text("level", findings));
-    set(
+    set_if_some(
+        &mut settings.log.level,
+        reader.read_string("level", findings),
+    );
+    set_if_some(
         &mut settings.log.decisions,
-        reader.flag("decisions", findings),
+        reader.read_bool("decisions", findings),
     );
     reader.finish(findings);
 }
 
 /// Sets a field if a value was read for it.
-fn set<T>(field: &mut T, value: Option<T>) {
+fn set_if_some<T>(field: &mut T, value: Option<T>) {
     if let Some(value) = value {
         *field = value;
     }
--- a/crates/node/src/settings/reader.rs
+++ b/crates/node/src/settings/reader.rs
@@ -11,7 +11,7 @@
 pub struct ObjectReader<'a, 't> {
     text: &'t str,
     object: &'a Object<'t>,
-    known: HashSet<&'static str>,
+    known_fields: HashSet<&'static str>,
 }
 
 impl<'a, 't> ObjectReader<'a, 't> {
@@ -20,93 +20,97 @@
         ObjectReader {
             text,
             object,
-            known: HashSet::new(),
+            known_fields: HashSet::new(),
         }
     }
 
     /// Returns the place of a node.
-    pub fn place(&self, node: &impl Ranged) -> FindingPlace {
-        place_at(self.text, node.range())
+    pub fn place_of(&self, node: &impl Ranged) -> FindingPlace {
+        find_place(self.text, node.range())
     }
 
     /// Returns the place of the object itself.
-    pub fn whole_place(&self) -> FindingPlace {
-        self.place(self.object)
+    pub fn object_place(&self) -> FindingPlace {
+        self.place_of(self.object)
     }
 
     /// Returns the value of a field, if it is there.
-    pub fn field(&mut self, name: &'static str) -> Option<&'a Value<'t>> {
-        self.known.insert(name);
+    pub fn find_field(&mut self, name: &'static str) -> Option<&'a Value<'t>> {
+        self.known_fields.insert(name);
         self.object.get(name).map(|property| &property.value)
     }
 
     /// Reads a text.
-    pub fn text(&mut self, name: &'static str, findings: &mut FindingList) -> Option<String> {
-        let value = self.field(name)?;
+    pub fn read_string(
+        &mut self,
+        name: &'static str,
+        findings: &mut FindingList,
+    ) -> Option<String> {
+        let value = self.find_field(name)?;
         match value.as_string_lit() {
             Some(text) if !text.value.is_empty() => Some(text.value.to_string()),
             _ => {
-                self.report(value, name, "a text that is not empty", findings);
+                self.report_invalid(value, name, "a text that is not empty", findings);
                 None
             }
         }
     }
 
     /// Reads a value out of its text.
-    pub fn parsed<T: std::str::FromStr>(
+    pub fn read_parsed<T: std::str::FromStr>(
         &mut self,
         name: &'static str,
-        allowed: &str,
+        expected: &str,
         findings: &mut FindingList,
     ) -> Option<T> {
-        let value = self.field(name)?;
+        let value = self.find_field(name)?;
         let text = value.as_string_lit();
         let parsed = text.and_then(|text| text.value.parse().ok());
         if parsed.is_none() {
-            self.report(value, name, allowed, findings);
+            self.report_invalid(value, name, expected, findings);
         }
         parsed
     }
 
     /// Reads a whole number.
-    pub fn number(
+    pub fn read_integer(
         &mut self,
         name: &'static str,
-        least: u32,
-        most: u32,
+        minimum: u32,
+        maximum: u32,
         findings: &mut FindingList,
     ) -> Option<u32> {
-        let value = self.field(name)?;
+        let value = self.find_field(name)?;
         let literal = value.as_number_lit();
         let number = literal.and_then(|literal| literal.value.parse::<u32>().ok());
-        let number = number.filter(|number| (least..=most).contains(number));
+        let number = number.filter(|number| (minimum..=maximum).contains(number));
         if number.is_none() {
-            let allowed = format!("a whole number from {least} to {most}");
-            self.report(value, name, &allowed, findings);
+            let expected = format!("a whole number from {minimum} to {maximum}");
+            self.report_invalid(value, name, &expected, findings);
         }
         number
     }
 
     /// Reads a number that may have a fraction.
-    pub fn decimal(&mut self, name: &'static str, findings: &mut FindingList) -> Option<f64> {
-        let value = self.field(name)?;
+    pub fn read_decimal(&mut self, name: &'static str, findings: &mut FindingList) -> Option<f64> {
+        let value = self.find_field(name)?;
         let literal = value.as_number_lit();
         let number = literal.and_then(|literal| literal.value.parse::<f64>().ok());
         let number = number.filter(|number| number.is_finite() && *number >= 0.0);
         if number.is_none() {
-            self.report(value, name, "a number from 0", findings);
+            self.report_invalid(value, name, "a number from 0", findings);
         }
         number
     }
 
     /// Reads a list of values out of their texts.
-    pub fn parsed_list<T: std::str::FromStr>(
+    pub fn read_parsed_list<T: std::str::FromStr>(
         &mut self,
         name: &'static str,
-        allowed: &str,
+        expected: &str,
         findings: &mut FindingList,
     ) -> Vec<T> {
-        let Some(value) = self.field(name) else {
+        let Some(value) = self.find_field(name) else {
             return Vec::new();
         };
         let items = value.as_array().map(|array| {
@@ -116,58 +120,58 @@
                 .collect::<Option<Vec<T>>>()
         });
         let Some(Some(items)) = items else {
-            self.report(value, name, &format!("a list, each {allowed}"), findings);
+            self.report_invalid(value, name, &format!("a list, each {expected}"), findings);
             return Vec::new();
         };
         items
     }
 
     /// Reads true or false.
-    pub fn flag(&mut self, name: &'static str, findings: &mut FindingList) -> Option<bool> {
-        let value = self.field(name)?;
+    pub fn read_bool(&mut self, name: &'static str, findings: &mut FindingList) -> Option<bool> {
+        let value = self.find_field(name)?;
         let flag = value.as_boolean_lit().map(|literal| literal.value);
         if flag.is_none() {
-            self.report(value, name, "true or false", findings);
+            self.report_invalid(value, name, "true or false", findings);
         }
         flag
     }
 
     /// Reads one of some words.
-    pub fn word(
+    pub fn read_choice(
         &mut self,
         name: &'static str,
-        words: &[&'static str],
+        choices: &[&'static str],
         findings: &mut FindingList,
     ) -> Option<&'static str> {
-        let value = self.field(name)?;
+        let value = self.find_field(name)?;
         let text = value.as_string_lit().map(|literal| &*literal.value);
-        let found = words.iter().find(|word| text == Some(**word)).copied();
+        let found = choices.iter().find(|word| text == Some(**word)).copied();
         if found.is_none() {
-            let message = format!("{name}: must be one of {}", words.join(", "));
-            let hint = text.and_then(|text| suggest_name(text, words.iter().copied()));
-            findings.add_with_hint(self.place(value), message, hint);
+            let message = format!("{name}: must be one of {}", choices.join(", "));
+            let hint = text.and_then(|text| suggest_name(text, choices.iter().copied()));
+            findings.add_with_hint(self.place_of(value), message, hint);
         }
         found
     }
 
     /// Reads an object of texts under names that are the operator's own.
-    pub fn names(
+    pub fn read_string_map(
         &mut self,
         name: &'static str,
         findings: &mut FindingList,
     ) -> Vec<(Box<str>, Box<str>)> {
-        let Some(value) = self.field(name) else {
+        let Some(value) = self.find_field(name) else {
             return Vec::new();
         };
         let Some(object) = value.as_object() else {
-            self.report(value, name, "an object of texts", findings);
+            self.report_invalid(value, name, "an object of texts", findings);
             return Vec::new();
         };
         let mut names: Vec<(Box<str>, Box<str>)> = Vec::new();
         for property in &object.properties {
             let key = property.name.as_str();
             let Some(text) = property.value.as_string_lit() else {
-                self.report(&property.value, name, "an object of texts", findings);
+                self.report_invalid(&property.value, name, "an object of texts", findings);
                 continue;
             };
             if names.iter().any(|(other, _)| **other == *key) {
@@ -180,28 +184,28 @@
     }
 
     /// Reads an object, to be read on by its own reader.
-    pub fn object(
+    pub fn read_object(
         &mut self,
         name: &'static str,
         findings: &mut FindingList,
     ) -> Option<ObjectReader<'a, 't>> {
-        let value = self.field(name)?;
+        let value = self.find_field(name)?;
         match value.as_object() {
             Some(object) => Some(ObjectReader::new(self.text, object)),
             None => {
-                self.report(value, name, "an object", findings);
+                self.report_invalid(value, name, "an object", findings);
                 None
             }
         }
     }
 
     /// Reads a list of objects, each to be read on by its own reader.
-    pub fn objects(
+    pub fn read_object_list(
         &mut self,
         name: &'static str,
         findings: &mut FindingList,
     ) -> Vec<ObjectReader<'a, 't>> {
-        let Some(value) = self.field(name) else {
+        let Some(value) = self.find_field(name) else {
             return Vec::new();
         };
         let objects = value.as_array().map(|array| {
@@ -209,7 +213,7 @@
             objects.collect::<Option<Vec<_>>>()
         });
         let Some(Some(objects)) = objects else {
-            self.report(value, name, "a list of objects", findings);
+            self.report_invalid(value, name, "a list of objects", findings);
             return Vec::new();
         };
         let text = self.text;
@@ -220,9 +224,9 @@
     }
 
     /// Reports a required field that is not there.
-    pub fn require(&self, name: &'static str, findings: &mut FindingList) {
+    pub fn require_field(&self, name: &'static str, findings: &mut FindingList) {
         if self.object.get(name).is_none() {
-            findings.add(self.place(self.object), format!("{name}: missing"));
+            findings.add(self.place_of(self.object), format!("{name}: missing"));
         }
     }
 
@@ -237,8 +241,8 @@
                     format!("{name}: named twice"),
                 );
             }
-            if !self.known.contains(name) {
-                let hint = suggest_name(name, self.known.iter().copied());
+            if !self.known_fields.contains(name) {
+                let hint = suggest_name(name, self.known_fields.iter().copied());
                 let message = format!("{name}: unknown key");
                 findings.add_with_hint(self.property_place(property), message, hint);
             }
@@ -246,16 +250,22 @@
     }
 
     fn property_place(&self, property: &ObjectProp<'_>) -> FindingPlace {
-        place_at(self.text, property.range)
+        find_place(self.text, property.range)
     }
 
-    fn report(&self, value: &Value<'_>, name: &str, allowed: &str, findings: &mut FindingList) {
-        findings.add(self.place(value), format!("{name}: must be {allowed}"));
+    fn report_invalid(
+        &self,
+        value: &Value<'_>,
+        name: &str,
+        expected: &str,
+        findings: &mut FindingList,
+    ) {
+        findings.add(self.place_of(value), format!("{name}: must be {expected}"));
     }
 }
 
 /// Returns the line and column where a range starts.
-fn place_at(text: &str, range: Range) -> FindingPlace {
+fn find_place(text: &str, range: Range) -> FindingPlace {
     let before = &text[..range.start];
     let line_start = before.rfind('\n').map_or(0, |newline| newline + 1);
     FindingPlace::Text {
--- a/crates/node/src/settings/role.rs
+++ b/crates/node/src/settings/role.rs
@@ -18,15 +18,15 @@
 use crate::settings::reader::ObjectReader;
 
 /// What an address must be.
-const ADDRESS_ALLOWED: &str = "an IP address and port, like \"127.0.0.1:7400\"";
+const ADDRESS_FORMAT: &str = "an IP address and port, like \"127.0.0.1:7400\"";
 /// One in so many plain successes is told in full, unless the settings say.
-const DEFAULT_PLAIN_EVERY: u32 = 64;
+const DEFAULT_LOG_PLAIN_EVERY: u32 = 64;
 /// Least levels of log lines.
 const LOG_LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
 /// Time between two announcements of a server, unless the settings name one.
-const DEFAULT_ANNOUNCE: Duration = Duration::from_millis(1200);
+const DEFAULT_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(1200);
 /// Time for a graceful end, unless the settings name one.
-const DEFAULT_GRACE: Duration = Duration::from_secs(6);
+const DEFAULT_GRACE_PERIOD: Duration = Duration::from_secs(6);
 
 /// What the instance does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -103,7 +103,7 @@
 
 impl RoleSettings {
     /// Returns the seeds' listeners for other instances.
-    pub fn seed_peers(&self) -> Vec<SocketAddr> {
+    pub fn seed_peer_addresses(&self) -> Vec<SocketAddr> {
         let seeds = self.seeds.iter();
         seeds
             .map(|seed| SocketAddr::new(seed.ip(), self.peer_port))
@@ -124,47 +124,49 @@
 ) -> Option<RoleSettings> {
     let mut reader = ObjectReader::new(text, object);
     for name in ["role", "instance", "failure_domain", "listen", "seeds"] {
-        reader.require(name, findings);
+        reader.require_field(name, findings);
     }
-    let role = match reader.word("role", &["entry", "control"], findings) {
+    let role = match reader.read_choice("role", &["entry", "control"], findings) {
         Some("control") => RoleKind::Control,
         _ => RoleKind::Entry,
     };
-    let dialect = match reader.word("dialect", &["native", "platform"], findings) {
+    let dialect = match reader.read_choice("dialect", &["native", "platform"], findings) {
         Some("platform") => DialectKind::Platform,
         _ => DialectKind::Native,
     };
-    let instance = reader.text("instance", findings);
-    let domain = reader.text("failure_domain", findings);
-    let regions = reader.names("regions", findings);
-    let address = reader.parsed("address", "an IP address", findings);
-    let peer_port = reader.number("peer_port", 1, 65_535, findings);
-    let seeds = reader.parsed_list("seeds", ADDRESS_ALLOWED, findings);
-    let first_start = reader.flag("first_start", findings);
-    let data_folder = reader.text("data_folder", findings).map(PathBuf::from);
-    let tolerate = reader.number("tolerate", 0, 3, findings);
-    let lease = reader.number("lease_ms", 100, 600_000, findings);
-    let announce = reader.number("announce_ms", 100, 600_000, findings);
-    let grace = reader.number("grace_ms", 100, 600_000, findings);
-    let plain_every = reader.number("log_plain_every", 1, 1_000_000, findings);
-    let pace = reader.word("server_pace", &SlownessStrategy::NAMES, findings);
-    let pauses = reader.word("server_pauses", &StallStrategy::NAMES, findings);
-    let log_level = reader.word("log_level", &LOG_LEVELS, findings);
-    let extra = reader.object("extra_load", findings);
+    let instance = reader.read_string("instance", findings);
+    let domain = reader.read_string("failure_domain", findings);
+    let regions = reader.read_string_map("regions", findings);
+    let address = reader.read_parsed("address", "an IP address", findings);
+    let peer_port = reader.read_integer("peer_port", 1, 65_535, findings);
+    let seeds = reader.read_parsed_list("seeds", ADDRESS_FORMAT, findings);
+    let first_start = reader.read_bool("first_start", findings);
+    let data_folder = reader
+        .read_string("data_folder", findings)
+        .map(PathBuf::from);
+    let tolerate = reader.read_integer("tolerate", 0, 3, findings);
+    let lease = reader.read_integer("lease_ms", 100, 600_000, findings);
+    let announce_interval = reader.read_integer("announce_ms", 100, 600_000, findings);
+    let grace = reader.read_integer("grace_ms", 100, 600_000, findings);
+    let log_plain_every = reader.read_integer("log_plain_every", 1, 1_000_000, findings);
+    let pace = reader.read_choice("server_pace", &SlownessStrategy::NAMES, findings);
+    let pauses = reader.read_choice("server_pauses", &StallStrategy::NAMES, findings);
+    let log_level = reader.read_choice("log_level", &LOG_LEVELS, findings);
+    let extra = reader.read_object("extra_load", findings);
     let extra = extra.map(|extra| read_extra(extra, findings));
-    let cold = reader.object("cold_load", findings);
+    let cold = reader.read_object("cold_load", findings);
     let cold = cold.map(|cold| read_cold(cold, findings));
-    let canary = reader.object("rollouts", findings);
+    let canary = reader.read_object("rollouts", findings);
     let canary = canary.map(|canary| read_canary(canary, findings));
-    let caps = reader.object("usage_caps", findings);
+    let caps = reader.read_object("usage_caps", findings);
     let caps = caps.map(|caps| read_caps(caps, findings));
-    let listen = reader.object("listen", findings);
+    let listen = reader.read_object("listen", findings);
     let listen = listen.map(|listen| read_listen(listen, findings));
     let listen = listen.unwrap_or_default();
-    check_listeners(role, &listen, reader.whole_place(), findings);
+    check_listeners(role, &listen, reader.object_place(), findings);
     reader.finish(findings);
-    let millis = |millis: u32| Duration::from_millis(u64::from(millis));
-    let announce = announce.map_or(DEFAULT_ANNOUNCE, millis);
+    let to_duration = |millis: u32| Duration::from_millis(u64::from(millis));
+    let announce_interval = announce_interval.map_or(DEFAULT_ANNOUNCE_INTERVAL, to_duration);
     Some(RoleSettings {
         role,
         instance: instance?,
@@ -187,10 +189,10 @@
         canary: canary.unwrap_or_default(),
         pace: pace.map(SlownessStrategy::from_name).unwrap_or_default(),
         pauses: pauses.map(StallStrategy::from_name).unwrap_or_default(),
-        lease: lease.map_or_else(|| lease_for(announce), millis),
-        grace: grace.map_or(DEFAULT_GRACE, millis),
+        lease: lease.map_or_else(|| lease_for(announce_interval), to_duration),
+        grace: grace.map_or(DEFAULT_GRACE_PERIOD, to_duration),
         log_level: log_level.unwrap_or("info").to_string(),
-        log_plain_every: plain_every.unwrap_or(DEFAULT_PLAIN_EVERY),
+        log_plain_every: log_plain_every.unwrap_or(DEFAULT_LOG_PLAIN_EVERY),
     })
 }
 
@@ -204,10 +206,10 @@
 
 fn read_listen(mut reader: ObjectReader<'_, '_>, findings: &mut FindingList) -> ListenSettings {
     let listen = ListenSettings {
-        callers: reader.parsed("callers", ADDRESS_ALLOWED, findings),
-        ready: reader.parsed("ready", ADDRESS_ALLOWED, findings),
-        control: reader.parsed("control", ADDRESS_ALLOWED, findings),
-        metrics: reader.parsed("metrics", ADDRESS_ALLOWED, findings),
+        callers: reader.read_parsed("callers", ADDRESS_FORMAT, findings),
+        ready: reader.read_parsed("ready", ADDRESS_FORMAT, findings),
+        control: reader.read_parsed("control", ADDRESS_FORMAT, findings),
+        metrics: reader.read_parsed("metrics", ADDRESS_FORMAT, findings),
     };
     reader.finish(findings);
     listen
@@ -232,8 +234,8 @@
 
 fn read_cold(mut reader: ObjectReader<'_, '_>, findings: &mut FindingList) -> ColdBound {
     let default = ColdBound::default();
-    let excess = reader.decimal("excess", findings);
-    let slack = reader.decimal("slack", findings);
+    let excess = reader.read_decimal("excess", findings);
+    let slack = reader.read_decimal("slack", findings);
     reader.finish(findings);
     ColdBound {
         excess: excess.unwrap_or(default.excess),
@@ -243,8 +245,8 @@
 
 fn read_canary(mut reader: ObjectReader<'_, '_>, findings: &mut FindingList) -> CanaryBound {
     let default = CanaryBound::default();
-    let share = reader.decimal("share", findings);
-    let slack = reader.decimal("slack", findings);
+    let share = reader.read_decimal("share", findings);
+    let slack = reader.read_decimal("slack", findings);
     reader.finish(findings);
     CanaryBound {
         share: share.unwrap_or(default.share),
@@ -254,9 +256,9 @@
 
 fn read_caps(mut reader: ObjectReader<'_, '_>, findings: &mut FindingList) -> CapBound {
     let default = CapBound::default();
-    let excess = reader.decimal("excess", findings);
-    let slack = reader.decimal("slack", findings);
-    let window = reader.decimal("window_s", findings);
+    let excess = reader.read_decimal("excess", findings);
+    let slack = reader.read_decimal("slack", findings);
+    let window = reader.read_decimal("window_s", findings);
     reader.finish(findings);
     CapBound {
         excess: excess.unwrap_or(default.excess),
@@ -267,9 +269,9 @@
 
 fn read_extra(mut reader: ObjectReader<'_, '_>, findings: &mut FindingList) -> ExtraBound {
     let default = ExtraBound::default();
-    let ratio = reader.decimal("ratio", findings);
-    let slack = reader.decimal("slack", findings);
-    let window = reader.decimal("window_s", findings);
+    let ratio = reader.read_decimal("ratio", findings);
+    let slack = reader.read_decimal("slack", findings);
+    let window = reader.read_decimal("window_s", findings);
     reader.finish(findings);
     ExtraBound {
         ratio: ratio.unwrap_or(default.ratio),
--- a/crates/node/tests/cluster.rs
+++ b/crates/node/tests/cluster.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use support::guarded::GuardedChild;
-use support::{exchange, post};
+use support::{post_request, send_http_request};
 use wheelmast_fake::announcer::AnnounceTarget;
 use wheelmast_fake::deployment::kivela;
 use wheelmast_fake::world::FakeWorld;
@@ -154,7 +154,7 @@
         let body = serde_json::json!({
             "base": base, "change": change, "note": "test", "csv": csv,
         });
-        let request = post(
+        let request = post_request(
             "/v1/table",
             "content-type: application/json\r\n",
             &body.to_string(),
@@ -177,7 +177,7 @@
         if std::net::TcpStream::connect(address).is_err() {
             return Err(());
         }
-        let response = exchange(address, request);
+        let response = send_http_request(address, request);
         let response = tokio::time::timeout(Duration::from_secs(6), response).await;
         response.map_err(|_| ())
     }
@@ -307,7 +307,7 @@
     // Without a quorum nothing is accepted, and what is in force stays.
     cluster.kill(2);
     let body = r#"{"base":6,"change":"c6","csv":"service,kind\nsearch,query\n"}"#;
-    let request = post("/v1/table", "content-type: application/json\r\n", body);
+    let request = post_request("/v1/table", "content-type: application/json\r\n", body);
     let (status, body) = cluster.try_exchange(3, &request).await.expect("it answers");
     assert!(status == 503 || status == 504, "{status}: {body}");
     cluster.wait_version(0, 6).await;
@@ -351,8 +351,8 @@
     cluster.start_all();
     cluster.apply(0, 0, "c0").await;
     let address = cluster.address(0, 7403);
-    let request = post("/v1/peer", "wheelmast-key: 0123456789abcdeX\r\n", "x");
-    let (status, body) = exchange(address, &request).await;
+    let request = post_request("/v1/peer", "wheelmast-key: 0123456789abcdeX\r\n", "x");
+    let (status, body) = send_http_request(address, &request).await;
     assert_eq!((status, body.as_str()), (403, "wrong cluster key"));
 }
 
@@ -360,14 +360,18 @@
 async fn submit(cluster: &Cluster, node: usize, key: &str, term: &str) -> (u16, String) {
     let headers = format!("idempotency-key: {key}\r\n");
     let body = format!("{{\"term\":\"{term}\"}}");
-    let request = post("/v1/submit/work-orders", &headers, &body);
-    exchange(cluster.address(node, 7400), &request).await
+    let request = post_request("/v1/submit/work-orders", &headers, &body);
+    send_http_request(cluster.address(node, 7400), &request).await
 }
 
 async fn wait_ready(cluster: &Cluster, node: usize) {
     let until = Instant::now() + PATIENCE;
     let request = "GET /ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-    while exchange(cluster.address(node, 7400), request).await.0 != 200 {
+    while send_http_request(cluster.address(node, 7400), request)
+        .await
+        .0
+        != 200
+    {
         assert!(Instant::now() < until, "n{node} did not become ready");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
@@ -471,7 +475,7 @@
     assert!(body.contains("not-run"), "{body}");
     assert_eq!(world.ledger.runs("order-99"), 0);
     // Reads go on without a quorum.
-    let query = post("/v1/query/kiln-watch", "", "{\"term\":\"a\"}");
-    let (status, body) = exchange(cluster.address(3, 7400), &query).await;
+    let query = post_request("/v1/query/kiln-watch", "", "{\"term\":\"a\"}");
+    let (status, body) = send_http_request(cluster.address(3, 7400), &query).await;
     assert_eq!(status, 200, "{body}");
 }
--- a/crates/node/tests/feed.rs
+++ b/crates/node/tests/feed.rs
@@ -21,7 +21,7 @@
 use wheelmast_wire::native::NativeDialect;
 use wheelmast_wire::pack::pack;
 
-use crate::support::play;
+use crate::support::run_local_test;
 
 /// Longest time that anything here may take.
 const PATIENCE: Duration = Duration::from_secs(8);
@@ -152,7 +152,7 @@
 
 #[test]
 fn one_near_instance_is_asked_for_everything() {
-    play(async {
+    run_local_test(async {
         let mut near = FakeControl::start().await;
         let mut far = FakeControl::start().await;
         let _entry = entry_at(&[&near, &far]);
@@ -178,7 +178,7 @@
 
 #[test]
 fn a_table_that_the_source_does_not_bring_is_fetched() {
-    play(async {
+    run_local_test(async {
         let mut near = FakeControl::start().await;
         let mut far = FakeControl::start().await;
         let entry = entry_at(&[&near, &far]);
@@ -204,7 +204,7 @@
 
 #[test]
 fn a_server_that_leaves_is_heard_of_from_any_instance() {
-    play(async {
+    run_local_test(async {
         let mut near = FakeControl::start().await;
         let mut far = FakeControl::start().await;
         let entry = entry_at(&[&near, &far]);
@@ -247,7 +247,7 @@
 
 #[test]
 fn a_quorums_word_that_comes_before_the_table_counts() {
-    play(async {
+    run_local_test(async {
         let mut control = FakeControl::start().await;
         let entry = entry_at(&[&control]);
         control.say_here("here", true, 4).await;
@@ -263,7 +263,7 @@
 
 #[test]
 fn an_instance_that_failed_once_is_preferred_to_those_that_have_lost_their_group() {
-    play(async {
+    run_local_test(async {
         let (entry, feed) = lone_entry();
         // It takes no connections yet.
         let reserved = TcpListener::bind("127.0.0.1:0").await.expect("a port");
--- a/crates/node/tests/held_up/stage.rs
+++ b/crates/node/tests/held_up/stage.rs
@@ -22,7 +22,7 @@
 use wheelmast_node::process::forward::image::RequestImage;
 use wheelmast_wire::native::NativeDialect;
 
-use crate::support::play;
+use crate::support::run_local_test;
 
 /// Longest time that a caller here waits for an answer.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(10);
@@ -189,7 +189,7 @@
         let far = FakeShard::start("far", "there", b'b').await;
         (server.expect("a server"), far.expect("another entry"))
     });
-    play(async move {
+    run_local_test(async move {
         let stage = Rc::new(Stage::build(server, far).await);
         test(stage.clone()).await;
     });
--- a/crates/node/tests/loop_watch.rs
+++ b/crates/node/tests/loop_watch.rs
@@ -8,7 +8,7 @@
 use wheelmast_node::process::clock::ProcessClock;
 use wheelmast_node::process::loop_watch::LoopWatch;
 
-use crate::support::play;
+use crate::support::run_local_test;
 
 /// Several rounds of the watch.
 const ROUNDS: Duration = Duration::from_millis(300);
@@ -30,7 +30,7 @@
             held: Duration::from_millis(1500),
         },
     ];
-    play(async move {
+    run_local_test(async move {
         let watch = Rc::new(LoopWatch::new(ProcessClock::start()));
         let kept = watch.clone();
         tokio::task::spawn_local(async move { kept.keep().await });
@@ -48,7 +48,7 @@
 
 #[test]
 fn a_loop_that_keeps_up_has_nothing_unread() {
-    play(async {
+    run_local_test(async {
         let watch = Rc::new(LoopWatch::new(ProcessClock::start()));
         let kept = watch.clone();
         tokio::task::spawn_local(async move { kept.keep().await });
--- a/crates/node/tests/process.rs
+++ b/crates/node/tests/process.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use support::guarded::GuardedChild;
-use support::{exchange, post};
+use support::{post_request, send_http_request};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use wheelmast_fake::announcer::AnnounceTarget;
@@ -87,7 +87,7 @@
 async fn wait_ready(address: SocketAddr) {
     let until = Instant::now() + Duration::from_secs(10);
     let request = "GET /ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-    while exchange(address, request).await.0 != 200 {
+    while send_http_request(address, request).await.0 != 200 {
         assert!(Instant::now() < until, "the instance did not become ready");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
@@ -108,8 +108,8 @@
 async fn a_query_is_served_and_a_leave_cuts_nothing_off() {
     let mut daemon = Daemon::start("whole", "");
     let world = world_at(&daemon).await;
-    let query = post("/v1/query/kiln-watch", "", "{\"term\":\"hot\"}");
-    let (status, body) = exchange(daemon.callers, &query).await;
+    let query = post_request("/v1/query/kiln-watch", "", "{\"term\":\"hot\"}");
+    let (status, body) = send_http_request(daemon.callers, &query).await;
     assert_eq!(status, 200, "{body}");
     let answer: AnswerBody = serde_json::from_str(&body).expect("an answer");
     assert_eq!(answer.coverage.answered, 20);
@@ -118,9 +118,9 @@
     for server in world.upstream("work-orders") {
         server.behave(|behaviour| behaviour.slowness = 100.0);
     }
-    let order = post("/v1/submit/work-orders", "", "{\"term\":\"order-1\"}");
+    let order = post_request("/v1/submit/work-orders", "", "{\"term\":\"order-1\"}");
     let callers = daemon.callers;
-    let slow = tokio::spawn(async move { exchange(callers, &order).await });
+    let slow = tokio::spawn(async move { send_http_request(callers, &order).await });
     tokio::time::sleep(Duration::from_millis(150)).await;
     daemon.terminate();
     let (status, body) = slow.await.expect("the caller ends");
@@ -150,56 +150,61 @@
     let cases = [
         case(
             "malformed JSON",
-            post(query, "", "{"),
+            post_request(query, "", "{"),
+            400,
+            "malformed-json",
+        ),
+        case(
+            "empty body",
+            post_request(query, "", ""),
             400,
             "malformed-json",
         ),
-        case("empty body", post(query, "", ""), 400, "malformed-json"),
         case(
             "over-long body",
-            post(query, "", &format!("\"{}\"", "x".repeat(1024 * 1024))),
+            post_request(query, "", &format!("\"{}\"", "x".repeat(1024 * 1024))),
             413,
             "body-unreadable",
         ),
         case(
             "over-long header",
-            post(query, &format!("x: {}\r\n", "y".repeat(64 * 1024)), "{}"),
+            post_request(query, &format!("x: {}\r\n", "y".repeat(64 * 1024)), "{}"),
             431,
             "",
         ),
         case(
             "unknown service",
-            post("/v1/query/kiln", "", "{}"),
+            post_request("/v1/query/kiln", "", "{}"),
             404,
             "unknown-service",
         ),
         case(
             "unknown path",
-            post("/v2/query/kiln", "", "{}"),
+            post_request("/v2/query/kiln", "", "{}"),
             404,
             "unknown-path",
         ),
         case(
             "wrong kind",
-            post("/v1/query/work-orders", "", "{}"),
+            post_request("/v1/query/work-orders", "", "{}"),
             405,
             "wrong-kind",
         ),
         case(
             "deadline passed",
-            post(query, "wheelmast-deadline-ms: -5\r\n", "{}"),
+            post_request(query, "wheelmast-deadline-ms: -5\r\n", "{}"),
             504,
             "deadline-passed",
         ),
         case(
             "malformed deadline",
-            post(query, "wheelmast-deadline-ms: soon\r\n", "{}"),
+            post_request(query, "wheelmast-deadline-ms: soon\r\n", "{}"),
             400,
             "malformed-deadline",
         ),
         case(
             "empty key",
-            post("/v1/submit/work-orders", "idempotency-key: \r\n", "{}"),
+            post_request("/v1/submit/work-orders", "idempotency-key: \r\n", "{}"),
             400,
             "malformed-key",
         ),
@@ -211,7 +216,7 @@
         ),
     ];
     for case in cases {
-        let (status, body) = exchange(daemon.callers, &case.request).await;
+        let (status, body) = send_http_request(daemon.callers, &case.request).await;
         assert_eq!(status, case.status, "{}: {body}", case.name);
         if !case.kind.is_empty() {
             let problem: ProblemBody = serde_json::from_str(&body).expect(case.name);
@@ -219,7 +224,8 @@
             assert_eq!(problem.outcome, "not-run", "{}", case.name);
         }
     }
-    let (status, _) = exchange(daemon.callers, &post(query, "", "{\"term\":\"a\"}")).await;
+    let (status, _) =
+        send_http_request(daemon.callers, &post_request(query, "", "{\"term\":\"a\"}")).await;
     assert_eq!(status, 200);
 }
 
@@ -239,8 +245,8 @@
     }
     // The head must come within 5 s; then the places are free again.
     tokio::time::sleep(Duration::from_secs(6)).await;
-    let query = post("/v1/query/kiln-watch", "", "{\"term\":\"a\"}");
-    let (status, body) = exchange(daemon.callers, &query).await;
+    let query = post_request("/v1/query/kiln-watch", "", "{\"term\":\"a\"}");
+    let (status, body) = send_http_request(daemon.callers, &query).await;
     assert_eq!(status, 200, "{body}");
 }
 
@@ -321,10 +327,14 @@
         };
         let body = serde_json::to_string(&announcement).expect("it encodes");
         let headers = "content-type: application/json\r\n";
-        let (status, _) = exchange(daemon.upstreams, &post("/v1/announce", headers, &body)).await;
+        let (status, _) = send_http_request(
+            daemon.upstreams,
+            &post_request("/v1/announce", headers, &body),
+        )
+        .await;
         assert_eq!(status, 204, "{}", case.name);
         let fetch = "GET /v1/fetch/crew-roster/k HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-        let (status, body) = exchange(daemon.callers, fetch).await;
+        let (status, body) = send_http_request(daemon.callers, fetch).await;
         assert_eq!(status, 503, "{}: {body}", case.name);
         let problem: ProblemBody = serde_json::from_str(&body).expect("a problem");
         assert_eq!(problem.outcome, "unknown", "{}", case.name);
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Settings: every finding with its line and column, all at once.
 
 use wheelmast_core::process::forward::place::RegionMap;
-use wheelmast_node::settings::read::{read_any, read_settings, AnySettings};
+use wheelmast_node::settings::read::{read_instance_settings, read_settings_text, ParsedSettings};
 
 struct SettingsCase {
     name: &'static str,
@@ -65,7 +65,7 @@
         },
     ];
     for case in cases {
-        let findings = match read_settings(case.text) {
+        let findings = match read_instance_settings(case.text) {
             Ok(_) => Vec::new(),
             Err(findings) => findings.items().iter().map(|f| f.to_string()).collect(),
         };
@@ -84,7 +84,7 @@
     #[test]
     fn any_text_is_read_or_refused(cut in 0usize..220, text in "[{}\\[\\]\",:a-z0-9ä/* \n]{0,30}") {
         let kept: String = GOOD.chars().take(cut).collect();
-        let _ = read_settings(&format!("{kept}{text}"));
+        let _ = read_instance_settings(&format!("{kept}{text}"));
     }
 }
 
@@ -96,17 +96,20 @@
       "listen": {"callers": "127.0.0.1:81", "ready": "127.0.0.1:82"},
       "extra_load": {"ratio": 0.2, "slack": 54, "window_s": 10}
     }"#;
-    let read = read_any(entry).expect("good settings");
-    let AnySettings::Role(settings) = read else {
+    let read = read_settings_text(entry).expect("good settings");
+    let ParsedSettings::Role(settings) = read else {
         panic!("it names a role");
     };
-    assert_eq!(settings.seed_peers()[1].to_string(), "127.0.0.3:7380");
+    assert_eq!(
+        settings.seed_peer_addresses()[1].to_string(),
+        "127.0.0.3:7380"
+    );
     assert!((settings.extra.slack - 54.0).abs() < 1e-9);
     let mapped = entry.replace(
         "\"peer_port\"",
         "\"regions\": {\"d\": \"r\"}, \"peer_port\"",
     );
-    let Ok(AnySettings::Role(mapped)) = read_any(&mapped) else {
+    let Ok(ParsedSettings::Role(mapped)) = read_settings_text(&mapped) else {
         panic!("regions are good settings");
     };
     assert_eq!(mapped.regions, RegionMap::new([("d".into(), "r".into())]));
@@ -169,7 +172,9 @@
     ];
     for case in cases {
         let text = entry.replace(case.from, case.to);
-        let findings = read_any(&text).expect_err(case.finding).to_string();
+        let findings = read_settings_text(&text)
+            .expect_err(case.finding)
+            .to_string();
         assert!(findings.contains(case.finding), "{findings}");
     }
 }
--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -9,7 +9,9 @@
 use wheelmast_core::process::control::rollout::RolloutRegistry;
 use wheelmast_core::process::control::state::{ControlCommand, ControlState};
 use wheelmast_node::process::store::folder::{DataFolder, FolderIdentity, FOLDER_FORMAT};
-use wheelmast_node::process::store::record::{read_records, write_record, RecordKind, FILE_HEADER};
+use wheelmast_node::process::store::record::{
+    append_record, read_records, RecordKind, FILE_HEADER,
+};
 use wheelmast_node::process::store::replica_store::ReplicaStore;
 use wheelmast_wire::peer::encode;
 
@@ -35,7 +37,7 @@
     let data = DataFolder::create(folder.path(), &identity()).expect("it is new");
     let mut store = ReplicaStore::open(data).expect("it opens");
     for index in 1..=3 {
-        store.keep(&entry(index)).expect("kept");
+        store.persist(&entry(index)).expect("kept");
         store.sync().expect("synced");
     }
     folder
@@ -109,7 +111,12 @@
         match case.result {
             Ok(entries) => {
                 let store = opened.expect(case.name);
-                assert_eq!(store.kept().entries.len(), entries, "{}", case.name);
+                assert_eq!(
+                    store.persisted_state().entries.len(),
+                    entries,
+                    "{}",
+                    case.name
+                );
             }
             Err(text) => {
                 let error = format!("{:#}", opened.expect_err(case.name));
@@ -123,10 +130,10 @@
 #[test]
 fn a_folder_is_locked_and_belongs_to_one_instance() {
     let folder = folder_with_entries();
-    let held = reopen(folder.path()).expect("it opens");
+    let first_store = reopen(folder.path()).expect("it opens");
     let error = format!("{:#}", reopen(folder.path()).expect_err("it is locked"));
     assert!(error.contains("another process"), "{error}");
-    drop(held);
+    drop(first_store);
     let other = FolderIdentity {
         cluster: "other".into(),
         ..identity()
@@ -161,23 +168,27 @@
         csv: "x".into(),
     });
     store
-        .keep(&ReplicaAction::PersistHardState(hard_state))
+        .persist(&ReplicaAction::PersistHardState(hard_state))
         .expect("kept");
     let snapshot = ReplicaAction::PersistSnapshot {
         place: LogPosition { term: 1, index: 2 },
         state: Box::new(state),
         is_installed: false,
     };
-    store.keep(&snapshot).expect("kept");
-    store.keep(&entry(4)).expect("kept");
+    store.persist(&snapshot).expect("kept");
+    store.persist(&entry(4)).expect("kept");
     store.sync().expect("synced");
-    let kept = store.kept().clone();
+    let persisted_state = store.persisted_state().clone();
     drop(store);
     let store = reopen(folder.path()).expect("it opens");
-    assert_eq!(*store.kept(), kept);
-    assert_eq!(kept.hard_state, hard_state);
-    assert_eq!(kept.state.version(), 1);
-    let indexes: Vec<u64> = kept.entries.iter().map(|entry| entry.index).collect();
+    assert_eq!(*store.persisted_state(), persisted_state);
+    assert_eq!(persisted_state.hard_state, hard_state);
+    assert_eq!(persisted_state.state.version(), 1);
+    let indexes: Vec<u64> = persisted_state
+        .entries
+        .iter()
+        .map(|entry| entry.index)
+        .collect();
     assert_eq!(indexes, [3, 4]);
     assert!(!folder.path().join("control-1.log").exists());
 }
@@ -196,13 +207,13 @@
     fn a_file_cut_anywhere_is_read(bodies in proptest::collection::vec(proptest::collection::vec(0u8.., 0..40), 0..8), cut in 0usize..400) {
         let mut bytes = FILE_HEADER.to_vec();
         for body in &bodies {
-            write_record(RecordKind::Entry, body, &mut bytes);
+            append_record(RecordKind::Entry, body, &mut bytes);
         }
         let cut = FILE_HEADER.len() + cut % (bytes.len() - FILE_HEADER.len() + 1);
         let found = read_records(&bytes[..cut]).expect("a cut is no damage");
         let read: Vec<Vec<u8>> = found.records.iter().map(|record| record.body.to_vec()).collect();
         proptest::prop_assert!(bodies.starts_with(&read));
-        proptest::prop_assert!(found.good <= cut);
+        proptest::prop_assert!(found.valid_length <= cut);
     }
 }
 
@@ -244,11 +255,11 @@
         let data = DataFolder::create(folder.path(), &identity()).expect("it is new");
         drop(ReplicaStore::open(data).expect("it opens"));
         let mut bytes = FILE_HEADER.to_vec();
-        write_record(RecordKind::Snapshot, before, &mut bytes);
+        append_record(RecordKind::Snapshot, before, &mut bytes);
         let log = folder.path().join("control-1.log");
         std::fs::write(log, bytes).expect("written");
         let store = reopen(folder.path());
         let store = store.unwrap_or_else(|error| panic!("{}: {error:#}", case.name));
-        assert_eq!(store.kept().state, state, "{}", case.name);
+        assert_eq!(store.persisted_state().state, state, "{}", case.name);
     }
 }
--- a/crates/node/tests/support/guarded.rs
+++ b/crates/node/tests/support/guarded.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// Time between two looks whether a process has ended.
-const WAIT_PAUSE: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// What the guard does: the pipe ends with the test's process, however that ends.
 const GUARD_SCRIPT: &str = r#"read -r _; kill -KILL "$0""#;
 
@@ -56,7 +56,7 @@
             if let Some(status) = self.try_wait()? {
                 return Ok(status);
             }
-            std::thread::sleep(WAIT_PAUSE);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -12,7 +12,7 @@
 use tokio::task::LocalSet;
 
 /// Sends bytes on a connection of their own and returns status and body.
-pub async fn exchange(address: SocketAddr, request: &str) -> (u16, String) {
+pub async fn send_http_request(address: SocketAddr, request: &str) -> (u16, String) {
     let mut stream = TcpStream::connect(address).await.expect("it listens");
     // The other end may answer and close before it has taken everything.
     let _ = stream.write_all(request.as_bytes()).await;
@@ -26,7 +26,7 @@
     (status.unwrap_or(0), body.unwrap_or_default())
 }
 
-pub fn post(path: &str, headers: &str, body: &str) -> String {
+pub fn post_request(path: &str, headers: &str, body: &str) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n{headers}content-length: {}\r\n\r\n{body}",
         body.len()
@@ -34,7 +34,7 @@
 }
 
 /// Plays a test on one thread, with tasks that stay on it.
-pub fn play(test: impl std::future::Future<Output = ()>) {
+pub fn run_local_test(test: impl std::future::Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/crates/node/tests/suspended.rs
+++ b/crates/node/tests/suspended.rs
@@ -30,7 +30,7 @@
 use wheelmast_node::process::forward::image::RequestImage;
 use wheelmast_wire::native::NativeDialect;
 
-use crate::support::play;
+use crate::support::run_local_test;
 
 /// How long the machine is suspended.
 const SUSPENSION: Duration = Duration::from_secs(30);
@@ -106,7 +106,7 @@
 
 #[test]
 fn a_caller_whose_time_ran_out_meanwhile_is_answered_at_once() {
-    play(async {
+    run_local_test(async {
         // It takes connections and answers nothing.
         let server = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let entry = entry_for(server.local_addr().expect("an address"));
@@ -125,7 +125,7 @@
 
 #[test]
 fn a_connection_that_its_server_closed_meanwhile_is_not_used() {
-    play(async {
+    run_local_test(async {
         let server = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let entry = entry_for(server.local_addr().expect("an address"));
         let opened = Rc::new(Cell::new(0));
@@ -166,7 +166,7 @@
 
 #[test]
 fn a_control_instance_that_was_not_heard_meanwhile_is_asked_anew() {
-    play(async {
+    run_local_test(async {
         let control = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let entry = entry_for(([127, 0, 0, 1], 9).into());
         let peer = EntryPeer {
