--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,11 +1,11 @@
-//! The wheelmast instance: threads, sockets, settings.
+//! A wheelmast instance: threads, sockets, disk and settings.
 //!
-//! Policy stands in `wheelmast-core`; this crate moves messages. Each duty has
-//! a thread of its own, joined to the others by bounded [`ring`]s: callers,
-//! entry (decisions), upstreams, announcements, operators and journal.
+//! `wheelmast-core` makes all decisions; this crate moves the messages. Callers,
+//! entry (decisions), upstreams, announcements, operators and journal each have
+//! a thread, and the threads communicate through bounded queues ([`ring`]).
 //!
-//! The folders follow life spans: [`request`], [`connection`] and
-//! [`process`].
+//! The modules [`request`], [`connection`] and [`process`] are named after the
+//! lifetime of what they contain.
 
 pub mod connection;
 pub mod prelude;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,4 @@
-//! `wheelmastd`: one instance of the wheelmast query tier.
+//! `wheelmastd`: the program that runs one instance of the wheelmast query tier.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -21,7 +21,7 @@
 use wheelmast_wire::dialect::ForwardDialect;
 use wheelmast_wire::native::NativeDialect;
 
-/// Exit code for findings and failures.
+/// Exit code if the settings have findings or the instance fails.
 const EXIT_FAILURE: u8 = 1;
 
 fn main() -> ExitCode {
@@ -43,8 +43,8 @@
             "Examples:\n  \
              wheelmastd --settings examples/entry.jsonc --check\n  \
              wheelmastd --settings examples/entry.jsonc\n\n\
-             SIGTERM and SIGINT end it gracefully: no request is cut off.\n\
-             Exit codes: 0 ended, 1 findings or failure, 2 usage.",
+             SIGTERM and SIGINT stop the instance gracefully: no request is cut off.\n\
+             Exit codes: 0 success, 1 findings or failure, 2 usage error.",
         )
         .arg(
             Arg::new("settings")
@@ -52,19 +52,19 @@
                 .value_name("FILE")
                 .required(true)
                 .value_parser(clap::value_parser!(PathBuf))
-                .help("Settings of the instance, JSON with comments"),
+                .help("Settings file of the instance, in JSON with comments"),
         )
         .arg(
             Arg::new("init")
                 .long("init")
                 .action(ArgAction::SetTrue)
-                .help("Make a new data folder for the first start of a control group, and end"),
+                .help("Create a data folder for the first start of a control group, then exit"),
         )
         .arg(
             Arg::new("check")
                 .long("check")
                 .action(ArgAction::SetTrue)
-                .help("Check the settings and the table, and end"),
+                .help("Check the settings and the table, then exit"),
         )
 }
 
@@ -98,7 +98,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Runs an instance that forwards requests, or one of the control group.
+/// Runs an entry, which forwards requests, or a control instance.
 fn run_role(matches: &ArgMatches, path: &Path, settings: RoleSettings) -> anyhow::Result<ExitCode> {
     if matches.get_flag("check") {
         println!("{}: no findings", path.display());
@@ -114,7 +114,7 @@
         seeds = ?settings.seeds,
         first_start = settings.first_start,
         tolerate = settings.tolerate,
-        "instance: starting; no group key is set, other instances are believed by their address"
+        "instance: starting; no group key is set, so other instances are trusted by their address"
     );
     match settings.dialect {
         DialectKind::Native => run_with_dialect::<NativeDialect>(settings, path)?,
@@ -123,6 +123,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
+/// Runs the instance with header names and message formats of the dialect `D`.
 fn run_with_dialect<D: ForwardDialect>(settings: RoleSettings, path: &Path) -> anyhow::Result<()> {
     match settings.role {
         RoleKind::Entry => run_entry::<D>(settings, path.to_path_buf()),
@@ -130,14 +131,16 @@
     }
 }
 
+/// Creates the data folder of a control replica, for `--init`.
 fn create_data_folder(settings: &InstanceSettings) -> anyhow::Result<ExitCode> {
     let cluster = settings.cluster.as_ref();
     let cluster = cluster.context("could not initialize: the settings name no cluster")?;
     initialize(cluster, &settings.instance)?;
-    println!("{}: data folder made", settings.instance);
+    println!("{}: data folder created", settings.instance);
     Ok(ExitCode::SUCCESS)
 }
 
+/// Prints the findings of a file to standard error and returns the exit code.
 fn print_findings(
     path: &std::path::Path,
     findings: &wheelmast_core::finding::FindingList,
@@ -148,6 +151,7 @@
     ExitCode::from(EXIT_FAILURE)
 }
 
+/// Starts writing log lines to standard error in the format of the settings.
 fn start_log(log: &LogSettings) -> anyhow::Result<()> {
     let filter = EnvFilter::try_new(&log.level)
         .with_context(|| format!("could not read log level {}", log.level))?;
@@ -162,6 +166,7 @@
     Ok(())
 }
 
+/// Runs an instance that answers queries from snapshots until SIGTERM or SIGINT.
 fn run_instance(settings: InstanceSettings, table: Option<ServiceTable>) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/node/src/prelude.rs
+++ b/crates/node/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The common types, for a single `use`.
+//! Re-exports the crate's most used types.
 
 pub use crate::process::instance::{InstanceHandle, InstanceSetup};
 pub use crate::settings::model::{
--- a/crates/node/src/process/store/folder.rs
+++ b/crates/node/src/process/store/folder.rs
@@ -1,4 +1,6 @@
-//! The data folder: its lock, its identity, and its log files.
+//! The data folder of a control replica: its lock file, its identity file and
+//! the names of its log files. The lock keeps a second process out; the identity
+//! keeps a replica from using the folder of another one.
 
 use std::fs::{File, OpenOptions};
 use std::path::{Path, PathBuf};
@@ -7,15 +9,15 @@
 use serde::{Deserialize, Serialize};
 use wheelmast_core::process::control::log::ReplicaId;
 
-/// Name of the lock file.
+/// Name of the file that a process locks while it uses the folder.
 const LOCK_FILE: &str = "lock";
-/// Name of the identity file.
+/// Name of the identity file of a replica whose identity comes from its settings.
 const IDENTITY_FILE: &str = "identity.json";
 
-/// Name of the identity file of a replica that draws its own identity.
+/// Name of the identity file of a replica with a random identity.
 const REPLICA_IDENTITY_FILE: &str = "replica.json";
 
-/// The identity that a replica drew when its folder was made.
+/// The random identity of a replica, generated when its folder is created.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct ReplicaIdentity {
     instance: String,
@@ -23,42 +25,42 @@
     format: u32,
 }
 
-/// Whose folder it is.
+/// The instance that a data folder belongs to, as written in the identity file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FolderIdentity {
-    /// The deployment's control group.
+    /// Name of the deployment's control group.
     pub cluster: String,
-    /// The instance.
+    /// Name of the instance.
     pub instance: String,
-    /// Format of the folder.
+    /// Version of the folder format.
     pub format: u32,
 }
 
-/// The format this program writes.
+/// Version of the folder format that this program writes.
 pub const FOLDER_FORMAT: u32 = 1;
 
-/// A data folder that this process holds the lock of.
+/// A data folder locked by this process. Dropping the value releases the lock.
 #[derive(Debug)]
 pub struct DataFolder {
-    /// Its path.
+    /// Path of the folder.
     pub path: PathBuf,
     _lock: File,
 }
 
 impl DataFolder {
-    /// Makes a new folder for an instance; fails if there is one.
+    /// Creates a data folder with the given identity.
     ///
     /// # Errors
     ///
-    /// Fails if the folder holds an identity already or cannot be written.
+    /// Fails if the folder already holds an identity or cannot be written.
     pub fn create(path: &Path, identity: &FolderIdentity) -> anyhow::Result<DataFolder> {
         std::fs::create_dir_all(path)
-            .with_context(|| format!("could not make data folder {}", path.display()))?;
+            .with_context(|| format!("could not create data folder {}", path.display()))?;
         let folder = DataFolder::lock(path)?;
         let file_path = path.join(IDENTITY_FILE);
         if file_path.exists() {
             bail!(
-                "could not initialize {}: it holds data already; start without --init",
+                "could not initialize {}: it already holds data; start without --init",
                 path.display()
             );
         }
@@ -67,17 +69,18 @@
         Ok(folder)
     }
 
-    /// Opens the folder of an instance.
+    /// Opens the existing data folder of the instance `identity`.
     ///
     /// # Errors
     ///
-    /// Fails if it is locked, empty, another's, or of a newer format.
+    /// Fails if the folder is locked, empty, belongs to another instance, or has
+    /// a newer format.
     pub fn open(path: &Path, identity: &FolderIdentity) -> anyhow::Result<DataFolder> {
         let file_path = path.join(IDENTITY_FILE);
         let text = std::fs::read(&file_path).with_context(|| {
             format!(
-                "could not read {}; a replica that lost its disk must not come back as itself, \
-                 as it may have voted; only a new control group is started with --init",
+                "could not read {}; a replica that lost its disk must not come back under its \
+                 old identity, as it may have voted; use --init only for a new control group",
                 file_path.display()
             )
         })?;
@@ -85,7 +88,7 @@
             .with_context(|| format!("could not read identity {}", file_path.display()))?;
         if stored_identity.format > FOLDER_FORMAT {
             bail!(
-                "could not use {}: format {} is newer than {FOLDER_FORMAT}; start a newer program",
+                "could not use {}: format {} is newer than {FOLDER_FORMAT}; use a newer version of the program",
                 path.display(),
                 stored_identity.format
             );
@@ -101,9 +104,10 @@
         DataFolder::lock(path)
     }
 
-    /// Opens the folder of a replica that draws its own identity, or makes it
-    /// if it holds none. Returns the folder, the identity, and whether it is
-    /// new: an empty disk never comes back as who it was.
+    /// Opens the folder of a replica with a random identity. Generates the
+    /// identity if the folder holds none, so a replica that lost its disk never
+    /// returns under its old identity. Returns the folder, the identity, and
+    /// whether the identity is new.
     ///
     /// # Errors
     ///
@@ -113,7 +117,7 @@
         instance: &str,
     ) -> anyhow::Result<(DataFolder, ReplicaId, bool)> {
         std::fs::create_dir_all(path)
-            .with_context(|| format!("could not make data folder {}", path.display()))?;
+            .with_context(|| format!("could not create data folder {}", path.display()))?;
         let folder = DataFolder::lock(path)?;
         let file_path = path.join(REPLICA_IDENTITY_FILE);
         match std::fs::read(&file_path) {
@@ -139,12 +143,12 @@
         }
     }
 
-    /// Opens the folder of a replica that drew its own identity, and makes
-    /// none.
+    /// Opens the folder of a replica with a random identity, without creating
+    /// anything. Returns the folder and the identity.
     ///
     /// # Errors
     ///
-    /// Fails if it is none, or if another process uses it.
+    /// Fails if the folder holds no identity, or if another process uses it.
     pub fn open_existing(path: &Path) -> anyhow::Result<(DataFolder, ReplicaId)> {
         let file_path = path.join(REPLICA_IDENTITY_FILE);
         let text = std::fs::read(&file_path)
@@ -171,11 +175,13 @@
         })
     }
 
-    /// Writes a file beside its place, syncs it, and puts it in place.
+    /// Replaces a file atomically: writes a temporary file, syncs it, and renames
+    /// it to `name`.
     ///
     /// # Errors
     ///
-    /// Fails if any step does; the old file then still stands.
+    /// Fails if a step fails. If the rename was not reached, the old file is
+    /// unchanged.
     pub fn replace_file(&self, name: &str, bytes: &[u8]) -> anyhow::Result<()> {
         let target_path = self.path.join(name);
         let temporary_path = self.path.join(format!("{name}.new"));
@@ -188,11 +194,11 @@
         self.sync_folder()
     }
 
-    /// Reads a file whole; none if there is none.
+    /// Returns the contents of a file, or `None` if the file does not exist.
     ///
     /// # Errors
     ///
-    /// Fails if it cannot be read.
+    /// Fails if the file exists and cannot be read.
     pub fn read_file(&self, name: &str) -> anyhow::Result<Option<Vec<u8>>> {
         let file_path = self.path.join(name);
         match std::fs::read(&file_path) {
@@ -204,18 +210,18 @@
         }
     }
 
-    /// Syncs the folder's own entries.
+    /// Syncs the folder itself, so that created and renamed files survive a crash.
     ///
     /// # Errors
     ///
-    /// Fails if the system cannot.
+    /// Fails if the folder cannot be opened or synced.
     pub fn sync_folder(&self) -> anyhow::Result<()> {
         File::open(&self.path)
             .and_then(|folder| folder.sync_all())
             .with_context(|| format!("could not sync {}", self.path.display()))
     }
 
-    /// Returns the numbers of the log files, in order.
+    /// Returns the numbers of the log files in ascending order.
     ///
     /// # Errors
     ///
@@ -232,7 +238,7 @@
     }
 }
 
-/// Returns the name of a log file.
+/// Returns the file name of the log file with this number.
 pub fn log_file_name(number: u64) -> String {
     format!("control-{number}.log")
 }
--- a/crates/node/src/process/store/mod.rs
+++ b/crates/node/src/process/store/mod.rs
@@ -1,9 +1,9 @@
-//! Durable storage of a control replica, under its data folder.
+//! Durable storage of a control replica, in its data folder.
 //!
-//! One file at a time, `control-N.log`: a header, then records with length
-//! and checksums. What a replica keeps is appended and synced; when the log
-//! is compacted, a new file is written beside the old one, synced, renamed,
-//! and only then the old one is removed.
+//! The replica's state is in one log file, `control-N.log`: a header, then
+//! records with length and checksums. Changes are appended and synced.
+//! Compaction writes a new file under a temporary name, syncs and renames the
+//! new file, and only then removes the previous log file.
 
 pub mod folder;
 pub mod record;
--- a/crates/node/src/process/store/record.rs
+++ b/crates/node/src/process/store/record.rs
@@ -1,36 +1,39 @@
-//! Records of a log file, and reading them back after a crash.
+//! Encoding of log file records, and reading them back after a crash.
 //!
-//! A record is: length of the body (u32), kind (u8), checksum of these five
-//! bytes (u32), checksum of the body (u32), body. Numbers are little-endian,
-//! checksums CRC-32.
+//! A record consists of the body's length (u32), its kind (u8), a checksum of
+//! these five bytes (u32), a checksum of the body (u32), and the body. Numbers
+//! are little-endian, checksums are CRC-32.
 
 use std::fmt;
 
-/// First bytes of a log file: a name and the version of the format.
+/// First bytes of a log file: the format's name and its version.
 pub const FILE_HEADER: &[u8; 8] = b"WMCTL\x00\x001";
-/// Bytes before a record's body.
+/// Size in bytes of a record without its body.
 const RECORD_HEADER_BYTES: usize = 13;
-/// Largest body.
+/// Largest accepted record body, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
-/// Kind of a record.
+/// Kind of a log file record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordKind {
-    /// Term and vote.
+    /// The replica's term and vote.
     HardState,
-    /// An entry.
+    /// An entry of the replicated log.
     Entry,
     /// The commit index.
     Commit,
-    /// The state up to a place; entries up to it are dropped.
+    /// The control state up to a log position. Entries up to that position are
+    /// dropped; later entries stay.
     Snapshot,
-    /// Like a snapshot, and all entries are dropped.
+    /// A snapshot that replaces all entries, including later ones.
     InstalledSnapshot,
-    /// The end of what was written and synced together. A tear can only be in
-    /// the last batch, in any of its records; that batch is cut as a whole.
+    /// End of a batch of records that were written and synced together. A crash
+    /// can damage only the last batch, in any of its records, so the reader
+    /// drops that batch as a whole.
     BatchEnd,
 }
 
+/// Code of each record kind in the file.
 const KIND_CODES: [(u8, RecordKind); 6] = [
     (1, RecordKind::HardState),
     (2, RecordKind::Entry),
@@ -55,7 +58,7 @@
     }
 }
 
-/// Appends a record to `bytes`.
+/// Encodes a record and appends it to `bytes`.
 pub fn append_record(kind: RecordKind, body: &[u8], bytes: &mut Vec<u8>) {
     let start = bytes.len();
     bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
@@ -66,14 +69,14 @@
     bytes.extend_from_slice(body);
 }
 
-/// Why a file cannot be used.
+/// Why a log file cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FileDamage {
-    /// It does not begin as a log file of this format does.
+    /// The file does not begin with [`FILE_HEADER`].
     Header,
-    /// A record that others follow cannot be read.
+    /// A record cannot be read although synced batches follow it.
     Record {
-        /// Offset of the record in the file.
+        /// Offset of the record in the file, in bytes.
         offset: usize,
     },
 }
@@ -81,46 +84,48 @@
 impl fmt::Display for FileDamage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FileDamage::Header => f.write_str("not a log file of this format, or of a newer one"),
+            FileDamage::Header => f.write_str("not a log file, or its format is newer"),
             FileDamage::Record { offset } => {
                 write!(
                     f,
-                    "damaged record at offset {offset}, with good ones after it"
+                    "damaged record at offset {offset}, with valid batches after it"
                 )
             }
         }
     }
 }
 
-/// A record read back.
+/// A record parsed from a log file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ParsedRecord<'a> {
-    /// Its kind.
+    /// Kind of the record.
     pub kind: RecordKind,
-    /// Its body.
+    /// Encoded value of the record.
     pub body: &'a [u8],
-    /// Offset in the file.
+    /// Offset of the record in the file, in bytes.
     pub offset: usize,
 }
 
-/// The records of a file, and where the good part ends.
+/// The valid records of a log file.
 #[derive(Debug)]
 pub struct FileRecords<'a> {
-    /// The records in order.
+    /// The records in the order they were written.
     pub records: Vec<ParsedRecord<'a>>,
-    /// Length of the good part; what is beyond is a torn tail.
+    /// Length in bytes of the valid part of the file. The bytes after it are a
+    /// torn tail, from a batch that a crash interrupted.
     pub valid_length: usize,
 }
 
-/// Reads the records of a file.
+/// Reads the records of a log file.
 ///
-/// What cannot be read in the last batch is a torn tail: the batch was being
-/// written at a crash and nothing was answered on its strength. What cannot be
-/// read and has the ends of two batches after it was synced once: damage.
+/// An unreadable record in the last batch is a torn tail: a crash interrupted
+/// the write, and the replica had not yet answered anybody based on the batch.
+/// An unreadable record that two or more batch ends follow must have been
+/// synced earlier, so the file is damaged.
 ///
 /// # Errors
 ///
-/// Fails on damage.
+/// Fails if the header is wrong or the file is damaged.
 pub fn read_records(bytes: &[u8]) -> Result<FileRecords<'_>, FileDamage> {
     if !bytes.starts_with(FILE_HEADER) {
         return Err(FileDamage::Header);
@@ -141,7 +146,8 @@
             last_batch_end = Some((records.len(), offset));
         }
     }
-    // A file without any batch was written by an older version.
+    // Older versions wrote no batch ends. All readable records of such a file
+    // are valid.
     let (count, valid_length) = last_batch_end.unwrap_or((records.len(), offset));
     records.truncate(count);
     Ok(FileRecords {
@@ -150,6 +156,8 @@
     })
 }
 
+/// Returns the record at `offset`, if a complete record with valid checksums is
+/// there.
 fn parse_record(bytes: &[u8], offset: usize) -> Option<ParsedRecord<'_>> {
     let header = bytes.get(offset..offset + RECORD_HEADER_BYTES)?;
     if crc32fast::hash(&header[..5]) != read_u32(&header[5..9]) {
@@ -167,6 +175,7 @@
     Some(ParsedRecord { kind, body, offset })
 }
 
+/// Returns the number of valid batch ends at any offset from `from` on.
 fn count_batch_ends(bytes: &[u8], from: usize) -> usize {
     let records = (from..bytes.len()).filter_map(|offset| parse_record(bytes, offset));
     records
--- a/crates/node/src/process/store/remembered.rs
+++ b/crates/node/src/process/store/remembered.rs
@@ -1,5 +1,6 @@
-//! What a control instance knew besides the log, over a restart: a file each,
-//! replaced as a whole.
+//! Files that carry a control instance's knowledge of servers and suspect
+//! requests over a restart. This knowledge is not in the replicated log. Each
+//! write replaces the whole file.
 
 use anyhow::Context;
 use serde::de::DeserializeOwned;
@@ -8,21 +9,22 @@
 
 use crate::process::store::folder::DataFolder;
 
-/// A file of remembered records.
+/// A file with records that a control instance reads back after a restart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RememberedFile {
-    /// The servers. They announce themselves again within seconds; until then a
-    /// group that lost all power would serve nothing. No promise rests on this
-    /// file: who is in it is believed for a moment, and every request names the
-    /// server that is meant.
+    /// The known servers. Servers announce themselves again within seconds, but
+    /// without this file a control group that lost all power would serve
+    /// nothing until then. No guarantee depends on this file: the servers
+    /// listed in it are trusted only briefly, and every request names the
+    /// server that it is meant for.
     Servers,
-    /// The requests under which servers ended: whoever sends one again does so
-    /// after a loss of all power as well.
+    /// The suspect requests, under which servers crashed. A caller may send such
+    /// a request again after a loss of all power, so the list must outlive it.
     Suspects,
 }
 
 impl RememberedFile {
-    /// Returns its name in the folder.
+    /// Returns the name of this file within the data folder.
     fn file_name(self) -> &'static str {
         match self {
             RememberedFile::Servers => "servers",
@@ -35,13 +37,13 @@
 ///
 /// # Errors
 ///
-/// Fails if the codec does.
+/// Fails if the records cannot be encoded.
 pub fn encode_records<T: Serialize>(records: &[&T]) -> anyhow::Result<Vec<u8>> {
     Ok(encode(&records)?)
 }
 
 impl DataFolder {
-    /// Keeps encoded records in place of those kept before.
+    /// Replaces the contents of `file` with encoded records.
     ///
     /// # Errors
     ///
@@ -50,11 +52,11 @@
         self.replace_file(file.file_name(), records)
     }
 
-    /// Returns the records kept; none if there is no file.
+    /// Returns the records in `file`, or an empty list if the file does not exist.
     ///
     /// # Errors
     ///
-    /// Fails if the file cannot be read or is none of these.
+    /// Fails if the file cannot be read or decoded.
     pub fn remembered<T: DeserializeOwned>(&self, file: RememberedFile) -> anyhow::Result<Vec<T>> {
         let file_name = file.file_name();
         match self.read_file(file_name)? {
--- a/crates/node/src/process/store/replica_store.rs
+++ b/crates/node/src/process/store/replica_store.rs
@@ -1,4 +1,5 @@
-//! What a control replica keeps.
+//! Persistent state of a control replica: the replica's actions are appended to
+//! a log file, and the log file is read back at the start.
 
 use std::fs::{File, OpenOptions};
 use std::io::{Seek, SeekFrom, Write};
@@ -16,24 +17,25 @@
 use crate::process::store::folder::{log_file_name, DataFolder};
 use crate::process::store::record::{append_record, read_records, RecordKind, FILE_HEADER};
 
-/// What a replica has kept.
+/// The persistent state of a replica.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PersistedState {
     /// Term and vote.
     pub hard_state: HardState,
-    /// The last entry the snapshot includes.
+    /// Position of the last log entry that the snapshot includes.
     pub snapshot_position: LogPosition,
-    /// The snapshot.
+    /// The control state in the snapshot.
     pub state: ControlState,
-    /// The entries after it.
+    /// The log entries after the snapshot.
     pub entries: Vec<LogEntry>,
-    /// The commit index.
+    /// Index of the last committed log entry.
     pub commit: u64,
 }
 
 impl PersistedState {
     fn apply_entry(&mut self, entry: LogEntry) {
-        // Mostly it goes at the end; a new leader may replace the last ones.
+        // An entry usually goes at the end, but a new leader may replace the
+        // last entries.
         while self
             .entries
             .last()
@@ -44,14 +46,14 @@
         self.entries.push(entry);
     }
 
-    fn apply_snapshot(&mut self, place: LogPosition, state: ControlState, is_installed: bool) {
-        self.snapshot_position = place;
+    fn apply_snapshot(&mut self, position: LogPosition, state: ControlState, is_installed: bool) {
+        self.snapshot_position = position;
         self.state = state;
-        self.commit = self.commit.max(place.index);
+        self.commit = self.commit.max(position.index);
         if is_installed {
             self.entries.clear();
         } else {
-            self.entries.retain(|entry| entry.index > place.index);
+            self.entries.retain(|entry| entry.index > position.index);
         }
     }
 
@@ -62,8 +64,8 @@
             RecordKind::Commit => self.commit = decode_record(body)?,
             RecordKind::BatchEnd => {}
             RecordKind::Snapshot | RecordKind::InstalledSnapshot => {
-                let (place, state) = decode_snapshot(body)?;
-                self.apply_snapshot(place, state, kind == RecordKind::InstalledSnapshot);
+                let (position, state) = decode_snapshot(body)?;
+                self.apply_snapshot(position, state, kind == RecordKind::InstalledSnapshot);
             }
         }
         Ok(())
@@ -71,23 +73,24 @@
 }
 
 fn decode_record<T: DeserializeOwned>(body: &[u8]) -> anyhow::Result<T> {
-    decode(body).context("could not read a record of good checksum")
+    decode(body).context("could not decode a record with a valid checksum")
 }
 
-/// Reads a snapshot. One that an earlier program wrote lacks what is kept at its
-/// end since, and that was empty then.
+/// Decodes a snapshot. Earlier program versions wrote snapshots without the
+/// roll-outs, or without the evacuations and roll-outs, at the end. These parts
+/// are empty in the decoded state.
 fn decode_snapshot(body: &[u8]) -> anyhow::Result<(LogPosition, ControlState)> {
     let evacuations = encode(&EvacuationRegistry::default())?;
     let rollouts = encode(&RolloutRegistry::default())?;
-    let from_evacuations = [&*evacuations, &rollouts].concat();
+    let empty_evacuations_and_rollouts = [&*evacuations, &rollouts].concat();
     decode_record(body).or_else(|error| {
-        let mut ends = [rollouts, from_evacuations].into_iter();
-        let found = ends.find_map(|end| decode_record(&[body, &end].concat()).ok());
-        found.ok_or(error)
+        let mut missing_ends = [rollouts, empty_evacuations_and_rollouts].into_iter();
+        let decoded = missing_ends.find_map(|end| decode_record(&[body, &end].concat()).ok());
+        decoded.ok_or(error)
     })
 }
 
-/// The log file of a replica, open for appending.
+/// The open log file of a replica, and the state that the file holds.
 #[derive(Debug)]
 pub struct ReplicaStore {
     folder: DataFolder,
@@ -95,16 +98,18 @@
     file: File,
     persisted_state: PersistedState,
     buffer: Vec<u8>,
-    /// Syncs made, for measurements.
+    /// Number of syncs, for measurements.
     sync_count: u64,
 }
 
 impl ReplicaStore {
-    /// Opens what a folder holds. A torn tail is cut and logged.
+    /// Opens the newest log file of a folder, or creates the first one. Cuts off a
+    /// torn tail, which is a batch that a crash interrupted, and logs a warning.
     ///
     /// # Errors
     ///
-    /// Fails on damage, with file and offset.
+    /// Fails if the folder cannot be read or written, or if the file is damaged;
+    /// the error then names the file and the offset.
     pub fn open(folder: DataFolder) -> anyhow::Result<ReplicaStore> {
         let log_numbers = folder.list_log_numbers()?;
         let Some(log_number) = log_numbers.last().copied() else {
@@ -116,8 +121,8 @@
         let found = match read_records(&bytes) {
             Ok(found) => found,
             Err(damage) => bail!(
-                "could not use {}: {damage}; the replica must not go on with it: restore the \
-                 file, or replace the replica",
+                "could not use {}: {damage}; the replica must not run with this file: restore \
+                 the file, or replace the replica",
                 path.display()
             ),
         };
@@ -136,7 +141,7 @@
         let mut file = OpenOptions::new().write(true).open(&path)?;
         if found.valid_length < bytes.len() {
             tracing::warn!(
-                "store: torn tail of {} bytes cut at offset {} of {}",
+                "store: cut off a torn tail of {} bytes at offset {} of {}",
                 bytes.len() - found.valid_length,
                 found.valid_length,
                 path.display()
@@ -145,7 +150,7 @@
             file.sync_all()?;
         }
         file.seek(SeekFrom::End(0))?;
-        // Left behind by a crash between two steps of a compaction.
+        // A crash during a compaction can leave older log files behind.
         for old in &log_numbers[..log_numbers.len() - 1] {
             std::fs::remove_file(folder.path.join(log_file_name(*old)))?;
         }
@@ -175,27 +180,28 @@
         })
     }
 
-    /// Returns what is kept.
+    /// Returns the state written so far, including actions not synced yet.
     pub fn persisted_state(&self) -> &PersistedState {
         &self.persisted_state
     }
 
-    /// Returns the folder it is kept in.
+    /// Returns the data folder that holds the log file.
     pub fn folder(&self) -> &DataFolder {
         &self.folder
     }
 
-    /// Returns the number of syncs made.
+    /// Returns the number of syncs since the log file was opened.
     pub fn sync_count(&self) -> u64 {
         self.sync_count
     }
 
-    /// Takes an action that is to be kept; [`ReplicaStore::sync`] makes it
-    /// last. Other actions are left alone.
+    /// Buffers a `Persist...` action for the log file; [`ReplicaStore::sync`]
+    /// makes it durable. A snapshot is written and synced at once. Ignores all
+    /// other actions.
     ///
     /// # Errors
     ///
-    /// Fails if a snapshot cannot be written.
+    /// Fails if the action cannot be encoded or a snapshot cannot be written.
     pub fn persist(&mut self, action: &ReplicaAction) -> anyhow::Result<()> {
         match action {
             ReplicaAction::PersistHardState(hard_state) => {
@@ -229,12 +235,13 @@
         Ok(())
     }
 
-    /// Makes all that was taken last. After a failure the store must not be
-    /// used any more: what is on the disk is not known.
+    /// Writes the buffered records to the log file as one batch and syncs the
+    /// file. After a failure the store must not be used any more, because the
+    /// contents of the disk are unknown.
     ///
     /// # Errors
     ///
-    /// Fails if the system cannot write or sync.
+    /// Fails if the log file cannot be written or synced.
     pub fn sync(&mut self) -> anyhow::Result<()> {
         if self.buffer.is_empty() {
             return Ok(());
@@ -243,18 +250,19 @@
         self.file
             .write_all(&self.buffer)
             .and_then(|()| self.file.sync_data())
-            .with_context(|| format!("could not keep {}", log_file_name(self.log_number)))?;
+            .with_context(|| format!("could not write {}", log_file_name(self.log_number)))?;
         self.buffer.clear();
         self.sync_count += 1;
         Ok(())
     }
 
-    /// Writes all that is kept into a new file, which takes the old one's
-    /// place.
+    /// Compacts the log: writes the persisted state to a new log file and removes
+    /// the previous one.
     ///
     /// # Errors
     ///
-    /// Fails if the system cannot write or sync.
+    /// Fails if the new file cannot be written or synced, or the previous file
+    /// cannot be removed.
     pub fn rewrite_log(&mut self) -> anyhow::Result<()> {
         let mut bytes = FILE_HEADER.to_vec();
         let snapshot = encode(&(
@@ -276,16 +284,17 @@
             &mut bytes,
         );
         append_record(RecordKind::BatchEnd, &[], &mut bytes);
-        let old = self.folder.path.join(log_file_name(self.log_number));
+        let previous_path = self.folder.path.join(log_file_name(self.log_number));
         self.log_number += 1;
         let name = log_file_name(self.log_number);
         self.folder.replace_file(&name, &bytes)?;
         let path = self.folder.path.join(&name);
         self.file = OpenOptions::new().write(true).open(path)?;
         self.file.seek(SeekFrom::End(0))?;
-        // All of it is in the new file.
+        // The new file already includes the buffered records.
         self.buffer.clear();
         self.sync_count += 1;
-        std::fs::remove_file(&old).with_context(|| format!("could not remove {}", old.display()))
+        std::fs::remove_file(&previous_path)
+            .with_context(|| format!("could not remove {}", previous_path.display()))
     }
 }
--- a/crates/node/src/request/call.rs
+++ b/crates/node/src/request/call.rs
@@ -1,4 +1,5 @@
-//! A caller's request on its way through the entry thread.
+//! Passes a caller's request to the entry thread, which makes all decisions, and
+//! waits for the outcome.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -9,9 +10,11 @@
 use crate::process::entry::EntryMessage;
 use crate::ring::RingSender;
 
+/// Tag of the next call, unique within the process.
 static NEXT_CALL_TAG: AtomicU64 = AtomicU64::new(1);
 
-/// Tells the entry thread that a caller left, if it is dropped early.
+/// Notifies the entry thread that the caller disconnected, if the guard is
+/// dropped before the outcome arrived.
 struct CallGuard {
     call: CallTag,
     ring: RingSender<EntryMessage>,
@@ -21,39 +24,40 @@
 impl Drop for CallGuard {
     fn drop(&mut self) {
         if self.is_armed {
-            // Without room the query ends at its deadline instead.
+            // If the ring is full, the query ends at its deadline instead.
             let message = EntryMessage::Input(EntryInput::CallerLeft(self.call));
             let _ = self.ring.offer(message);
         }
     }
 }
 
-/// Why a call got no outcome from the entry thread.
+/// Why the entry thread returned no outcome for a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallError {
-    /// The entry thread's ring is full; the request was not let in.
+    /// The entry thread's ring is full, so the request was not accepted.
     Busy,
-    /// The entry thread ended before the outcome.
+    /// The entry thread stopped before it returned the outcome.
     Ended,
 }
 
-/// A caller's request before it is let in.
+/// A caller's request, before the entry thread accepts it.
 #[derive(Debug)]
 pub struct CallRequest {
-    /// Service asked for.
+    /// Name of the requested service.
     pub service: Box<str>,
-    /// Time the caller gives it.
+    /// Time limit that the caller set, if any.
     pub deadline: Option<std::time::Duration>,
-    /// What is passed on.
+    /// Contents of the request, passed on to the upstream servers.
     pub body: RequestBody,
 }
 
-/// Hands a request to the entry thread and waits for its one outcome. If the
-/// future is dropped first, the entry thread learns that the caller left.
+/// Sends a request to the entry thread and waits for the outcome. If the future
+/// is dropped before the outcome arrived, the entry thread is notified that the
+/// caller disconnected.
 ///
 /// # Errors
 ///
-/// Fails if the entry thread cannot take it.
+/// Fails if the entry thread's ring is full or the entry thread stopped.
 pub async fn make_call(
     ring: &RingSender<EntryMessage>,
     request: CallRequest,
--- a/crates/node/src/request/respond.rs
+++ b/crates/node/src/request/respond.rs
@@ -1,4 +1,4 @@
-//! Turning outcomes and errors into HTTP responses.
+//! Converts query outcomes and problems to HTTP responses.
 
 use axum::http::header::{CONTENT_TYPE, RETRY_AFTER};
 use axum::http::{HeaderValue, StatusCode};
@@ -7,7 +7,7 @@
 use wheelmast_wire::caller::PROBLEM_TYPE;
 use wheelmast_wire::prelude::{AnswerBody, ProblemBody};
 
-/// Returns the response for an outcome.
+/// Returns the HTTP response for the outcome of a request to `service`.
 pub fn respond_outcome(service: &str, outcome: QueryOutcome) -> Response {
     match outcome {
         QueryOutcome::Answer(answer) => {
@@ -17,8 +17,8 @@
     }
 }
 
-/// Returns the response for a submission that ran before: the answer its
-/// first caller got, as JSON text.
+/// Returns the HTTP response for a repeated submission that already ran.
+/// `answer` is the stored JSON text that the first caller received.
 pub fn respond_stored_answer(answer: String) -> Response {
     let mut response = answer.into_response();
     let json = HeaderValue::from_static("application/json");
@@ -26,7 +26,8 @@
     response
 }
 
-/// Returns the response for a problem.
+/// Returns the HTTP response for a problem, with the problem's status code and,
+/// if the caller may retry, the `retry-after` header.
 pub fn respond_problem(problem: &ProblemBody) -> Response {
     let status = StatusCode::from_u16(problem.status);
     let status = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
--- a/crates/node/src/ring.rs
+++ b/crates/node/src/ring.rs
@@ -1,11 +1,11 @@
-//! Bounded rings between the threads of an instance.
+//! Rings: bounded message queues between the threads of an instance.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
 use tokio::sync::mpsc;
 
-/// The sending end of a ring.
+/// The sending end of a ring (a bounded queue).
 #[derive(Debug)]
 pub struct RingSender<T> {
     sender: mpsc::Sender<T>,
@@ -21,10 +21,10 @@
     }
 }
 
-/// The receiving end of a ring.
+/// The receiving end of a ring (a bounded queue).
 pub type RingReceiver<T> = mpsc::Receiver<T>;
 
-/// Makes a ring with room for `capacity` messages.
+/// Creates a ring that holds up to `capacity` messages.
 pub fn bounded_ring<T>(capacity: usize) -> (RingSender<T>, RingReceiver<T>) {
     let (sender, receiver) = mpsc::channel(capacity);
     let sender = RingSender {
@@ -35,12 +35,11 @@
 }
 
 impl<T> RingSender<T> {
-    /// Puts a message into the ring, or gives it back if the ring is full or
-    /// its other end is gone.
+    /// Adds a message to the ring without waiting.
     ///
     /// # Errors
     ///
-    /// Returns the message that found no room.
+    /// Returns the message if the ring is full or the receiver was dropped.
     pub fn offer(&self, message: T) -> Result<(), T> {
         self.sender.try_send(message).map_err(|error| {
             self.dropped.fetch_add(1, Ordering::Relaxed);
@@ -48,19 +47,18 @@
         })
     }
 
-    /// Waits for room and puts a message into the ring. A ring whose other
-    /// end is gone swallows it: the instance is ending.
+    /// Waits for capacity and adds a message to the ring. Discards the message if
+    /// the receiver was dropped, because the instance is then shutting down.
     pub async fn put(&self, message: T) {
         let _ = self.sender.send(message).await;
     }
 
-    /// Waits for room and puts a message into the ring, from a thread that may
-    /// wait.
+    /// Does the same as [`RingSender::put`], but blocks the calling thread.
     pub fn put_blocking(&self, message: T) {
         let _ = self.sender.blocking_send(message);
     }
 
-    /// Returns how many messages found no room.
+    /// Returns how many messages [`RingSender::offer`] rejected.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
--- a/crates/node/src/settings/mod.rs
+++ b/crates/node/src/settings/mod.rs
@@ -1,6 +1,7 @@
-//! The settings of an instance: JSON with comments.
+//! The settings file of an instance, in JSON with comments.
 //!
-//! All findings are reported together, each with line and column.
+//! The parser reports all faults of a file together as findings, each with line
+//! and column.
 
 pub mod model;
 pub mod read;
--- a/crates/node/src/settings/model.rs
+++ b/crates/node/src/settings/model.rs
@@ -1,61 +1,63 @@
-//! What the settings of an instance say.
+//! Settings of an instance that answers queries from snapshots, and a builder
+//! for programs that embed such an instance.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogFormat {
-    /// As text.
+    /// Plain text.
     Text,
-    /// As a JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Settings of the log.
+/// Log settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogSettings {
-    /// How lines are written.
+    /// Format of log lines.
     pub format: LogFormat,
-    /// Least level, or a filter like `info,wheelmast_node=debug`.
+    /// Minimum level, or a filter like `info,wheelmast_node=debug`.
     pub level: String,
-    /// Whether each recorded decision is a line.
+    /// Whether each recorded decision is written to the log.
     pub decisions: bool,
 }
 
-/// Settings of an instance's part in the deployment.
+/// Settings that connect an instance to the other instances of its deployment.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClusterSettings {
     /// Name of the deployment's control group.
     pub cluster: String,
-    /// Listener for other instances.
+    /// Address of the listener for other instances.
     pub listen: SocketAddr,
-    /// The other instances.
+    /// The other instances of the deployment.
     pub peers: Vec<PeerSettings>,
-    /// The key that all instances share, or the file it is in.
+    /// Source of the key that all instances of the deployment share.
     pub key: KeySource,
-    /// The data folder; an instance with one is a control replica.
+    /// The data folder. An instance with a data folder is a control replica.
     pub data_folder: Option<PathBuf>,
 }
 
-/// Another instance.
+/// Settings for another instance of the deployment.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerSettings {
-    /// Its name.
+    /// Name of the other instance.
     pub name: String,
-    /// Its listener for peers.
+    /// Address at which the other instance listens for peers.
     pub address: SocketAddr,
-    /// Whether it is a control replica.
+    /// Whether the other instance is a control replica.
     pub is_replica: bool,
 }
 
-/// Where a key comes from. A key is never logged.
+/// Source of a secret key. Debug output omits the key, so that it is never
+/// logged.
 #[derive(Clone, PartialEq, Eq)]
 pub enum KeySource {
-    /// The first line of a file.
+    /// The key is the first line of this file.
     File(PathBuf),
-    /// The key itself, from a program that embeds an instance.
+    /// The key itself, passed by a program that embeds an instance.
     Key(String),
 }
 
@@ -68,44 +70,45 @@
     }
 }
 
-/// Settings of one instance.
+/// Settings of one instance that answers queries from snapshots.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InstanceSettings {
     /// Name of the instance, unique in the deployment.
     pub instance: String,
-    /// Failure domain it stands in.
+    /// Failure domain (zone) that the instance runs in.
     pub domain: String,
-    /// Region it stands in.
+    /// Region that the instance runs in.
     pub region: String,
-    /// Listener for callers.
+    /// Address of the listener for callers.
     pub callers: SocketAddr,
-    /// Listener for operators.
+    /// Address of the listener for operators.
     pub operators: SocketAddr,
-    /// Listener for upstream servers' announcements.
+    /// Address of the listener for upstream servers' announcements.
     pub upstreams: SocketAddr,
-    /// Address its own connections come from, if it matters.
+    /// Local address that outgoing connections are bound to, if set.
     pub source: Option<IpAddr>,
-    /// Its part in the deployment; alone without.
+    /// Connection to the other instances; `None` for an instance that runs alone.
     pub cluster: Option<ClusterSettings>,
-    /// Token that operators must show for changes, if any.
+    /// Source of the token that operators must send with a change, if any.
     pub operator_token: Option<KeySource>,
-    /// Service table in force at the start, for an instance that is alone.
+    /// File with the service table to use, for an instance that runs alone.
     pub table: Option<PathBuf>,
-    /// Instances that share each upstream server's limits.
+    /// Number of instances that divide each upstream server's limits among them.
     pub instances: u32,
-    /// Most requests at work.
+    /// Maximum number of requests in progress.
     pub in_flight: u32,
-    /// Most connections of callers.
+    /// Maximum number of callers' connections.
     pub connections: u32,
-    /// Most decisions of requests recorded in a second.
+    /// Maximum number of request decisions recorded per second.
     pub decisions_per_second: u32,
-    /// Time between "not ready" and the first refusal when leaving.
+    /// Time during shutdown between the first "not ready" answer and the first
+    /// refused request.
     pub drain_notice: Duration,
-    /// Settings of the log.
+    /// Log settings.
     pub log: LogSettings,
 }
 
-/// Name and failure domain that stand in until they are set.
+/// Default instance name, failure domain and region.
 const UNNAMED: &str = "unnamed";
 const LOOPBACK: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 
@@ -137,7 +140,7 @@
 }
 
 impl InstanceSettings {
-    /// Returns a builder with the defaults, for an instance of this name.
+    /// Returns a builder with default settings for an instance with this name.
     pub fn builder(instance: impl Into<String>) -> InstanceSettingsBuilder {
         InstanceSettingsBuilder {
             settings: InstanceSettings {
@@ -155,79 +158,80 @@
 }
 
 impl InstanceSettingsBuilder {
-    /// Sets the failure domain.
+    /// Sets the failure domain that the instance runs in.
     pub fn domain(mut self, domain: impl Into<String>) -> Self {
         self.settings.domain = domain.into();
         self
     }
 
-    /// Sets the listener for callers.
+    /// Sets the address of the listener for callers.
     pub fn callers(mut self, address: SocketAddr) -> Self {
         self.settings.callers = address;
         self
     }
 
-    /// Sets the listener for operators.
+    /// Sets the address of the listener for operators.
     pub fn operators(mut self, address: SocketAddr) -> Self {
         self.settings.operators = address;
         self
     }
 
-    /// Sets the listener for upstream servers.
+    /// Sets the address of the listener for upstream servers' announcements.
     pub fn upstreams(mut self, address: SocketAddr) -> Self {
         self.settings.upstreams = address;
         self
     }
 
-    /// Sets the address its own connections come from.
+    /// Sets the local address that outgoing connections are bound to.
     pub fn source(mut self, source: IpAddr) -> Self {
         self.settings.source = Some(source);
         self
     }
 
-    /// Sets the instance's part in the deployment.
+    /// Connects the instance to the other instances of a deployment.
     pub fn cluster(mut self, cluster: ClusterSettings) -> Self {
         self.settings.cluster = Some(cluster);
         self
     }
 
-    /// Sets the number of instances that share each server's limits.
+    /// Sets the number of instances that divide each upstream server's limits.
     pub fn instances(mut self, instances: u32) -> Self {
         self.settings.instances = instances;
         self
     }
 
-    /// Sets the most requests at work.
+    /// Sets the maximum number of requests in progress.
     pub fn in_flight(mut self, in_flight: u32) -> Self {
         self.settings.in_flight = in_flight;
         self
     }
 
-    /// Sets the most connections of callers.
+    /// Sets the maximum number of callers' connections.
     pub fn connections(mut self, connections: u32) -> Self {
         self.settings.connections = connections;
         self
     }
 
-    /// Sets the most decisions of requests recorded in a second.
+    /// Sets the maximum number of request decisions recorded per second.
     pub fn decisions_per_second(mut self, decisions: u32) -> Self {
         self.settings.decisions_per_second = decisions;
         self
     }
 
-    /// Sets the time between "not ready" and the first refusal.
-    pub fn drain_notice(mut self, notice: Duration) -> Self {
-        self.settings.drain_notice = notice;
+    /// Sets the time during shutdown between the first "not ready" answer and
+    /// the first refused request.
+    pub fn drain_notice(mut self, drain_notice: Duration) -> Self {
+        self.settings.drain_notice = drain_notice;
         self
     }
 
-    /// Sets whether each recorded decision is a log line.
+    /// Sets whether each recorded decision is written to the log.
     pub fn log_decisions(mut self, decisions: bool) -> Self {
         self.settings.log.decisions = decisions;
         self
     }
 
-    /// Returns the settings.
+    /// Returns the finished settings.
     pub fn build(self) -> InstanceSettings {
         self.settings
     }
--- a/crates/node/src/settings/read.rs
+++ b/crates/node/src/settings/read.rs
@@ -1,4 +1,6 @@
-//! Reading the settings of an instance.
+//! Parses settings files. The file of an instance that forwards requests or
+//! belongs to the control group has the key `role`; all other files are those of
+//! instances that answer queries from snapshots.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -14,35 +16,37 @@
 use crate::settings::reader::ObjectReader;
 use crate::settings::role::{read_role, RoleSettings};
 
-/// What an address must be.
+/// Description of a valid address, for findings.
 const ADDRESS_FORMAT: &str = "an IP address and port, like \"127.0.0.1:7400\"";
 
-/// Settings of either kind.
+/// Settings of one of the two kinds of instances.
 #[derive(Debug, Clone)]
 pub enum ParsedSettings {
-    /// Of an instance that answers queries from snapshots.
+    /// Settings of an instance that answers queries from snapshots.
     Instance(Box<InstanceSettings>),
-    /// Of an instance with a role in forwarding.
+    /// Settings of an instance that forwards requests (an entry) or belongs to
+    /// the control group.
     Role(Box<RoleSettings>),
 }
 
-/// Reads a settings file of either kind: one that names a role is of an
-/// instance in forwarding.
+/// Reads a settings file and parses it with [`read_settings_text`].
 ///
 /// # Errors
 ///
-/// Fails if the file cannot be read; the inner result carries the findings.
+/// Fails if the file cannot be read. The inner result holds the findings of a
+/// file that was read.
 pub fn read_settings_file(path: &Path) -> anyhow::Result<Result<ParsedSettings, FindingList>> {
     let text = std::fs::read_to_string(path)
         .with_context(|| format!("could not read settings {}", path.display()))?;
     Ok(read_settings_text(&text))
 }
 
-/// Reads settings of either kind out of JSON with comments.
+/// Parses settings of either kind, in JSON with comments. Settings with the key
+/// `role` are read as [`RoleSettings`], all others as [`InstanceSettings`].
 ///
 /// # Errors
 ///
-/// Returns all findings at once.
+/// Returns all findings if the settings have faults.
 pub fn read_settings_text(text: &str) -> Result<ParsedSettings, FindingList> {
     let parsed = parse_to_ast(text, &Default::default(), &Default::default());
     let value = parsed
@@ -62,11 +66,12 @@
     }
 }
 
-/// Reads settings out of JSON with comments.
+/// Parses the settings of an instance that answers queries from snapshots, in
+/// JSON with comments.
 ///
 /// # Errors
 ///
-/// Returns all findings at once.
+/// Returns all findings if the settings have faults.
 pub fn read_instance_settings(text: &str) -> Result<InstanceSettings, FindingList> {
     let mut findings = FindingList::default();
     let parsed = match parse_to_ast(text, &Default::default(), &Default::default()) {
@@ -130,10 +135,10 @@
         &mut settings.decisions_per_second,
         reader.read_integer("decisions_per_second", 0, 1_000_000, findings),
     );
-    let notice = reader.read_integer("drain_notice_ms", 0, 60_000, findings);
+    let drain_notice = reader.read_integer("drain_notice_ms", 0, 60_000, findings);
     set_if_some(
         &mut settings.drain_notice,
-        notice.map(|millis| Duration::from_millis(u64::from(millis))),
+        drain_notice.map(|millis| Duration::from_millis(u64::from(millis))),
     );
     let mut peer_listener = None;
     if let Some(listen) = reader.read_object("listen", findings) {
@@ -147,7 +152,7 @@
         if settings.table.is_some() {
             findings.add(
                 place,
-                "table: not with cluster; apply it to the control group",
+                "table: not allowed with cluster; apply the table to the control group",
             );
         }
     }
@@ -251,7 +256,7 @@
     reader.finish(findings);
 }
 
-/// Sets a field if a value was read for it.
+/// Assigns `value` to `field` if there is a value; a default stays otherwise.
 fn set_if_some<T>(field: &mut T, value: Option<T>) {
     if let Some(value) = value {
         *field = value;
--- a/crates/node/src/settings/reader.rs
+++ b/crates/node/src/settings/reader.rs
@@ -1,4 +1,5 @@
-//! Reading fields out of JSON with comments, with findings and their places.
+//! Reads typed fields from a JSON object and reports invalid, missing, unknown
+//! and repeated fields as findings with line and column.
 
 use std::collections::HashSet;
 
@@ -6,8 +7,11 @@
 use jsonc_parser::common::{Range, Ranged};
 use wheelmast_core::finding::{suggest_name, FindingList, FindingPlace};
 
-/// Reads the fields of one object and remembers which it was asked for, so
-/// that [`ObjectReader::finish`] can report the others.
+/// Reads the fields of one JSON object and records the names that were read, so
+/// that [`ObjectReader::finish`] can report all other fields as unknown.
+///
+/// Each method that reads a field returns nothing if the field is missing, and
+/// adds a finding if the field's value is invalid.
 pub struct ObjectReader<'a, 't> {
     text: &'t str,
     object: &'a Object<'t>,
@@ -15,7 +19,7 @@
 }
 
 impl<'a, 't> ObjectReader<'a, 't> {
-    /// Returns a reader of `object` out of `text`.
+    /// Returns a reader for `object`, which was parsed from `text`.
     pub fn new(text: &'t str, object: &'a Object<'t>) -> ObjectReader<'a, 't> {
         ObjectReader {
             text,
@@ -24,23 +28,23 @@
         }
     }
 
-    /// Returns the place of a node.
+    /// Returns the line and column of a JSON node.
     pub fn place_of(&self, node: &impl Ranged) -> FindingPlace {
         find_place(self.text, node.range())
     }
 
-    /// Returns the place of the object itself.
+    /// Returns the line and column where the object starts.
     pub fn object_place(&self) -> FindingPlace {
         self.place_of(self.object)
     }
 
-    /// Returns the value of a field, if it is there.
+    /// Returns the value of a field, if the object has the field.
     pub fn find_field(&mut self, name: &'static str) -> Option<&'a Value<'t>> {
         self.known_fields.insert(name);
         self.object.get(name).map(|property| &property.value)
     }
 
-    /// Reads a text.
+    /// Reads a string that must not be empty.
     pub fn read_string(
         &mut self,
         name: &'static str,
@@ -56,7 +60,7 @@
         }
     }
 
-    /// Reads a value out of its text.
+    /// Reads a string and parses it as a `T`. `expected` describes a valid value.
     pub fn read_parsed<T: std::str::FromStr>(
         &mut self,
         name: &'static str,
@@ -72,7 +76,7 @@
         parsed
     }
 
-    /// Reads a whole number.
+    /// Reads an integer from `minimum` to `maximum`.
     pub fn read_integer(
         &mut self,
         name: &'static str,
@@ -91,7 +95,7 @@
         number
     }
 
-    /// Reads a number that may have a fraction.
+    /// Reads a finite number that is zero or greater.
     pub fn read_decimal(&mut self, name: &'static str, findings: &mut FindingList) -> Option<f64> {
         let value = self.find_field(name)?;
         let literal = value.as_number_lit();
@@ -103,7 +107,8 @@
         number
     }
 
-    /// Reads a list of values out of their texts.
+    /// Reads a list of strings and parses each as a `T`. `expected` describes a
+    /// valid value.
     pub fn read_parsed_list<T: std::str::FromStr>(
         &mut self,
         name: &'static str,
@@ -126,7 +131,7 @@
         items
     }
 
-    /// Reads true or false.
+    /// Reads a boolean.
     pub fn read_bool(&mut self, name: &'static str, findings: &mut FindingList) -> Option<bool> {
         let value = self.find_field(name)?;
         let flag = value.as_boolean_lit().map(|literal| literal.value);
@@ -136,7 +141,8 @@
         flag
     }
 
-    /// Reads one of some words.
+    /// Reads a string that must be one of `choices`. The finding for another
+    /// string suggests the choice that is spelled most alike.
     pub fn read_choice(
         &mut self,
         name: &'static str,
@@ -145,7 +151,10 @@
     ) -> Option<&'static str> {
         let value = self.find_field(name)?;
         let text = value.as_string_lit().map(|literal| &*literal.value);
-        let found = choices.iter().find(|word| text == Some(**word)).copied();
+        let found = choices
+            .iter()
+            .find(|choice| text == Some(**choice))
+            .copied();
         if found.is_none() {
             let message = format!("{name}: must be one of {}", choices.join(", "));
             let hint = text.and_then(|text| suggest_name(text, choices.iter().copied()));
@@ -154,7 +163,8 @@
         found
     }
 
-    /// Reads an object of texts under names that are the operator's own.
+    /// Reads an object whose values are strings and whose names are free for the
+    /// operator to choose. Returns the pairs of name and value.
     pub fn read_string_map(
         &mut self,
         name: &'static str,
@@ -183,7 +193,7 @@
         names
     }
 
-    /// Reads an object, to be read on by its own reader.
+    /// Returns a reader for a field that is an object.
     pub fn read_object(
         &mut self,
         name: &'static str,
@@ -199,7 +209,7 @@
         }
     }
 
-    /// Reads a list of objects, each to be read on by its own reader.
+    /// Returns a reader for each object of a field that is a list of objects.
     pub fn read_object_list(
         &mut self,
         name: &'static str,
@@ -223,14 +233,15 @@
             .collect()
     }
 
-    /// Reports a required field that is not there.
+    /// Reports a required field that the object does not have.
     pub fn require_field(&self, name: &'static str, findings: &mut FindingList) {
         if self.object.get(name).is_none() {
             findings.add(self.place_of(self.object), format!("{name}: missing"));
         }
     }
 
-    /// Reports fields that nobody asked for, and fields named twice.
+    /// Reports the object's fields that were never read as unknown, and fields
+    /// that occur twice.
     pub fn finish(self, findings: &mut FindingList) {
         let mut seen = HashSet::new();
         for property in &self.object.properties {
@@ -264,7 +275,7 @@
     }
 }
 
-/// Returns the line and column where a range starts.
+/// Returns the line and column in `text` where a range starts, counted from 1.
 fn find_place(text: &str, range: Range) -> FindingPlace {
     let before = &text[..range.start];
     let line_start = before.rfind('\n').map_or(0, |newline| newline + 1);
--- a/crates/node/src/settings/role.rs
+++ b/crates/node/src/settings/role.rs
@@ -1,4 +1,5 @@
-//! Settings of an instance that forwards requests or is of the control group.
+//! Settings of an instance with a role: an entry, which forwards callers'
+//! requests to the upstream, or a member of the control group.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
@@ -17,92 +18,95 @@
 
 use crate::settings::reader::ObjectReader;
 
-/// What an address must be.
+/// Description of a valid address, for findings.
 const ADDRESS_FORMAT: &str = "an IP address and port, like \"127.0.0.1:7400\"";
-/// One in so many plain successes is told in full, unless the settings say.
+/// Default of [`RoleSettings::log_plain_every`].
 const DEFAULT_LOG_PLAIN_EVERY: u32 = 64;
-/// Least levels of log lines.
+/// Valid values of the minimum log level.
 const LOG_LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
-/// Time between two announcements of a server, unless the settings name one.
+/// Default time between two announcements of a server.
 const DEFAULT_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(1200);
-/// Time for a graceful end, unless the settings name one.
+/// Default time for a graceful shutdown.
 const DEFAULT_GRACE_PERIOD: Duration = Duration::from_secs(6);
 
-/// What the instance does.
+/// The role of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RoleKind {
-    /// It takes callers' requests.
+    /// Accepts callers' requests and forwards them to the upstream.
     Entry,
-    /// It takes announcements and operators' changes, and keeps them.
+    /// Accepts servers' announcements and operators' changes, and stores them.
     Control,
 }
 
-/// Whose names and formats are spoken.
+/// The header names and message formats that an instance uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DialectKind {
-    /// The product's own.
+    /// The names and formats of wheelmast.
     Native,
-    /// The users' platform's.
+    /// The names and formats of the users' platform.
     Platform,
 }
 
-/// Settings of an instance with a role.
+/// Settings of an entry or a control instance.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RoleSettings {
-    /// What it does.
+    /// Role of the instance.
     pub role: RoleKind,
-    /// Its name.
+    /// Name of the instance.
     pub instance: String,
-    /// Failure domain it stands in.
+    /// Failure domain (zone) that the instance runs in.
     pub domain: String,
-    /// Regions of the failure domains, as far as they are known.
+    /// Region of each failure domain whose region is known.
     pub regions: RegionMap,
-    /// Whose names and formats are spoken.
+    /// Header names and message formats that the instance uses.
     pub dialect: DialectKind,
-    /// Listener for callers, of an entry.
+    /// Address of an entry's listener for callers.
     pub callers: Option<SocketAddr>,
-    /// Listener for the balancer, of an entry.
+    /// Address of an entry's listener for the load balancer's readiness checks.
     pub ready: Option<SocketAddr>,
-    /// Listener for servers and operators, of a control instance.
+    /// Address of a control instance's listener for servers and operators.
     pub control: Option<SocketAddr>,
-    /// Address of the instance towards others.
+    /// IP address at which other instances reach this one.
     pub address: IpAddr,
-    /// Port at which control instances listen for others.
+    /// Port at which control instances listen for other instances.
     pub peer_port: u16,
-    /// Listener for metrics, if any.
+    /// Address of the listener for metrics, if any.
     pub metrics: Option<SocketAddr>,
-    /// Control instances to begin with.
+    /// Control instances to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole system starts for the first time.
+    /// Whether the whole system is starting for the first time.
     pub first_start: bool,
-    /// Folder of a control instance.
+    /// Data folder of a control instance.
     pub data_folder: Option<PathBuf>,
-    /// Control instances that may be lost at once.
+    /// Number of control instances that may fail at the same time.
     pub tolerate: usize,
-    /// Bound on extra load.
+    /// Limit on the load from extra attempts, such as retries and hedges.
     pub extra: ExtraBound,
-    /// Bound on what cold servers get.
+    /// Limit on the requests sent to cold servers: those just started or
+    /// returned, with empty caches.
     pub cold: ColdBound,
-    /// Bound on requests to a version that is rolled out and not proved good.
+    /// Limit on the requests sent to a version that is being rolled out and is
+    /// not confirmed as good yet.
     pub canary: CanaryBound,
-    /// How far usage caps may be exceeded.
+    /// Limit on how far usage caps may be exceeded.
     pub caps: CapBound,
-    /// How an entry estimates how fast a server is.
+    /// How an entry estimates the speed of a server.
     pub pace: SlownessStrategy,
-    /// How an entry meets pauses of servers.
+    /// How an entry handles stalls: short periods in which a server answers
+    /// nothing.
     pub pauses: StallStrategy,
-    /// Time without an announcement after which a server counts as silent.
+    /// Time without an announcement after which a server's lease expires.
     pub lease: Duration,
-    /// Time for a graceful end.
+    /// Time for a graceful shutdown.
     pub grace: Duration,
-    /// Least level of log lines.
+    /// Minimum level of log lines.
     pub log_level: String,
-    /// One in so many plain successes is told in full in the log.
+    /// One in this many ordinary successful requests is logged in full.
     pub log_plain_every: u32,
 }
 
 impl RoleSettings {
-    /// Returns the seeds' listeners for other instances.
+    /// Returns the addresses at which the seeds listen for other instances.
     pub fn seed_peer_addresses(&self) -> Vec<SocketAddr> {
         let seeds = self.seeds.iter();
         seeds
@@ -110,13 +114,14 @@
             .collect()
     }
 
-    /// Returns the instance's own listener for other instances.
+    /// Returns the address at which this instance listens for other instances.
     pub fn peer_address(&self) -> SocketAddr {
         SocketAddr::new(self.address, self.peer_port)
     }
 }
 
-/// Reads the settings of an instance with a role.
+/// Reads the settings of an entry or a control instance. Adds a finding for each
+/// fault, and returns `None` if a required value is missing.
 pub(crate) fn read_role(
     text: &str,
     object: &Object<'_>,
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Settings: every finding with its line and column, all at once.
+//! Tests that the settings parser reports all findings at once, each with line
+//! and column, and that settings with a role are told from those without.
 
 use wheelmast_core::process::forward::place::RegionMap;
 use wheelmast_node::settings::read::{read_instance_settings, read_settings_text, ParsedSettings};
@@ -9,7 +10,8 @@
     findings: &'static [&'static str],
 }
 
-const GOOD: &str = r#"{
+/// Valid settings with the required keys only.
+const MINIMAL_SETTINGS: &str = r#"{
   // The smallest settings.
   "instance": "oulu-1",
   "failure_domain": "oulu",
@@ -21,11 +23,11 @@
 }"#;
 
 #[test]
-fn findings_name_line_and_column() {
+fn findings_have_line_and_column() {
     let cases = [
         SettingsCase {
             name: "good",
-            text: GOOD,
+            text: MINIMAL_SETTINGS,
             findings: &[],
         },
         SettingsCase {
@@ -39,7 +41,7 @@
             findings: &["whole: settings must be one object"],
         },
         SettingsCase {
-            name: "many at once",
+            name: "several findings",
             text: r#"{
   "instance": 5,
   "failure_domian": "oulu",
@@ -58,7 +60,7 @@
             ],
         },
         SettingsCase {
-            name: "twice",
+            name: "repeated key",
             text: r#"{"instance": "a", "instance": "b", "failure_domain": "d",
  "listen": {"callers": "127.0.0.1:1", "operators": "127.0.0.1:1", "upstreams": "127.0.0.1:2"}}"#,
             findings: &["1:19: instance: named twice"],
@@ -82,23 +84,23 @@
     })]
 
     #[test]
-    fn any_text_is_read_or_refused(cut in 0usize..220, text in "[{}\\[\\]\",:a-z0-9ä/* \n]{0,30}") {
-        let kept: String = GOOD.chars().take(cut).collect();
-        let _ = read_instance_settings(&format!("{kept}{text}"));
+    fn no_text_makes_the_parser_panic(cut in 0usize..220, text in "[{}\\[\\]\",:a-z0-9ä/* \n]{0,30}") {
+        let prefix: String = MINIMAL_SETTINGS.chars().take(cut).collect();
+        let _ = read_instance_settings(&format!("{prefix}{text}"));
     }
 }
 
 #[test]
-fn settings_that_name_a_role_are_of_the_other_kind() {
+fn settings_with_a_role_are_parsed_as_role_settings() {
     let entry = r#"{
       "role": "entry", "instance": "e1", "failure_domain": "d", "address": "127.0.0.1",
       "peer_port": 7380, "seeds": ["127.0.0.2:80", "127.0.0.3:80"],
       "listen": {"callers": "127.0.0.1:81", "ready": "127.0.0.1:82"},
       "extra_load": {"ratio": 0.2, "slack": 54, "window_s": 10}
     }"#;
-    let read = read_settings_text(entry).expect("good settings");
-    let ParsedSettings::Role(settings) = read else {
-        panic!("it names a role");
+    let parsed = read_settings_text(entry).expect("valid settings");
+    let ParsedSettings::Role(settings) = parsed else {
+        panic!("settings with a role must be role settings");
     };
     assert_eq!(
         settings.seed_peer_addresses()[1].to_string(),
@@ -110,71 +112,71 @@
         "\"regions\": {\"d\": \"r\"}, \"peer_port\"",
     );
     let Ok(ParsedSettings::Role(mapped)) = read_settings_text(&mapped) else {
-        panic!("regions are good settings");
+        panic!("settings with regions must be valid");
     };
     assert_eq!(mapped.regions, RegionMap::new([("d".into(), "r".into())]));
     struct RoleCase {
         from: &'static str,
         to: &'static str,
-        finding: &'static str,
+        expected: &'static str,
     }
     let cases = [
         RoleCase {
             from: "\"role\": \"entry\"",
             to: "\"role\": \"entri\"",
-            finding: "role: must be one of entry, control",
+            expected: "role: must be one of entry, control",
         },
         RoleCase {
             from: "\"ready\": \"127.0.0.1:82\"",
             to: "\"raedy\": \"127.0.0.1:82\"",
-            finding: "listen.ready: missing; the role needs it",
+            expected: "listen.ready: missing; the role needs it",
         },
         RoleCase {
             from: "\"ratio\": 0.2",
             to: "\"ratio\": -1",
-            finding: "ratio: must be a number from 0",
+            expected: "ratio: must be a number from 0",
         },
         RoleCase {
             from: "\"peer_port\"",
             to: "\"log_level\": \"infos\", \"peer_port\"",
-            finding: "log_level: must be one of off, error",
+            expected: "log_level: must be one of off, error",
         },
         RoleCase {
             from: "127.0.0.1:82\"",
             to: "127.0.0.1:82\", \"metrics\": \"here\"",
-            finding: "metrics: must be an IP address and port",
+            expected: "metrics: must be an IP address and port",
         },
         RoleCase {
             from: "\"peer_port\"",
             to: "\"regions\": [\"d\"], \"peer_port\"",
-            finding: "regions: must be an object of texts",
+            expected: "regions: must be an object of texts",
         },
         RoleCase {
             from: "\"peer_port\"",
             to: "\"regions\": {\"d\": 1}, \"peer_port\"",
-            finding: "regions: must be an object of texts",
+            expected: "regions: must be an object of texts",
         },
         RoleCase {
             from: "\"peer_port\"",
             to: "\"regions\": {\"d\": \"r\", \"d\": \"s\"}, \"peer_port\"",
-            finding: "regions: d is named twice",
+            expected: "regions: d is named twice",
         },
         RoleCase {
             from: "127.0.0.2:80",
             to: "there",
-            finding: "seeds: must be a list",
+            expected: "seeds: must be a list",
         },
         RoleCase {
             from: "\"role\": \"entry\"",
             to: "\"role\": \"control\"",
-            finding: "listen.control: missing",
+            expected: "listen.control: missing",
         },
     ];
     for case in cases {
         let text = entry.replace(case.from, case.to);
         let findings = read_settings_text(&text)
-            .expect_err(case.finding)
+            .expect_err(case.expected)
             .to_string();
-        assert!(findings.contains(case.finding), "{findings}");
+        assert!(findings.contains(case.expected), "{findings}");
     }
 }
--- a/crates/node/tests/shares.rs
+++ b/crates/node/tests/shares.rs
@@ -1,4 +1,5 @@
-//! A server's limits, divided over instances that come and go.
+//! Tests that the instances together stay within an upstream server's limits
+//! while instances join and leave.
 
 use std::time::Duration;
 
@@ -15,10 +16,10 @@
         ..Config::default()
     })]
 
-    /// The parts never come to more than the server's connections, as long as
-    /// it has one for each instance.
+    /// The instances' connections together never exceed the server's limit,
+    /// provided that the limit allows one connection per instance.
     #[test]
-    fn the_parts_keep_the_limit(slots in 1u32..8, connections in 1u32..200, instances in 1u32..50) {
+    fn instances_together_stay_within_the_limit(slots in 1u32..8, connections in 1u32..200, instances in 1u32..50) {
         let share = divide_server_limits(slots, connections, instances);
         prop_assert!(share.outstanding <= share.connections);
         prop_assert!(share.outstanding >= 1);
@@ -27,26 +28,26 @@
         }
     }
 
-    /// However the members seen go up and down, fewer count only after they
-    /// have been fewer for the whole lease.
+    /// However the member count varies, the limits are divided among fewer
+    /// instances only after the count has been lower for the whole delay of 5 s.
     #[test]
-    fn a_lost_part_is_held_for_a_lease(steps in prop::collection::vec((1u32..8, 0u64..4000), 1..40)) {
+    fn fewer_members_count_only_after_a_delay(steps in prop::collection::vec((1u32..8, 0u64..4000), 1..40)) {
         let start = Duration::ZERO;
         let mut now = start;
-        let mut shares = ShareCount::new(7);
+        let mut divisor = ShareCount::new(7);
         let mut count = 7;
-        let mut enough_at = start;
-        for (there, millis) in steps {
+        let mut not_lower_at = start;
+        for (member_count, millis) in steps {
             now += Duration::from_millis(millis);
-            if there >= count {
-                enough_at = now;
+            if member_count >= count {
+                not_lower_at = now;
             }
-            if let Some(next) = shares.update(there, now) {
+            if let Some(next) = divisor.update(member_count, now) {
                 if next < count {
-                    prop_assert!(now >= enough_at + Duration::from_secs(5));
+                    prop_assert!(now >= not_lower_at + Duration::from_secs(5));
                 }
                 count = next;
-                enough_at = now;
+                not_lower_at = now;
             }
         }
     }
