--- a/crates/node/src/process/store/folder.rs
+++ b/crates/node/src/process/store/folder.rs
@@ -88,7 +88,8 @@
             .with_context(|| format!("could not read identity {}", file_path.display()))?;
         if stored_identity.format > FOLDER_FORMAT {
             bail!(
-                "could not use {}: format {} is newer than {FOLDER_FORMAT}; use a newer version of the program",
+                "could not use {}: format {} is newer than {FOLDER_FORMAT}; use a newer version \
+                 of the program",
                 path.display(),
                 stored_identity.format
             );
@@ -158,6 +159,7 @@
         Ok((DataFolder::lock(path)?, replica_identity.replica))
     }
 
+    /// Locks the folder for this process.
     fn lock(path: &Path) -> anyhow::Result<DataFolder> {
         let file_path = path.join(LOCK_FILE);
         let lock = OpenOptions::new()
@@ -243,6 +245,7 @@
     format!("control-{number}.log")
 }
 
+/// Returns the number in the file name of a log file, or `None` for other names.
 fn parse_log_number(name: &str) -> Option<u64> {
     let number = name.strip_prefix("control-")?.strip_suffix(".log")?;
     number.parse().ok()
--- a/crates/node/src/process/store/record.rs
+++ b/crates/node/src/process/store/record.rs
@@ -20,7 +20,7 @@
     HardState,
     /// An entry of the replicated log.
     Entry,
-    /// The commit index.
+    /// Index of the last committed log entry.
     Commit,
     /// The control state up to a log position. Entries up to that position are
     /// dropped; later entries stay.
--- a/crates/node/src/process/store/replica_store.rs
+++ b/crates/node/src/process/store/replica_store.rs
@@ -33,6 +33,7 @@
 }
 
 impl PersistedState {
+    /// Adds a log entry, in place of all entries with the same or a later index.
     fn apply_entry(&mut self, entry: LogEntry) {
         // An entry usually goes at the end, but a new leader may replace the
         // last entries.
@@ -46,6 +47,8 @@
         self.entries.push(entry);
     }
 
+    /// Sets the snapshot and drops the entries that it includes, or all entries if
+    /// the snapshot came from the leader.
     fn apply_snapshot(&mut self, position: LogPosition, state: ControlState, is_installed: bool) {
         self.snapshot_position = position;
         self.state = state;
@@ -57,6 +60,7 @@
         }
     }
 
+    /// Applies a record read from the log file.
     fn apply_record(&mut self, kind: RecordKind, body: &[u8]) -> anyhow::Result<()> {
         match kind {
             RecordKind::HardState => self.hard_state = decode_record(body)?,
@@ -72,6 +76,7 @@
     }
 }
 
+/// Decodes the body of a record.
 fn decode_record<T: DeserializeOwned>(body: &[u8]) -> anyhow::Result<T> {
     decode(body).context("could not decode a record with a valid checksum")
 }
@@ -164,6 +169,7 @@
         })
     }
 
+    /// Creates the first log file of a folder.
     fn create_log(folder: DataFolder) -> anyhow::Result<ReplicaStore> {
         let log_number = 1;
         folder.replace_file(&log_file_name(log_number), FILE_HEADER)?;
@@ -230,6 +236,7 @@
         }
     }
 
+    /// Encodes a record into the buffer, which the next sync writes.
     fn append<T: Serialize>(&mut self, kind: RecordKind, value: &T) -> anyhow::Result<()> {
         append_record(kind, &encode(value)?, &mut self.buffer);
         Ok(())
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,5 +1,6 @@
 //! Tests that the settings parser reports all findings at once, each with line
-//! and column, and that settings with a role are told from those without.
+//! and column, and that settings with a role are distinguished from settings
+//! without one.
 
 use wheelmast_core::process::forward::place::RegionMap;
 use wheelmast_node::settings::read::{read_instance_settings, read_settings_text, ParsedSettings};
