--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,4 @@
-//! `wheelmastd`: one instance of the wheelmast query tier.
+//! `wheelmastd`: the program that runs one instance of the wheelmast query tier.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -15,17 +15,17 @@
 use wheelmast_node::process::group::run::run_control;
 use wheelmast_node::process::member::initialize_data_folder;
 use wheelmast_node::process::output::start_log_output;
-use wheelmast_node::settings::read::{read_any_file, AnySettings};
+use wheelmast_node::settings::read::{read_settings_file, ParsedSettings};
 use wheelmast_node::settings::role::{DialectKind, RoleKind, RoleSettings};
 use wheelmast_platform::PlatformDialect;
 use wheelmast_wire::dialect::ForwardDialect;
 use wheelmast_wire::native::NativeDialect;
 
-/// Exit code for findings and failures.
+/// Exit code if the settings have findings or the instance fails.
 const EXIT_FAILURE: u8 = 1;
 
 fn main() -> ExitCode {
-    let matches = command().get_matches();
+    let matches = build_command().get_matches();
     match run(&matches) {
         Ok(code) => code,
         Err(error) => {
@@ -35,7 +35,7 @@
     }
 }
 
-fn command() -> Command {
+fn build_command() -> Command {
     Command::new("wheelmastd")
         .version(clap::crate_version!())
         .about("One instance of the wheelmast query tier")
@@ -43,8 +43,8 @@
             "Examples:\n  \
              wheelmastd --settings examples/entry.jsonc --check\n  \
              wheelmastd --settings examples/entry.jsonc\n\n\
-             SIGTERM and SIGINT end it gracefully: no request is cut off.\n\
-             Exit codes: 0 ended, 1 findings or failure, 2 usage.",
+             SIGTERM and SIGINT stop the instance gracefully: no request is cut off.\n\
+             Exit codes: 0 success, 1 findings or failure, 2 usage error.",
         )
         .arg(
             Arg::new("settings")
@@ -52,19 +52,19 @@
                 .value_name("FILE")
                 .required(true)
                 .value_parser(clap::value_parser!(PathBuf))
-                .help("Settings of the instance, JSON with comments"),
+                .help("Settings file of the instance, in JSON with comments"),
         )
         .arg(
             Arg::new("init")
                 .long("init")
                 .action(ArgAction::SetTrue)
-                .help("Make a new data folder for the first start of a control group, and end"),
+                .help("Create a data folder for the first start of a control group, then exit"),
         )
         .arg(
             Arg::new("check")
                 .long("check")
                 .action(ArgAction::SetTrue)
-                .help("Check the settings and the table, and end"),
+                .help("Check the settings and the table, then exit"),
         )
 }
 
@@ -72,13 +72,13 @@
     let path = matches
         .get_one::<PathBuf>("settings")
         .context("could not find --settings")?;
-    let settings = match read_any_file(path)? {
-        Ok(AnySettings::Instance(settings)) => *settings,
-        Ok(AnySettings::Role(settings)) => return run_role(matches, path, *settings),
-        Err(findings) => return Ok(report(path, &findings)),
+    let settings = match read_settings_file(path)? {
+        Ok(ParsedSettings::Instance(settings)) => *settings,
+        Ok(ParsedSettings::Role(settings)) => return run_role(matches, path, *settings),
+        Err(findings) => return Ok(print_findings(path, &findings)),
     };
     if matches.get_flag("init") {
-        return make_folder(&settings);
+        return create_data_folder(&settings);
     }
     let mut table = None;
     if let Some(path) = &settings.table {
@@ -86,7 +86,7 @@
             .with_context(|| format!("could not read table {}", path.display()))?;
         match ServiceTable::parse(&text, 1) {
             Ok(read) => table = Some(read),
-            Err(findings) => return Ok(report(path, &findings)),
+            Err(findings) => return Ok(print_findings(path, &findings)),
         }
     }
     if matches.get_flag("check") {
@@ -94,11 +94,11 @@
         return Ok(ExitCode::SUCCESS);
     }
     start_log(&settings.log)?;
-    serve(settings, table)?;
+    run_instance(settings, table)?;
     Ok(ExitCode::SUCCESS)
 }
 
-/// Runs an instance that forwards requests, or one of the control group.
+/// Runs an entry, which forwards requests, or a control instance.
 fn run_role(matches: &ArgMatches, path: &Path, settings: RoleSettings) -> anyhow::Result<ExitCode> {
     if matches.get_flag("check") {
         println!("{}: no findings", path.display());
@@ -114,37 +114,44 @@
         seeds = ?settings.seeds,
         first_start = settings.first_start,
         tolerate = settings.tolerate,
-        "instance: starting; no group key is set, other instances are believed by their address"
+        "instance: starting; no group key is set, so other instances are trusted by their address"
     );
     match settings.dialect {
-        DialectKind::Native => run_in::<NativeDialect>(settings, path)?,
-        DialectKind::Platform => run_in::<PlatformDialect>(settings, path)?,
+        DialectKind::Native => run_with_dialect::<NativeDialect>(settings, path)?,
+        DialectKind::Platform => run_with_dialect::<PlatformDialect>(settings, path)?,
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn run_in<D: ForwardDialect>(settings: RoleSettings, path: &Path) -> anyhow::Result<()> {
+/// Runs the instance with header names and message formats of the dialect `D`.
+fn run_with_dialect<D: ForwardDialect>(settings: RoleSettings, path: &Path) -> anyhow::Result<()> {
     match settings.role {
         RoleKind::Entry => run_entry::<D>(settings, path.to_path_buf()),
         RoleKind::Control => run_control::<D>(settings, path.to_path_buf()),
     }
 }
 
-fn make_folder(settings: &InstanceSettings) -> anyhow::Result<ExitCode> {
+/// Creates the data folder of a control replica, for `--init`.
+fn create_data_folder(settings: &InstanceSettings) -> anyhow::Result<ExitCode> {
     let cluster = settings.cluster.as_ref();
     let cluster = cluster.context("could not initialize: the settings name no cluster")?;
     initialize_data_folder(cluster, &settings.instance)?;
-    println!("{}: data folder made", settings.instance);
+    println!("{}: data folder created", settings.instance);
     Ok(ExitCode::SUCCESS)
 }
 
-fn report(path: &std::path::Path, findings: &wheelmast_core::finding::FindingList) -> ExitCode {
+/// Prints the findings of a file to standard error and returns the exit code.
+fn print_findings(
+    path: &std::path::Path,
+    findings: &wheelmast_core::finding::FindingList,
+) -> ExitCode {
     for finding in findings.items() {
         eprintln!("{}:{finding}", path.display());
     }
     ExitCode::from(EXIT_FAILURE)
 }
 
+/// Starts writing log lines to standard error in the format of the settings.
 fn start_log(log: &LogSettings) -> anyhow::Result<()> {
     let filter = EnvFilter::try_new(&log.level)
         .with_context(|| format!("could not read log level {}", log.level))?;
@@ -159,7 +166,8 @@
     Ok(())
 }
 
-fn serve(settings: InstanceSettings, table: Option<ServiceTable>) -> anyhow::Result<()> {
+/// Runs an instance that answers queries from snapshots until SIGTERM or SIGINT.
+fn run_instance(settings: InstanceSettings, table: Option<ServiceTable>) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
--- a/crates/node/src/process/callers.rs
+++ b/crates/node/src/process/callers.rs
@@ -24,7 +24,7 @@
 use crate::process::fence::{execution_result, ClaimRejection, FenceClient};
 use crate::process::ready::ReadyFlag;
 use crate::request::call::{make_call, CallError, CallRequest};
-use crate::request::respond::{respond_kept, respond_outcome, respond_problem};
+use crate::request::respond::{respond_outcome, respond_problem, respond_stored_answer};
 use crate::ring::RingSender;
 
 /// Maximum size of a request body, in bytes.
@@ -166,7 +166,7 @@
 ) -> Response {
     let claim = match fence.claim(&service, &request.body).await {
         Ok(claim) => claim,
-        Err(ClaimRejection::AlreadyRan(body)) => return respond_kept(body),
+        Err(ClaimRejection::AlreadyRan(body)) => return respond_stored_answer(body),
         Err(ClaimRejection::Problem(problem)) => return respond_problem(&problem),
     };
     let outcome = match make_call(&state.entry, request).await {
--- a/crates/node/src/process/control.rs
+++ b/crates/node/src/process/control.rs
@@ -319,7 +319,7 @@
 /// Writes the data that `actions` ask to persist, and syncs it to disk.
 fn persist_actions(store: &mut ReplicaStore, actions: &[ReplicaAction]) -> anyhow::Result<()> {
     for action in actions {
-        store.keep(action)?;
+        store.persist(action)?;
     }
     store.sync()
 }
--- a/crates/node/src/process/forward/run.rs
+++ b/crates/node/src/process/forward/run.rs
@@ -72,7 +72,7 @@
     let entry = Rc::new(ForwardDriver::<D>::new(options, settings.log_plain_every));
     let (close_sender, closing) = watch::channel(false);
     let feed = Rc::new(GroupFeed::new(entry.clone(), peer));
-    for seed in settings.seed_peers() {
+    for seed in settings.seed_peer_addresses() {
         feed.add_control_instance(seed);
     }
     tokio::task::spawn_local(entry.clone().run_timers());
--- a/crates/node/src/process/group/disk.rs
+++ b/crates/node/src/process/group/disk.rs
@@ -15,7 +15,7 @@
 use crate::process::duty::start_thread;
 use crate::process::store::folder::DataFolder;
 use crate::process::store::remembered::RememberedFile;
-use crate::process::store::replica_store::{KeptState, ReplicaStore};
+use crate::process::store::replica_store::{PersistedState, ReplicaStore};
 use crate::ring::{bounded_ring, RingReceiver, RingSender};
 
 /// Writes that may wait for the disk thread.
@@ -52,7 +52,7 @@
     /// A write or sync failed; no later batch of this epoch will be synced.
     Failed(String),
     /// The store was reopened; holds the new epoch and the state that the disk holds.
-    Reopened(u64, Box<KeptState>),
+    Reopened(u64, Box<PersistedState>),
 }
 
 /// The control instance's end of the channels to the disk thread.
@@ -127,7 +127,7 @@
         while let Some(write) = next {
             if write.epoch == self.epoch {
                 for action in &write.actions {
-                    store.keep(action)?;
+                    store.persist(action)?;
                 }
                 last_batch = Some(write.batch);
                 servers = write.servers.or(servers);
@@ -137,13 +137,14 @@
         }
         store.sync()?;
         let folder = store.folder();
-        let saved = servers.map(|servers| folder.remember(RememberedFile::Servers, &servers));
+        let saved =
+            servers.map(|servers| folder.replace_remembered(RememberedFile::Servers, &servers));
         if let Some(Err(error)) = saved {
             // The servers announce themselves again after a restart in any case.
             tracing::warn!(target: "group", "disk: known servers could not be saved, {error:#}");
         }
         if let Some(suspects) = suspects {
-            folder.remember(RememberedFile::Suspects, &suspects)?;
+            folder.replace_remembered(RememberedFile::Suspects, &suspects)?;
         }
         Ok(last_batch)
     }
@@ -152,19 +153,19 @@
     fn reopen(&mut self) -> ReplicaStore {
         loop {
             std::thread::sleep(REOPEN_INTERVAL);
-            let opened = DataFolder::open_own(&self.path, &self.instance);
+            let opened = DataFolder::open_or_create(&self.path, &self.instance);
             let opened = opened.and_then(|(folder, _, _)| {
                 let mut store = ReplicaStore::open(folder)?;
-                store.rewrite()?;
+                store.rewrite_log()?;
                 Ok(store)
             });
             let Ok(store) = opened else {
                 continue;
             };
             self.epoch += 1;
-            let kept = Box::new(store.kept().clone());
+            let persisted_state = Box::new(store.persisted_state().clone());
             self.events
-                .put_blocking(DiskEvent::Reopened(self.epoch, kept));
+                .put_blocking(DiskEvent::Reopened(self.epoch, persisted_state));
             return store;
         }
     }
--- a/crates/node/src/process/group/replica.rs
+++ b/crates/node/src/process/group/replica.rs
@@ -18,7 +18,7 @@
 use crate::process::group::disk::{DiskEvent, DiskWrite};
 use crate::process::group::node::GroupNode;
 use crate::process::group::state::{PublishedEvacuations, PublishedTable};
-use crate::process::store::replica_store::KeptState;
+use crate::process::store::replica_store::PersistedState;
 use crate::ring::RingReceiver;
 
 /// Longest time to wait for the leader's reply.
@@ -33,13 +33,18 @@
 
 /// Returns a replica that continues from the state that its disk holds. `tolerate` is
 /// the number of lost replicas that the group must survive.
-pub fn create_replica(id: u64, kept: KeptState, tolerate: usize, now: Duration) -> ReplicaMachine {
+pub fn create_replica(
+    id: u64,
+    kept: PersistedState,
+    tolerate: usize,
+    now: Duration,
+) -> ReplicaMachine {
     let start = ReplicaStart {
         id,
         members: Vec::new(),
         target_size: tolerate * 2 + 1,
         hard_state: kept.hard_state,
-        snapshot: (kept.place, kept.state),
+        snapshot: (kept.snapshot_position, kept.state),
         entries: kept.entries,
         commit: kept.commit,
         timing: TIMING,
--- a/crates/node/src/process/group/run.rs
+++ b/crates/node/src/process/group/run.rs
@@ -55,7 +55,7 @@
         .data_folder
         .clone()
         .context("could not find data_folder")?;
-    let (folder, id, is_new) = DataFolder::open_own(&data, &settings.instance)?;
+    let (folder, id, is_new) = DataFolder::open_or_create(&data, &settings.instance)?;
     let store = ReplicaStore::open(folder)?;
     let servers = store.folder().remembered(RememberedFile::Servers);
     let servers = servers.unwrap_or_else(|error| {
@@ -73,7 +73,7 @@
         address: settings.peer_address(),
     };
     tracing::info!(target: "group", replica = id, is_new, address = %local_member.address, "replica: opened");
-    let kept_state = store.kept().clone();
+    let kept_state = store.persisted_state().clone();
     let replica = create_replica(id, kept_state, settings.tolerate, clock.elapsed());
     let disk_handle = start_disk(store, data, &settings.instance)?;
     let state = GroupState {
@@ -84,7 +84,7 @@
     let control = settings.control.context("could not find listen.control")?;
     let call_listener = bind_listener(control).await?;
     let peer_listener = bind_listener(settings.peer_address()).await?;
-    let seeds = settings.seed_peers();
+    let seeds = settings.seed_peer_addresses();
     let should_bootstrap =
         settings.first_start && seeds.iter().min() == Some(&local_member.address);
     let node = Rc::new(GroupNode::new(
--- a/crates/node/src/process/member.rs
+++ b/crates/node/src/process/member.rs
@@ -76,7 +76,7 @@
     };
     let folder = DataFolder::open(path, &folder_identity(cluster, instance))?;
     let store = ReplicaStore::open(folder)?;
-    let persisted = store.kept().clone();
+    let persisted = store.persisted_state().clone();
     let mut members = vec![replica_id(instance)];
     let replicas = cluster.peers.iter().filter(|peer| peer.is_replica);
     members.extend(replicas.map(|peer| replica_id(&peer.name)));
@@ -86,7 +86,7 @@
         members,
         target_size: 0,
         hard_state: persisted.hard_state,
-        snapshot: (persisted.place, persisted.state),
+        snapshot: (persisted.snapshot_position, persisted.state),
         entries: persisted.entries,
         commit: persisted.commit,
         timing: ReplicaTiming::default(),
--- a/crates/node/src/process/store/replica_store.rs
+++ b/crates/node/src/process/store/replica_store.rs
@@ -1,4 +1,5 @@
-//! What a control replica keeps.
+//! Persistent state of a control replica: the replica's actions are appended to
+//! a log file, and the log file is read back at the start.
 
 use std::fs::{File, OpenOptions};
 use std::io::{Seek, SeekFrom, Write};
@@ -13,27 +14,29 @@
 use wheelmast_core::process::control::state::ControlState;
 use wheelmast_wire::peer::{decode, encode};
 
-use crate::process::store::folder::{log_name, DataFolder};
-use crate::process::store::record::{read_records, write_record, RecordKind, FILE_HEADER};
+use crate::process::store::folder::{log_file_name, DataFolder};
+use crate::process::store::record::{append_record, read_records, RecordKind, FILE_HEADER};
 
-/// What a replica has kept.
+/// The persistent state of a replica.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct KeptState {
+pub struct PersistedState {
     /// Term and vote.
     pub hard_state: HardState,
-    /// The last entry the snapshot includes.
-    pub place: LogPosition,
-    /// The snapshot.
+    /// Position of the last log entry that the snapshot includes.
+    pub snapshot_position: LogPosition,
+    /// The control state in the snapshot.
     pub state: ControlState,
-    /// The entries after it.
+    /// The log entries after the snapshot.
     pub entries: Vec<LogEntry>,
-    /// The commit index.
+    /// Index of the last committed log entry.
     pub commit: u64,
 }
 
-impl KeptState {
-    fn keep_entry(&mut self, entry: LogEntry) {
-        // Mostly it goes at the end; a new leader may replace the last ones.
+impl PersistedState {
+    /// Adds a log entry, in place of all entries with the same or a later index.
+    fn apply_entry(&mut self, entry: LogEntry) {
+        // An entry usually goes at the end, but a new leader may replace the
+        // last entries.
         while self
             .entries
             .last()
@@ -44,168 +47,179 @@
         self.entries.push(entry);
     }
 
-    fn keep_snapshot(&mut self, place: LogPosition, state: ControlState, is_installed: bool) {
-        self.place = place;
+    /// Sets the snapshot and drops the entries that it includes, or all entries if
+    /// the snapshot came from the leader.
+    fn apply_snapshot(&mut self, position: LogPosition, state: ControlState, is_installed: bool) {
+        self.snapshot_position = position;
         self.state = state;
-        self.commit = self.commit.max(place.index);
+        self.commit = self.commit.max(position.index);
         if is_installed {
             self.entries.clear();
         } else {
-            self.entries.retain(|entry| entry.index > place.index);
+            self.entries.retain(|entry| entry.index > position.index);
         }
     }
 
-    fn take(&mut self, kind: RecordKind, body: &[u8]) -> anyhow::Result<()> {
+    /// Applies a record read from the log file.
+    fn apply_record(&mut self, kind: RecordKind, body: &[u8]) -> anyhow::Result<()> {
         match kind {
-            RecordKind::Hard => self.hard_state = read(body)?,
-            RecordKind::Entry => self.keep_entry(read(body)?),
-            RecordKind::Commit => self.commit = read(body)?,
-            RecordKind::Batch => {}
-            RecordKind::Snapshot | RecordKind::Installed => {
-                let (place, state) = read_snapshot(body)?;
-                self.keep_snapshot(place, state, kind == RecordKind::Installed);
+            RecordKind::HardState => self.hard_state = decode_record(body)?,
+            RecordKind::Entry => self.apply_entry(decode_record(body)?),
+            RecordKind::Commit => self.commit = decode_record(body)?,
+            RecordKind::BatchEnd => {}
+            RecordKind::Snapshot | RecordKind::InstalledSnapshot => {
+                let (position, state) = decode_snapshot(body)?;
+                self.apply_snapshot(position, state, kind == RecordKind::InstalledSnapshot);
             }
         }
         Ok(())
     }
 }
 
-fn read<T: DeserializeOwned>(body: &[u8]) -> anyhow::Result<T> {
-    decode(body).context("could not read a record of good checksum")
+/// Decodes the body of a record.
+fn decode_record<T: DeserializeOwned>(body: &[u8]) -> anyhow::Result<T> {
+    decode(body).context("could not decode a record with a valid checksum")
 }
 
-/// Reads a snapshot. One that an earlier program wrote lacks what is kept at its
-/// end since, and that was empty then.
-fn read_snapshot(body: &[u8]) -> anyhow::Result<(LogPosition, ControlState)> {
+/// Decodes a snapshot. Earlier program versions wrote snapshots without the
+/// roll-outs, or without the evacuations and roll-outs, at the end. These parts
+/// are empty in the decoded state.
+fn decode_snapshot(body: &[u8]) -> anyhow::Result<(LogPosition, ControlState)> {
     let evacuations = encode(&EvacuationRegistry::default())?;
     let rollouts = encode(&RolloutRegistry::default())?;
-    let since_evacuations = [&*evacuations, &rollouts].concat();
-    read(body).or_else(|error| {
-        let mut ends = [rollouts, since_evacuations].into_iter();
-        let found = ends.find_map(|end| read(&[body, &end].concat()).ok());
-        found.ok_or(error)
+    let empty_evacuations_and_rollouts = [&*evacuations, &rollouts].concat();
+    decode_record(body).or_else(|error| {
+        let mut missing_ends = [rollouts, empty_evacuations_and_rollouts].into_iter();
+        let decoded = missing_ends.find_map(|end| decode_record(&[body, &end].concat()).ok());
+        decoded.ok_or(error)
     })
 }
 
-/// The log file of a replica, open for appending.
+/// The open log file of a replica, and the state that the file holds.
 #[derive(Debug)]
 pub struct ReplicaStore {
     folder: DataFolder,
-    number: u64,
+    log_number: u64,
     file: File,
-    kept: KeptState,
+    persisted_state: PersistedState,
     buffer: Vec<u8>,
-    /// Syncs made, for measurements.
-    syncs: u64,
+    /// Number of syncs, for measurements.
+    sync_count: u64,
 }
 
 impl ReplicaStore {
-    /// Opens what a folder holds. A torn tail is cut and logged.
+    /// Opens the newest log file of a folder, or creates the first one. Cuts off a
+    /// torn tail, which is a batch that a crash interrupted, and logs a warning.
     ///
     /// # Errors
     ///
-    /// Fails on damage, with file and offset.
+    /// Fails if the folder cannot be read or written, or if the file is damaged;
+    /// the error then names the file and the offset.
     pub fn open(folder: DataFolder) -> anyhow::Result<ReplicaStore> {
-        let numbers = folder.logs()?;
-        let Some(number) = numbers.last().copied() else {
-            return ReplicaStore::begin(folder);
+        let log_numbers = folder.list_log_numbers()?;
+        let Some(log_number) = log_numbers.last().copied() else {
+            return ReplicaStore::create_log(folder);
         };
-        let path = folder.path.join(log_name(number));
+        let path = folder.path.join(log_file_name(log_number));
         let bytes =
             std::fs::read(&path).with_context(|| format!("could not read {}", path.display()))?;
         let found = match read_records(&bytes) {
             Ok(found) => found,
             Err(damage) => bail!(
-                "could not use {}: {damage}; the replica must not go on with it: restore the \
-                 file, or replace the replica",
+                "could not use {}: {damage}; the replica must not run with this file: restore \
+                 the file, or replace the replica",
                 path.display()
             ),
         };
-        let mut kept = KeptState::default();
+        let mut persisted_state = PersistedState::default();
         for record in &found.records {
-            kept.take(record.kind, record.body).with_context(|| {
-                format!(
-                    "could not use {}: record at offset {}",
-                    path.display(),
-                    record.offset
-                )
-            })?;
+            persisted_state
+                .apply_record(record.kind, record.body)
+                .with_context(|| {
+                    format!(
+                        "could not use {}: record at offset {}",
+                        path.display(),
+                        record.offset
+                    )
+                })?;
         }
         let mut file = OpenOptions::new().write(true).open(&path)?;
-        if found.good < bytes.len() {
+        if found.valid_length < bytes.len() {
             tracing::warn!(
-                "store: torn tail of {} bytes cut at offset {} of {}",
-                bytes.len() - found.good,
-                found.good,
+                "store: cut off a torn tail of {} bytes at offset {} of {}",
+                bytes.len() - found.valid_length,
+                found.valid_length,
                 path.display()
             );
-            file.set_len(found.good as u64)?;
+            file.set_len(found.valid_length as u64)?;
             file.sync_all()?;
         }
         file.seek(SeekFrom::End(0))?;
-        // Left behind by a crash between two steps of a compaction.
-        for old in &numbers[..numbers.len() - 1] {
-            std::fs::remove_file(folder.path.join(log_name(*old)))?;
+        // A crash during a compaction can leave older log files behind.
+        for old in &log_numbers[..log_numbers.len() - 1] {
+            std::fs::remove_file(folder.path.join(log_file_name(*old)))?;
         }
         Ok(ReplicaStore {
             folder,
-            number,
+            log_number,
             file,
-            kept,
+            persisted_state,
             buffer: Vec::new(),
-            syncs: 0,
+            sync_count: 0,
         })
     }
 
-    fn begin(folder: DataFolder) -> anyhow::Result<ReplicaStore> {
-        let number = 1;
-        folder.replace(&log_name(number), FILE_HEADER)?;
-        let path = folder.path.join(log_name(number));
+    /// Creates the first log file of a folder.
+    fn create_log(folder: DataFolder) -> anyhow::Result<ReplicaStore> {
+        let log_number = 1;
+        folder.replace_file(&log_file_name(log_number), FILE_HEADER)?;
+        let path = folder.path.join(log_file_name(log_number));
         let mut file = OpenOptions::new().write(true).open(path)?;
         file.seek(SeekFrom::End(0))?;
         Ok(ReplicaStore {
             folder,
-            number,
+            log_number,
             file,
-            kept: KeptState::default(),
+            persisted_state: PersistedState::default(),
             buffer: Vec::new(),
-            syncs: 0,
+            sync_count: 0,
         })
     }
 
-    /// Returns what is kept.
-    pub fn kept(&self) -> &KeptState {
-        &self.kept
+    /// Returns the state written so far, including actions not synced yet.
+    pub fn persisted_state(&self) -> &PersistedState {
+        &self.persisted_state
     }
 
-    /// Returns the folder it is kept in.
+    /// Returns the data folder that holds the log file.
     pub fn folder(&self) -> &DataFolder {
         &self.folder
     }
 
-    /// Returns the number of syncs made.
-    pub fn syncs(&self) -> u64 {
-        self.syncs
+    /// Returns the number of syncs since the log file was opened.
+    pub fn sync_count(&self) -> u64 {
+        self.sync_count
     }
 
-    /// Takes an action that is to be kept; [`ReplicaStore::sync`] makes it
-    /// last. Other actions are left alone.
+    /// Buffers a `Persist...` action for the log file; [`ReplicaStore::sync`]
+    /// makes it durable. A snapshot is written and synced at once. Ignores all
+    /// other actions.
     ///
     /// # Errors
     ///
-    /// Fails if a snapshot cannot be written.
-    pub fn keep(&mut self, action: &ReplicaAction) -> anyhow::Result<()> {
+    /// Fails if the action cannot be encoded or a snapshot cannot be written.
+    pub fn persist(&mut self, action: &ReplicaAction) -> anyhow::Result<()> {
         match action {
             ReplicaAction::PersistHardState(hard_state) => {
-                self.kept.hard_state = *hard_state;
-                self.append(RecordKind::Hard, hard_state)
+                self.persisted_state.hard_state = *hard_state;
+                self.append(RecordKind::HardState, hard_state)
             }
             ReplicaAction::PersistEntry(entry) => {
-                self.kept.keep_entry(entry.clone());
+                self.persisted_state.apply_entry(entry.clone());
                 self.append(RecordKind::Entry, entry)
             }
             ReplicaAction::PersistCommitIndex(commit) => {
-                self.kept.commit = *commit;
+                self.persisted_state.commit = *commit;
                 self.append(RecordKind::Commit, commit)
             }
             ReplicaAction::PersistSnapshot {
@@ -214,68 +228,80 @@
                 is_installed,
             } => {
                 let state = (**state).clone();
-                self.kept.keep_snapshot(*place, state, *is_installed);
-                self.rewrite()
+                self.persisted_state
+                    .apply_snapshot(*place, state, *is_installed);
+                self.rewrite_log()
             }
             _ => Ok(()),
         }
     }
 
+    /// Encodes a record into the buffer, which the next sync writes.
     fn append<T: Serialize>(&mut self, kind: RecordKind, value: &T) -> anyhow::Result<()> {
-        write_record(kind, &encode(value)?, &mut self.buffer);
+        append_record(kind, &encode(value)?, &mut self.buffer);
         Ok(())
     }
 
-    /// Makes all that was taken last. After a failure the store must not be
-    /// used any more: what is on the disk is not known.
+    /// Writes the buffered records to the log file as one batch and syncs the
+    /// file. After a failure the store must not be used any more, because the
+    /// contents of the disk are unknown.
     ///
     /// # Errors
     ///
-    /// Fails if the system cannot write or sync.
+    /// Fails if the log file cannot be written or synced.
     pub fn sync(&mut self) -> anyhow::Result<()> {
         if self.buffer.is_empty() {
             return Ok(());
         }
-        write_record(RecordKind::Batch, &[], &mut self.buffer);
+        append_record(RecordKind::BatchEnd, &[], &mut self.buffer);
         self.file
             .write_all(&self.buffer)
             .and_then(|()| self.file.sync_data())
-            .with_context(|| format!("could not keep {}", log_name(self.number)))?;
+            .with_context(|| format!("could not write {}", log_file_name(self.log_number)))?;
         self.buffer.clear();
-        self.syncs += 1;
+        self.sync_count += 1;
         Ok(())
     }
 
-    /// Writes all that is kept into a new file, which takes the old one's
-    /// place.
+    /// Compacts the log: writes the persisted state to a new log file and removes
+    /// the previous one.
     ///
     /// # Errors
     ///
-    /// Fails if the system cannot write or sync.
-    pub fn rewrite(&mut self) -> anyhow::Result<()> {
+    /// Fails if the new file cannot be written or synced, or the previous file
+    /// cannot be removed.
+    pub fn rewrite_log(&mut self) -> anyhow::Result<()> {
         let mut bytes = FILE_HEADER.to_vec();
-        let snapshot = encode(&(self.kept.place, &self.kept.state))?;
-        write_record(RecordKind::Snapshot, &snapshot, &mut bytes);
-        write_record(
-            RecordKind::Hard,
-            &encode(&self.kept.hard_state)?,
+        let snapshot = encode(&(
+            self.persisted_state.snapshot_position,
+            &self.persisted_state.state,
+        ))?;
+        append_record(RecordKind::Snapshot, &snapshot, &mut bytes);
+        append_record(
+            RecordKind::HardState,
+            &encode(&self.persisted_state.hard_state)?,
             &mut bytes,
         );
-        for entry in &self.kept.entries {
-            write_record(RecordKind::Entry, &encode(entry)?, &mut bytes);
+        for entry in &self.persisted_state.entries {
+            append_record(RecordKind::Entry, &encode(entry)?, &mut bytes);
         }
-        write_record(RecordKind::Commit, &encode(&self.kept.commit)?, &mut bytes);
-        write_record(RecordKind::Batch, &[], &mut bytes);
-        let old = self.folder.path.join(log_name(self.number));
-        self.number += 1;
-        let name = log_name(self.number);
-        self.folder.replace(&name, &bytes)?;
+        append_record(
+            RecordKind::Commit,
+            &encode(&self.persisted_state.commit)?,
+            &mut bytes,
+        );
+        append_record(RecordKind::BatchEnd, &[], &mut bytes);
+        let previous_path = self.folder.path.join(log_file_name(self.log_number));
+        self.log_number += 1;
+        let name = log_file_name(self.log_number);
+        self.folder.replace_file(&name, &bytes)?;
         let path = self.folder.path.join(&name);
         self.file = OpenOptions::new().write(true).open(path)?;
         self.file.seek(SeekFrom::End(0))?;
-        // All of it is in the new file.
+        // The new file already includes the buffered records.
         self.buffer.clear();
-        self.syncs += 1;
-        std::fs::remove_file(&old).with_context(|| format!("could not remove {}", old.display()))
+        self.sync_count += 1;
+        std::fs::remove_file(&previous_path)
+            .with_context(|| format!("could not remove {}", previous_path.display()))
     }
 }
--- a/crates/node/tests/feed.rs
+++ b/crates/node/tests/feed.rs
@@ -22,7 +22,7 @@
 use wheelmast_wire::native::NativeDialect;
 use wheelmast_wire::pack::pack;
 
-use crate::support::play;
+use crate::support::run_local_test;
 
 /// Maximum time to wait for an expected event.
 const TIMEOUT: Duration = Duration::from_secs(8);
@@ -159,7 +159,7 @@
 
 #[test]
 fn the_near_instance_becomes_the_source_until_it_loses_its_quorum() {
-    play(async {
+    run_local_test(async {
         let mut near = FakeControl::start().await;
         let mut far = FakeControl::start().await;
         let _entry = start_entry(&[&near, &far]);
@@ -185,7 +185,7 @@
 
 #[test]
 fn a_table_that_the_source_does_not_send_is_fetched_from_another_instance() {
-    play(async {
+    run_local_test(async {
         let mut near = FakeControl::start().await;
         let mut far = FakeControl::start().await;
         let entry = start_entry(&[&near, &far]);
@@ -218,7 +218,7 @@
 
 #[test]
 fn the_entry_applies_that_a_server_leaves_from_any_instance() {
-    play(async {
+    run_local_test(async {
         let mut near = FakeControl::start().await;
         let mut far = FakeControl::start().await;
         let entry = start_entry(&[&near, &far]);
@@ -262,7 +262,7 @@
 
 #[test]
 fn a_confirmation_that_arrives_before_the_table_counts() {
-    play(async {
+    run_local_test(async {
         let mut control = FakeControl::start().await;
         let entry = start_entry(&[&control]);
         control.send_status("here", true, 4).await;
@@ -282,7 +282,7 @@
 
 #[test]
 fn an_instance_that_failed_once_is_preferred_to_those_without_a_quorum() {
-    play(async {
+    run_local_test(async {
         let (entry, feed) = start_entry_without_controls();
         // No instance listens on this address yet.
         let reserved_listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
--- a/crates/node/tests/held_up/stage.rs
+++ b/crates/node/tests/held_up/stage.rs
@@ -23,7 +23,7 @@
 use wheelmast_node::process::forward::image::RequestImage;
 use wheelmast_wire::native::NativeDialect;
 
-use crate::support::play;
+use crate::support::run_local_test;
 
 /// Maximum time that a caller waits for an answer.
 pub(crate) const CALLER_TIMEOUT: Duration = Duration::from_secs(10);
@@ -209,7 +209,7 @@
             other_entry.expect("another entry"),
         )
     });
-    play(async move {
+    run_local_test(async move {
         let stage = Rc::new(HeldUpHarness::build(server, other_entry).await);
         test(stage.clone()).await;
     });
--- a/crates/node/tests/loop_watch.rs
+++ b/crates/node/tests/loop_watch.rs
@@ -8,7 +8,7 @@
 use wheelmast_node::process::clock::ProcessClock;
 use wheelmast_node::process::loop_watch::LoopDelayMonitor;
 
-use crate::support::play;
+use crate::support::run_local_test;
 
 /// Time in which the monitor's timer runs several times.
 const SEVERAL_ROUNDS: Duration = Duration::from_millis(300);
@@ -30,7 +30,7 @@
             block_time: Duration::from_millis(1500),
         },
     ];
-    play(async move {
+    run_local_test(async move {
         let monitor = Rc::new(LoopDelayMonitor::new(ProcessClock::start()));
         let runner = monitor.clone();
         tokio::task::spawn_local(async move { runner.run().await });
@@ -49,7 +49,7 @@
 
 #[test]
 fn a_loop_that_keeps_up_reports_no_read_delay() {
-    play(async {
+    run_local_test(async {
         let monitor = Rc::new(LoopDelayMonitor::new(ProcessClock::start()));
         let runner = monitor.clone();
         tokio::task::spawn_local(async move { runner.run().await });
--- a/crates/node/tests/suspended.rs
+++ b/crates/node/tests/suspended.rs
@@ -30,7 +30,7 @@
 use wheelmast_node::process::forward::image::RequestImage;
 use wheelmast_wire::native::NativeDialect;
 
-use crate::support::play;
+use crate::support::run_local_test;
 
 /// Duration of the simulated suspension.
 const SUSPENSION_TIME: Duration = Duration::from_secs(30);
@@ -110,7 +110,7 @@
 
 #[test]
 fn a_caller_that_timed_out_during_the_suspension_is_answered_at_once() {
-    play(async {
+    run_local_test(async {
         // The server accepts connections and never answers.
         let server = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let entry = start_entry(server.local_addr().expect("an address"));
@@ -129,7 +129,7 @@
 
 #[test]
 fn a_connection_that_expired_during_the_suspension_is_not_reused() {
-    play(async {
+    run_local_test(async {
         let server = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let entry = start_entry(server.local_addr().expect("an address"));
         let opened = Rc::new(Cell::new(0));
@@ -170,7 +170,7 @@
 
 #[test]
 fn a_control_connection_without_contact_during_the_suspension_is_replaced() {
-    play(async {
+    run_local_test(async {
         let control = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let entry = start_entry(([127, 0, 0, 1], 9).into());
         let peer = EntryPeer {
