--- a/crates/cli/src/measure/fleet.rs
+++ b/crates/cli/src/measure/fleet.rs
@@ -160,15 +160,15 @@
     /// Fails if a message can't be encoded.
     pub fn server_leaves(&self) -> anyhow::Result<EventCounts> {
         let mut counts = EventCounts::new();
-        let notice = ServerAnnouncement {
+        let announcement = ServerAnnouncement {
             standing: ServerLifecycle::Draining,
             ..server(1)
         };
-        let lifecycle_only = GroupMessage::Notices(vec![notice.lifecycle_only()]);
+        let lifecycle_only = GroupMessage::Notices(vec![announcement.lifecycle_only()]);
         self.to_entries(&mut counts, &lifecycle_only, 1.0)?;
         let keep = GroupMessage::Keep {
             tag: 400,
-            notice: Box::new(notice),
+            announcement: Box::new(announcement),
         };
         self.to_control(&mut counts, &keep, 1.0)?;
         self.to_control(&mut counts, &GroupMessage::Kept(400), 1.0)?;
@@ -182,12 +182,12 @@
     /// Fails if a message can't be encoded.
     pub fn server_comes(&self) -> anyhow::Result<EventCounts> {
         let mut counts = EventCounts::new();
-        let notice = server(1);
+        let announcement = server(1);
         let renewal = GroupMessage::Renewals {
             whole: false,
-            servers: vec![(notice.id.clone(), notice.position())],
+            servers: vec![(announcement.id.clone(), announcement.position())],
         };
-        let notices = GroupMessage::Notices(vec![notice]);
+        let notices = GroupMessage::Notices(vec![announcement]);
         for (entry, lines) in self.entries.iter().zip(&self.lines) {
             self.count(&mut counts, &notices, &entry.domain, lines.first(), 1.0)?;
         }
--- a/crates/core/src/process/forward/admit.rs
+++ b/crates/core/src/process/forward/admit.rs
@@ -90,7 +90,7 @@
             return AdmissionDecision::Accept(Vec::new());
         }
         let times = self.first_attempt_criteria(state);
-        let time_left = state.plan.soft_deadline.saturating_sub(now);
+        let time_left = state.deadlines.soft_deadline.saturating_sub(now);
         // A retry may have no time left until its soft deadline. It is admitted
         // only to shards that answer quickly, so that it does not delay requests
         // that are still in time.
@@ -184,7 +184,7 @@
         let available =
             servers.filter(|server| self.is_available(**server, times.allowed_regions, now));
         available
-            .map(|server| self.servers[*server].expect_loaded(times.typical, now))
+            .map(|server| self.servers[*server].expected_time_without_stalls(times.typical, now))
             .min()
     }
 
@@ -238,7 +238,7 @@
             let sample = match part.status {
                 PartStatus::Answered { .. } => 0.0,
                 PartStatus::Missing => 1.0,
-                PartStatus::Open if now >= state.plan.soft_deadline => 1.0,
+                PartStatus::Open if now >= state.deadlines.soft_deadline => 1.0,
                 PartStatus::Open => continue,
             };
             let misses = &mut self.upstreams[part.upstream].bundle_miss_rate;
--- a/crates/core/src/process/forward/announcements.rs
+++ b/crates/core/src/process/forward/announcements.rs
@@ -11,14 +11,14 @@
 use crate::process::forward::answer::ForwardAction;
 use crate::process::forward::directory::{AnnouncementEffect, ServerAnnouncement, ServerLifecycle};
 use crate::process::forward::machine::ForwardMachine;
-use crate::process::forward::pace::ServerSlowness;
 use crate::process::forward::place::DomainProximity;
 use crate::process::forward::server::ServerState;
+use crate::process::forward::slowness::ServerSlowness;
 
 impl ForwardMachine {
     /// Handles an announcement of a server, received directly or through a control
     /// instance.
-    pub(super) fn notice(
+    pub(super) fn handle_announcement(
         &mut self,
         announcement: ServerAnnouncement,
         now: Duration,
@@ -35,7 +35,7 @@
         let Some(record) = self.directory.get(&id) else {
             return;
         };
-        let known = record.notice.clone();
+        let known = record.announcement.clone();
         if let Some(server) = self.servers_by_id.get(&id).copied() {
             let state = &mut self.servers[server];
             if known.born <= state.born {
@@ -78,20 +78,20 @@
             state.expired = true;
             (former, state.upstream)
         });
-        let upstream = self.upstream(&announcement.service);
+        let upstream = self.find_or_add_upstream(&announcement.service);
         match former {
             Some((former, same)) if same == upstream => out.push(ForwardAction::CloseIdle(former)),
             Some((former, _)) => self.advance_lifecycle(former, ServerLifecycle::Gone, out),
             None => {}
         }
         let mut state = ServerState::new(announcement.id.clone().into(), upstream, address);
-        state.place = self.place_of(&announcement.domain);
+        state.proximity = self.proximity_of(&announcement.domain);
         state.region = self.options.regions.region_of(&announcement.domain);
         state.is_evacuated = self.evacuated.contains(&announcement.domain);
         state.domain = announcement.domain;
         state.version = announcement.version;
         state.slots = announcement.slots;
-        state.pace = ServerSlowness::new(self.options.pace);
+        state.slowness_estimate = ServerSlowness::new(self.options.slowness);
         state.born = announcement.born;
         state.warm_at = now + Duration::from_millis(announcement.cold_ms);
         let server = self.servers.push(state);
@@ -115,7 +115,7 @@
 
     /// Returns the proximity of a failure domain to this entry: the same domain, the same
     /// region or elsewhere.
-    pub fn place_of(&self, domain: &str) -> DomainProximity {
+    pub fn proximity_of(&self, domain: &str) -> DomainProximity {
         self.options.regions.proximity(&self.options.domain, domain)
     }
 
--- a/crates/core/src/process/forward/backlog.rs
+++ b/crates/core/src/process/forward/backlog.rs
@@ -17,19 +17,25 @@
 }
 
 impl ServerBacklog {
-    /// Records that this entry sent a request that occupies a slot for `work`,
+    /// Records that this entry sent a request that occupies a slot for `service_time`,
     /// at a server with `slots` slots that `entries` entries share.
-    pub fn record_send(&mut self, work: Duration, slots: u32, entries: u32, now: Duration) {
+    pub fn record_send(&mut self, service_time: Duration, slots: u32, entries: u32, now: Duration) {
         let senders = if self.had_queue { entries } else { 1 };
-        let delay = work.mul_f64(f64::from(senders) / f64::from(slots.max(1)));
+        let delay = service_time.mul_f64(f64::from(senders) / f64::from(slots.max(1)));
         self.clear_at = self.clear_at.max(now) + delay;
     }
 
     /// Replaces the estimate by a server's load report: `waiting` requests that
-    /// take `work` each.
-    pub fn record_report(&mut self, waiting: u32, work: Duration, slots: u32, now: Duration) {
+    /// take `service_time` each.
+    pub fn record_report(
+        &mut self,
+        waiting: u32,
+        service_time: Duration,
+        slots: u32,
+        now: Duration,
+    ) {
         let requests_per_slot = f64::from(waiting) / f64::from(slots.max(1));
-        self.clear_at = now + work.mul_f64(requests_per_slot);
+        self.clear_at = now + service_time.mul_f64(requests_per_slot);
         self.had_queue = waiting > 0;
     }
 
--- a/crates/core/src/process/forward/begin.rs
+++ b/crates/core/src/process/forward/begin.rs
@@ -46,8 +46,8 @@
             Err(failure) => return self.reject_request(call.tag, failure, out),
         };
         let state = self.build_call(&call, table, route, workspace, now);
-        let is_too_late = now >= state.plan.hard_deadline
-            || (state.is_relayed && now >= state.plan.soft_deadline);
+        let is_too_late = now >= state.deadlines.hard_deadline
+            || (state.is_relayed && now >= state.deadlines.soft_deadline);
         if is_too_late {
             // The request waited unread until it timed out; it is not sent to any
             // server.
@@ -60,13 +60,13 @@
             self.credit_refused_parts(&state, now);
             return self.reject_request(call.tag, ForwardFailure::Overload, out);
         };
-        let (plan, part_count) = (state.plan, state.parts.len());
+        let (deadlines, part_count) = (state.deadlines, state.parts.len());
         let needs_canary = state.needs_canary();
         let (route_name, version) = (state.rule().name.as_str().into(), state.table.version());
         self.record_decision(call.tag, out, || ForwardDecision::Admit {
             route: route_name,
             version,
-            time_left: plan.caller_deadline.saturating_sub(now),
+            time_left: deadlines.caller_deadline.saturating_sub(now),
             mark: call.mark,
             relayed: call.relayed.is_some(),
         });
@@ -84,10 +84,10 @@
             }
         }
         self.timers
-            .set(plan.hard_deadline, ForwardTimer::HardDeadline(key));
-        if plan.soft_deadline > now {
+            .set(deadlines.hard_deadline, ForwardTimer::HardDeadline(key));
+        if deadlines.soft_deadline > now {
             self.timers
-                .set(plan.soft_deadline, ForwardTimer::SoftDeadline(key));
+                .set(deadlines.soft_deadline, ForwardTimer::SoftDeadline(key));
         }
         self.schedule_sweep(key, now);
         self.check_end(key, now, out);
@@ -103,7 +103,7 @@
         now: Duration,
     ) -> CallState {
         let rule = &table.routes()[route];
-        let timing = self.timing(&rule.name);
+        let timing = self.find_or_add_timing(&rule.name);
         let workspace = workspace.zip(table.workspaces());
         let workspace = workspace.map(|(workspace, workspaces)| workspaces.rule(workspace));
         let mut allowed_regions = self.options.regions.allowed_regions(&rule.allowed_regions);
@@ -114,12 +114,13 @@
                     .allowed_regions(&workspace.allowed_regions),
             );
         }
-        let mut plan = self.timings[timing].plan(rule, call.time_left, call.arrived_at);
+        let mut deadlines =
+            self.timings[timing].compute_deadlines(rule, call.time_left, call.arrived_at);
         let upstreams = match &call.relayed {
             Some(order) => {
-                plan.soft_deadline = order.answer_by;
+                deadlines.soft_deadline = order.answer_by;
                 let shards = order.shards.iter();
-                shards.map(|name| self.upstream(name)).collect()
+                shards.map(|name| self.find_or_add_upstream(name)).collect()
             }
             None => self.target_upstreams(rule),
         };
@@ -143,13 +144,13 @@
             route,
             timing,
             arrived_at: call.arrived_at,
-            plan,
+            deadlines,
             parts: upstreams.into_iter().map(PartState::new).collect(),
             answered: 0,
             missing: 0,
             failed_answer: None,
             sends: 0,
-            doubt: self.initial_suspicion(call, now),
+            suspicion: self.initial_suspicion(call, now),
             table,
         }
     }
@@ -181,19 +182,22 @@
     /// chooses the next service by weight.
     fn target_upstreams(&mut self, rule: &RouteRule) -> Vec<UpstreamKey> {
         match &rule.target {
-            RouteTarget::Service(name) => vec![self.upstream(name)],
+            RouteTarget::Service(name) => vec![self.find_or_add_upstream(name)],
             RouteTarget::Split(weighted_services) => {
                 let counter = self
                     .split_counters
                     .entry(rule.name.as_str().into())
                     .or_default();
                 if !counter.uses_weights(weighted_services) {
-                    *counter = SplitScheduler::begin(weighted_services, &mut self.rng);
+                    *counter = SplitScheduler::with_random_start(weighted_services, &mut self.rng);
                 }
                 let index = counter.next(weighted_services);
-                vec![self.upstream(&weighted_services[index].service)]
+                vec![self.find_or_add_upstream(&weighted_services[index].service)]
             }
-            RouteTarget::Gather(names) => names.iter().map(|name| self.upstream(name)).collect(),
+            RouteTarget::Gather(names) => names
+                .iter()
+                .map(|name| self.find_or_add_upstream(name))
+                .collect(),
         }
     }
 
--- a/crates/core/src/process/forward/bundle.rs
+++ b/crates/core/src/process/forward/bundle.rs
@@ -34,7 +34,7 @@
 pub(super) const SHARD_GROUP_SIZE: usize = 12;
 /// Step to which round-trip times are rounded down before they are compared, as a
 /// fraction of the route's objective.
-const RTT_STEP_SHARE: f64 = 0.05;
+const RTT_STEP_FRACTION: f64 = 0.05;
 /// Maximum number of connections to another entry.
 pub(super) const MAX_RELAY_CONNECTIONS: usize = 64;
 
@@ -63,7 +63,7 @@
         };
         if !state.is_scatter_gather
             || self.peer_domains.is_empty()
-            || state.plan.soft_deadline <= now
+            || state.deadlines.soft_deadline <= now
         {
             return;
         }
@@ -138,7 +138,7 @@
         let step = state
             .rule()
             .objective()
-            .mul_f64(RTT_STEP_SHARE)
+            .mul_f64(RTT_STEP_FRACTION)
             .as_secs_f64();
         let mut best: Option<((DomainProximity, u64, usize, Duration), BundlePlan)> = None;
         for (domain, entries) in &self.peer_domains {
@@ -162,7 +162,7 @@
                 continue;
             }
             let round_trip = (choice.expected.as_secs_f64() / step.max(1e-6)) as u64;
-            let proximity = self.place_of(domain);
+            let proximity = self.proximity_of(domain);
             let rank = (
                 proximity,
                 round_trip,
--- a/crates/core/src/process/forward/call.rs
+++ b/crates/core/src/process/forward/call.rs
@@ -144,7 +144,7 @@
     /// Arrival time, since the process started.
     pub arrived_at: Duration,
     /// Deadlines of the answer.
-    pub plan: AnswerDeadlines,
+    pub deadlines: AnswerDeadlines,
     /// Parts of the request.
     pub parts: Vec<PartState>,
     /// Number of parts with an accepted answer.
@@ -157,7 +157,7 @@
     /// Number of attempts sent.
     pub sends: u32,
     /// Evidence that the request crashes servers.
-    pub doubt: CallSuspicion,
+    pub suspicion: CallSuspicion,
 }
 
 impl CallState {
@@ -175,7 +175,7 @@
     }
 
     /// Returns the number of parts that still need an answer.
-    pub fn open(&self) -> usize {
+    pub fn count_open_parts(&self) -> usize {
         self.parts.len() - self.answered - self.missing
     }
 
@@ -276,9 +276,9 @@
     pub typical: Duration,
     /// Work time above which the answer counts as slow in the statistics of its
     /// server's version.
-    pub slow_after: Duration,
+    pub slow_threshold: Duration,
     /// Basis of the expected answer time; `None` if sent to another entry.
-    pub basis: Option<ExpectationBasis>,
+    pub expectation_basis: Option<ExpectationBasis>,
     /// Reason for sending.
     pub cause: AttemptCause,
     /// Maximum number of servers that may run each part by this attempt.
--- a/crates/core/src/process/forward/canary.rs
+++ b/crates/core/src/process/forward/canary.rs
@@ -53,7 +53,7 @@
     /// Returns whether the request may be sent to only one server at a time: a suspect
     /// scatter-gather request that no server has completed.
     pub(super) fn needs_canary(&self) -> bool {
-        let suspicion = &self.doubt;
+        let suspicion = &self.suspicion;
         self.is_scatter_gather
             && !suspicion.has_run
             && (suspicion.starts_with_canary || suspicion.crashes > 0)
@@ -81,7 +81,7 @@
         let strategy_requires = call.relayed.is_none()
             && match self.options.canary {
                 CanaryStrategy::Never | CanaryStrategy::Suspects => false,
-                CanaryStrategy::Alert => self.end_watch.is_alert(now),
+                CanaryStrategy::Alert => self.crash_watch.is_alert(now),
                 CanaryStrategy::All => true,
             };
         let is_suspect = self.suspects.status_of(call.mark, now) != SuspectStatus::Clear;
@@ -120,7 +120,7 @@
             return false;
         };
         let status = self.suspect_status(state, now);
-        if state.doubt.has_run {
+        if state.suspicion.has_run {
             return false;
         }
         if status == SuspectStatus::Quarantined {
@@ -130,7 +130,7 @@
         if !state.needs_canary() {
             return false;
         }
-        if state.doubt.crashes >= CRASHES_TO_QUARANTINE {
+        if state.suspicion.crashes >= CRASHES_TO_QUARANTINE {
             self.cancel_attempts(call, false, out);
         }
         let is_idle = self.calls.get(call).is_some_and(|state| {
@@ -189,7 +189,7 @@
         let Some(state) = self.calls.get(call) else {
             return false;
         };
-        if now >= state.plan.hard_deadline {
+        if now >= state.deadlines.hard_deadline {
             return false;
         }
         let candidates = (0..state.parts.len()).filter(|part| {
@@ -247,7 +247,7 @@
             return false;
         };
         let is_quarantined = self.suspect_status(state, now) == SuspectStatus::Quarantined;
-        state.needs_canary() || (is_quarantined && !state.doubt.has_run)
+        state.needs_canary() || (is_quarantined && !state.suspicion.has_run)
     }
 
     /// Returns whether a part must wait for the outcome of another part's canary attempt.
@@ -259,7 +259,7 @@
         // hedged.
         let attempts = state.parts[part].attempts.iter();
         let mut attempts = attempts.filter_map(|attempt| self.attempts.get(*attempt));
-        state.doubt.crashes > 0 || !attempts.any(|attempt| attempt.is_canary)
+        state.suspicion.crashes > 0 || !attempts.any(|attempt| attempt.is_canary)
     }
 
     /// Sends all parts that were held back while the request needed a canary.
--- a/crates/core/src/process/forward/choose.rs
+++ b/crates/core/src/process/forward/choose.rs
@@ -152,8 +152,11 @@
                 continue;
             }
             candidates += 1;
-            let expected =
-                state.expected_response_time(criteria.typical, self.pause_vote.interval(), now);
+            let expected = state.expected_response_time(
+                criteria.typical,
+                self.stall_intervals.interval(),
+                now,
+            );
             let jitter = 1.0 + MAX_JITTER * self.rng.random::<f64>();
             let failure_cost = retry_cost.map_or(FAILURE_COST, |cost| expected + cost);
             let penalty = selection_penalty(state, criteria, failure_cost, now);
@@ -186,7 +189,7 @@
             return None;
         }
         let budget = &self.upstreams[upstream].budget;
-        let spent = budget.spent_fraction(&self.options.extra, self.extra_view(upstream), now);
+        let spent = budget.spent_fraction(&self.options.extra, self.budget_sharing(upstream), now);
         let cost_share = MIN_RETRY_COST + (MAX_RETRY_COST - MIN_RETRY_COST) * spent * spent;
         Some(criteria.objective.mul_f64(cost_share))
     }
@@ -200,11 +203,11 @@
             return true;
         }
         let max_per_second = self.options.cold.max_per_second(per_s);
-        let view = ServerSharing {
-            entries: self.entries,
+        let sharing = ServerSharing {
+            entries: self.entry_count,
             is_owner: self.owns_server(state),
         };
-        let allowance = AdaptiveShare.allowance(max_per_second, view);
+        let allowance = AdaptiveShare.allowance(max_per_second, sharing);
         state.cold.has_capacity(allowance, now)
     }
 
@@ -212,7 +215,7 @@
     /// of the server's failure domain. False until this entry has received the list of
     /// entries.
     fn owns_server(&self, state: &ServerState) -> bool {
-        state.place == DomainProximity::Domain && self.is_owner_of(&state.id)
+        state.proximity == DomainProximity::Domain && self.is_owner_of(&state.id)
     }
 
     /// Returns the maximum number of connections from this entry to a server: this
@@ -228,8 +231,8 @@
             return MAX_RELAY_CONNECTIONS;
         }
         let used = f64::from(upstream.connections) * SHARED_CONNECTION_USE;
-        let equal_share = (used / f64::from(self.entries.max(1))) as usize;
-        if state.place != DomainProximity::Domain {
+        let equal_share = (used / f64::from(self.entry_count.max(1))) as usize;
+        if state.proximity != DomainProximity::Domain {
             return equal_share.max(1);
         }
         let domain_share = (used / f64::from(self.domain_entry_count)) as usize;
@@ -255,9 +258,9 @@
     failure_cost: Duration,
     now: Duration,
 ) -> Duration {
-    let mut penalty = failure_cost.mul_f64(state.failing);
+    let mut penalty = failure_cost.mul_f64(state.failure_rate);
     if !criteria.ignores_distance {
-        penalty += criteria.objective.mul_f64(distance_cost(state.place));
+        penalty += criteria.objective.mul_f64(distance_cost(state.proximity));
     }
     if state.idle == 0 {
         penalty += CONNECT_COST;
--- a/crates/core/src/process/forward/cold.rs
+++ b/crates/core/src/process/forward/cold.rs
@@ -68,7 +68,7 @@
 pub trait ShareStrategy {
     /// Returns how many requests this entry may send per second, if all entries
     /// together may send `max_per_second`.
-    fn allowance(&self, max_per_second: f64, view: ServerSharing) -> usize;
+    fn allowance(&self, max_per_second: f64, sharing: ServerSharing) -> usize;
 }
 
 /// Gives each entry an equal share, rounded down. With many entries the share is
@@ -77,8 +77,8 @@
 pub struct EqualShare;
 
 impl ShareStrategy for EqualShare {
-    fn allowance(&self, max_per_second: f64, view: ServerSharing) -> usize {
-        (max_per_second * VIEW_FRACTION / f64::from(view.entries.max(1))) as usize
+    fn allowance(&self, max_per_second: f64, sharing: ServerSharing) -> usize {
+        (max_per_second * VIEW_FRACTION / f64::from(sharing.entries.max(1))) as usize
     }
 }
 
@@ -87,8 +87,8 @@
 pub struct OwnerShare;
 
 impl ShareStrategy for OwnerShare {
-    fn allowance(&self, max_per_second: f64, view: ServerSharing) -> usize {
-        if view.is_owner {
+    fn allowance(&self, max_per_second: f64, sharing: ServerSharing) -> usize {
+        if sharing.is_owner {
             (max_per_second * VIEW_FRACTION) as usize
         } else {
             0
@@ -106,9 +106,9 @@
 pub struct AdaptiveShare;
 
 impl ShareStrategy for AdaptiveShare {
-    fn allowance(&self, max_per_second: f64, view: ServerSharing) -> usize {
-        match EqualShare.allowance(max_per_second, view) {
-            0 => OwnerShare.allowance(max_per_second, view),
+    fn allowance(&self, max_per_second: f64, sharing: ServerSharing) -> usize {
+        match EqualShare.allowance(max_per_second, sharing) {
+            0 => OwnerShare.allowance(max_per_second, sharing),
             equal => equal,
         }
     }
--- a/crates/core/src/process/forward/directory.rs
+++ b/crates/core/src/process/forward/directory.rs
@@ -20,7 +20,7 @@
 const DIGEST_BUCKETS: usize = 64;
 /// Fraction of a lease granted to a server that was loaded from disk after a
 /// restart and has not been heard from since.
-const REMEMBERED_LEASE_SHARE: f64 = 0.5;
+const REMEMBERED_LEASE_FRACTION: f64 = 0.5;
 /// Consecutive announcements that a server may miss before its lease expires. This
 /// applies to long announcement intervals; `MIN_LEASE` governs short ones.
 const MAX_MISSED_ANNOUNCEMENTS: u32 = 1;
@@ -180,7 +180,7 @@
 #[derive(Debug, Clone)]
 pub struct DirectoryRecord {
     /// Newest announcement of the server, with the lifecycle state in force.
-    pub notice: ServerAnnouncement,
+    pub announcement: ServerAnnouncement,
     /// When the server last announced itself or was reported alive.
     pub last_seen_at: Duration,
     /// When the server was granted a full lease, regardless of `last_seen_at`.
@@ -197,10 +197,10 @@
 }
 
 impl DirectoryRecord {
-    fn new(notice: ServerAnnouncement, now: Duration, arrival: u64) -> DirectoryRecord {
+    fn new(announcement: ServerAnnouncement, now: Duration, arrival: u64) -> DirectoryRecord {
         DirectoryRecord {
             arrival,
-            notice,
+            announcement,
             last_seen_at: now,
             lease_granted_at: now,
             expired: false,
@@ -211,7 +211,7 @@
 
     /// Returns whether the server accepts requests and its lease has not expired.
     fn is_alive(&self) -> bool {
-        self.notice.standing == ServerLifecycle::Ready && !self.expired
+        self.announcement.standing == ServerLifecycle::Ready && !self.expired
     }
 }
 
@@ -234,7 +234,7 @@
             self.records.insert(id, record);
             return AnnouncementEffect::Changed;
         };
-        let known = &mut record.notice;
+        let known = &mut record.announcement;
         if announcement.born > known.born {
             // The server restarted under the same id, so the old record is void.
             *record = DirectoryRecord::new(announcement, now, arrival);
@@ -271,7 +271,7 @@
     }
 
     /// Adds a server that was loaded from disk after a restart, unless the server is
-    /// already known. Its first lease is shortened by `REMEMBERED_LEASE_SHARE`,
+    /// already known. Its first lease is shortened by `REMEMBERED_LEASE_FRACTION`,
     /// because it may have left in the meantime.
     pub fn remember(&mut self, announcement: ServerAnnouncement, now: Duration) {
         self.arrivals += 1;
@@ -287,7 +287,7 @@
     pub fn confirmed_alive(&self) -> impl Iterator<Item = &ServerAnnouncement> {
         let records = self.records.values();
         let alive = records.filter(|record| record.is_alive() && !record.is_remembered);
-        alive.map(|record| &record.notice)
+        alive.map(|record| &record.announcement)
     }
 
     /// Renews a server's lease after a peer reported that the server announced itself
@@ -297,9 +297,10 @@
         let Some(record) = self.records.get_mut(id) else {
             return;
         };
-        let is_newer = position.born == record.notice.born && position > record.notice.position();
-        if is_newer && record.notice.standing != ServerLifecycle::Gone {
-            record.notice.sequence = position.sequence;
+        let is_newer =
+            position.born == record.announcement.born && position > record.announcement.position();
+        if is_newer && record.announcement.standing != ServerLifecycle::Gone {
+            record.announcement.sequence = position.sequence;
             record.last_seen_at = now;
             record.expired = false;
             record.is_remembered = false;
@@ -310,7 +311,7 @@
     /// known.
     pub fn knows_incarnation(&self, id: &str, position: AnnouncementPosition) -> bool {
         let record = self.records.get(id);
-        record.is_some_and(|record| record.notice.born >= position.born)
+        record.is_some_and(|record| record.announcement.born >= position.born)
     }
 
     /// Records that this instance observes a server. Returns whether the observer
@@ -353,7 +354,7 @@
         let local = self.records.iter();
         let local = local
             .filter(|(_, record)| record.observer == ServerObserver::Local && record.is_alive());
-        local.map(|(id, record)| (&**id, record.notice.position()))
+        local.map(|(id, record)| (&**id, record.announcement.position()))
     }
 
     /// Returns a digest of the ids of the live servers with the given observer. The
@@ -379,10 +380,10 @@
             return false;
         };
         let is_observer = record.observer == ServerObserver::Peer(peer);
-        if !is_observer || record.notice.born != position.born || !record.is_alive() {
+        if !is_observer || record.announcement.born != position.born || !record.is_alive() {
             return false;
         }
-        record.notice.sequence = record.notice.sequence.max(position.sequence);
+        record.announcement.sequence = record.announcement.sequence.max(position.sequence);
         record.expired = true;
         true
     }
@@ -401,13 +402,14 @@
         peer_last_seen: impl Fn(&SocketAddr) -> Option<Duration>,
     ) -> Vec<Box<str>> {
         self.records.retain(|_, record| {
-            let is_alive = record.notice.standing == ServerLifecycle::Ready && !record.expired;
+            let is_alive =
+                record.announcement.standing == ServerLifecycle::Ready && !record.expired;
             is_alive || now < record.last_seen_at + TOMBSTONE_RETENTION
         });
         let mut expired = Vec::new();
         for (id, record) in &mut self.records {
             let lease = if record.is_remembered {
-                lease.mul_f64(REMEMBERED_LEASE_SHARE)
+                lease.mul_f64(REMEMBERED_LEASE_FRACTION)
             } else {
                 lease
             };
@@ -420,7 +422,8 @@
                 .max(record.lease_granted_at)
                 .max(observer_seen_at);
             let is_late = now > renewed_at + lease;
-            if is_late && !record.expired && record.notice.standing == ServerLifecycle::Ready {
+            if is_late && !record.expired && record.announcement.standing == ServerLifecycle::Ready
+            {
                 record.expired = true;
                 expired.push(id.clone());
             }
@@ -434,8 +437,8 @@
     pub fn bucket_digests(&self) -> Vec<u64> {
         let mut digests = vec![0_u64; DIGEST_BUCKETS];
         for (id, record) in &self.records {
-            if record.notice.standing == ServerLifecycle::Ready {
-                let digest = xxh3_64_with_seed(id.as_bytes(), record.notice.born);
+            if record.announcement.standing == ServerLifecycle::Ready {
+                let digest = xxh3_64_with_seed(id.as_bytes(), record.announcement.born);
                 let bucket = &mut digests[bucket_of(id)];
                 *bucket = bucket.wrapping_add(digest);
             }
--- a/crates/core/src/process/forward/end.rs
+++ b/crates/core/src/process/forward/end.rs
@@ -48,13 +48,13 @@
             return;
         };
         if !state.is_scatter_gather {
-            if state.open() == 0 {
+            if state.count_open_parts() == 0 {
                 self.end_unanswered(call, now, out);
             }
             return;
         }
-        let is_past_soft_deadline = now >= state.plan.soft_deadline;
-        if state.open() == 0 {
+        let is_past_soft_deadline = now >= state.deadlines.soft_deadline;
+        if state.count_open_parts() == 0 {
             if state.has_required_coverage() {
                 return self.end_gathered(call, now, out);
             }
@@ -75,7 +75,7 @@
 
     /// Handles the soft deadline of a request: ends the request if what is answered
     /// suffices.
-    pub(super) fn soft_deadline_due(
+    pub(super) fn handle_soft_deadline(
         &mut self,
         call: SlotKey,
         now: Duration,
@@ -87,12 +87,12 @@
     /// Returns whether a request has passed its hard deadline.
     pub(super) fn is_past_hard_deadline(&self, call: SlotKey, now: Duration) -> bool {
         let state = self.calls.get(call);
-        state.is_some_and(|state| now >= state.plan.hard_deadline)
+        state.is_some_and(|state| now >= state.deadlines.hard_deadline)
     }
 
     /// Handles the hard deadline of a request: answers with the parts that came, if
     /// they suffice, or else fails the request as timed out.
-    pub(super) fn hard_deadline_due(
+    pub(super) fn handle_hard_deadline(
         &mut self,
         call: SlotKey,
         now: Duration,
@@ -267,7 +267,7 @@
     }
 
     /// Ends a request whose caller closed the connection before the answer.
-    pub(super) fn caller_left(
+    pub(super) fn handle_caller_left(
         &mut self,
         tag: CallTag,
         now: Duration,
@@ -302,7 +302,7 @@
                 // The attempt has several parts and was handled with an earlier one.
                 continue;
             }
-            orphan.has_run = state.doubt.has_run;
+            orphan.has_run = state.suspicion.has_run;
             // A relay is cancelled at once, because the other entry applies the grace
             // period to its own attempts. A request that may crash servers is also
             // cancelled at once, before further servers start to process it.
@@ -315,7 +315,7 @@
             self.timers
                 .set(now + closes_in, ForwardTimer::Orphan(*attempt));
             self.record_decision(state.tag, out, || {
-                let (service, instance) = self.names(server);
+                let (service, instance) = self.server_names(server);
                 ForwardDecision::Abandon {
                     service,
                     instance,
@@ -328,7 +328,7 @@
     }
 
     /// Cancels an orphan attempt whose grace period is over.
-    pub(super) fn orphan_due(&mut self, attempt: SlotKey, out: &mut Vec<ForwardAction>) {
+    pub(super) fn cancel_orphan(&mut self, attempt: SlotKey, out: &mut Vec<ForwardAction>) {
         let Some(state) = self.attempts.get_mut(attempt) else {
             return;
         };
@@ -375,7 +375,7 @@
             missing: state.parts.len() - state.answered,
             after: now - state.arrived_at,
             sends: state.sends,
-            late: now > state.plan.objective,
+            late: now > state.deadlines.objective,
         });
     }
 }
--- a/crates/core/src/process/forward/extra.rs
+++ b/crates/core/src/process/forward/extra.rs
@@ -176,7 +176,7 @@
     }
 
     /// Returns how many more extra sends fit this entry's budget.
-    pub fn room(
+    pub fn remaining(
         &self,
         bound: &ExtraBound,
         sharing: impl Into<BudgetSharing>,
--- a/crates/core/src/process/forward/hedge.rs
+++ b/crates/core/src/process/forward/hedge.rs
@@ -50,7 +50,7 @@
             .into_iter()
             .chain(self.find_relay_deadline(state))
             .min();
-        let Some(next) = next.filter(|next| *next < state.plan.hard_deadline) else {
+        let Some(next) = next.filter(|next| *next < state.deadlines.hard_deadline) else {
             return;
         };
         let at = next.max(now + Duration::from_millis(1));
@@ -168,7 +168,7 @@
             return now;
         };
         if !state.is_scatter_gather
-            || self.servers[choice.server.key()].place < DomainProximity::Elsewhere
+            || self.servers[choice.server.key()].proximity < DomainProximity::Elsewhere
         {
             return now;
         }
@@ -181,7 +181,7 @@
         let shard_count = state.gathered_services().len() as f64;
         let delay_fraction = (1.0 - EAGER_HEDGE_SHARDS / shard_count).max(0.0);
         let time_needed = choice.expected.mul_f64(HEDGE_TIME_FACTOR) + HEDGE_TIME_MARGIN;
-        let latest = state.plan.soft_deadline.saturating_sub(time_needed);
+        let latest = state.deadlines.soft_deadline.saturating_sub(time_needed);
         let hedge_at = first_sent_at + self.timings[state.timing].hedge_delay(state.rule());
         hedge_at + latest.saturating_sub(hedge_at).mul_f64(delay_fraction)
     }
@@ -238,14 +238,14 @@
             return true;
         }
         let (tag, upstream) = (state.tag, state.parts[part].upstream);
-        let (bound, view) = (self.options.extra, self.extra_view(upstream));
+        let (bound, sharing) = (self.options.extra, self.budget_sharing(upstream));
         let budget = &mut self.upstreams[upstream].budget;
-        let pace = if now < self.load_shifts_until {
+        let rate = if now < self.load_shifts_until {
             SpendRate::Halved
         } else {
             SpendRate::Unlimited
         };
-        if budget.try_spend(&bound, view, pace, now) {
+        if budget.try_spend(&bound, sharing, rate, now) {
             return true;
         }
         self.counters.denied_repeats += 1;
--- a/crates/core/src/process/forward/input.rs
+++ b/crates/core/src/process/forward/input.rs
@@ -160,7 +160,7 @@
     Announcement(ServerAnnouncement),
     /// Whether the lease of the server with this id has expired at the control
     /// group: the group has received nothing from the server.
-    Silent(Box<str>, bool),
+    LeaseExpiry(Box<str>, bool),
     /// Complete list of the failure domains that an operator evacuated.
     EvacuatedDomains(Vec<Box<str>>),
     /// Complete list of the services' latest roll-outs.
--- a/crates/core/src/process/forward/machine.rs
+++ b/crates/core/src/process/forward/machine.rs
@@ -23,11 +23,11 @@
 use crate::process::forward::expectation::ExpectationStats;
 use crate::process::forward::extra::{ExtraBound, ExtraBudget};
 use crate::process::forward::input::ForwardInput;
-use crate::process::forward::pace::SlownessStrategy;
-use crate::process::forward::pause::{IntervalHistogram, StallStrategy};
 use crate::process::forward::place::RegionMap;
 use crate::process::forward::server::ServerState;
+use crate::process::forward::slowness::SlownessStrategy;
 use crate::process::forward::split::SplitScheduler;
+use crate::process::forward::stall::{IntervalHistogram, StallStrategy};
 use crate::process::forward::suspect::crash_watch::CrashWatch;
 use crate::process::forward::suspect::registry::SuspectRegistry;
 use crate::process::forward::timing::RouteTiming;
@@ -79,10 +79,10 @@
     /// Whether to emit [`ForwardAction::RecordDecision`] for each decision.
     pub records_decisions: bool,
     /// Strategy for estimating the relative speed of servers.
-    pub pace: SlownessStrategy,
+    pub slowness: SlownessStrategy,
     /// Strategy for servers that stall: short periods without any answer, for
     /// example in garbage collection.
-    pub pauses: StallStrategy,
+    pub stalls: StallStrategy,
     /// Which requests are first sent to a single server as a canary.
     pub canary: CanaryStrategy,
 }
@@ -99,8 +99,8 @@
             max_in_flight: 512,
             seed: 1,
             records_decisions: true,
-            pace: SlownessStrategy::default(),
-            pauses: StallStrategy::default(),
+            slowness: SlownessStrategy::default(),
+            stalls: StallStrategy::default(),
             canary: CanaryStrategy::default(),
         }
     }
@@ -133,7 +133,7 @@
     pub(super) counts: UpstreamCounts,
     /// Rendezvous hashing key that selects the owner of this shard among the
     /// entries of a failure domain; `None` if the service is no such shard.
-    pub(super) share_key: Option<Box<str>>,
+    pub(super) group_key: Option<Box<str>>,
     /// Whether this entry owns the shard in its failure domain.
     pub(super) owns_shard: bool,
     /// Latest roll-out of the service.
@@ -152,7 +152,7 @@
     /// Current route table; `None` until the first one arrives.
     pub(super) table: Option<Arc<RouteTable>>,
     /// Number of entries that share the servers.
-    pub(super) entries: u32,
+    pub(super) entry_count: u32,
     /// Number of entries in this failure domain, including this one.
     pub(super) domain_entry_count: u32,
     /// Whether a list of the entries has been received.
@@ -185,9 +185,9 @@
     /// Suspect requests: those under which servers crashed.
     pub(super) suspects: SuspectRegistry,
     /// Recent server crashes.
-    pub(super) end_watch: CrashWatch,
+    pub(super) crash_watch: CrashWatch,
     /// Estimate of the interval between stalls, from the stalls of all servers.
-    pub(super) pause_vote: IntervalHistogram,
+    pub(super) stall_intervals: IntervalHistogram,
     /// Earliest time at which to admit another request that depends on shards
     /// that were recently unavailable.
     pub(super) next_probe_at: Duration,
@@ -206,7 +206,7 @@
             rng: SmallRng::seed_from_u64(options.seed),
             options,
             table: None,
-            entries: ASSUMED_ENTRIES,
+            entry_count: ASSUMED_ENTRIES,
             domain_entry_count: ASSUMED_ENTRIES,
             knows_peers: false,
             directory: ServerDirectory::default(),
@@ -227,8 +227,8 @@
             counters: ForwardCounters::default(),
             expectations: ExpectationStats::default(),
             suspects: SuspectRegistry::default(),
-            end_watch: CrashWatch::default(),
-            pause_vote: IntervalHistogram::default(),
+            crash_watch: CrashWatch::default(),
+            stall_intervals: IntervalHistogram::default(),
             next_probe_at: Duration::ZERO,
             load_shifts_until: Duration::ZERO,
             control_seen_at: Duration::ZERO,
@@ -242,12 +242,14 @@
         self.step_time = now;
         match input {
             ForwardInput::Table(table) => self.set_table(table, now, out),
-            ForwardInput::Announcement(notice) => self.notice(notice, now, out),
-            ForwardInput::Silent(id, silent) => self.set_expired(&id, silent, now),
+            ForwardInput::Announcement(announcement) => {
+                self.handle_announcement(announcement, now, out)
+            }
+            ForwardInput::LeaseExpiry(id, silent) => self.set_expired(&id, silent, now),
             ForwardInput::EvacuatedDomains(domains) => self.set_evacuated(domains, now, out),
             ForwardInput::Rollouts(views) => self.set_rollouts(views, out),
             ForwardInput::ControlContact => self.control_seen_at = now,
-            ForwardInput::EntryCount(entries) => self.entries = entries.max(1),
+            ForwardInput::EntryCount(entries) => self.entry_count = entries.max(1),
             ForwardInput::Peers(peers) => self.set_peers(peers, now, out),
             ForwardInput::Suspects(records) => self.merge_suspects(&records, now, out),
             ForwardInput::Call(call) => self.begin_request(call, now, out),
@@ -257,7 +259,7 @@
             ForwardInput::AllowanceRaised(tag, attempts) => {
                 self.handle_raised_allowance(tag, attempts, now, out)
             }
-            ForwardInput::CallerLeft(tag) => self.caller_left(tag, now, out),
+            ForwardInput::CallerLeft(tag) => self.handle_caller_left(tag, now, out),
             ForwardInput::AttemptEnded { attempt, end } => {
                 self.handle_attempt_end(attempt, end, now, out)
             }
@@ -317,7 +319,9 @@
     ) -> impl Iterator<Item = (&str, UpstreamCounts, usize, f64)> {
         let bound = self.options.extra;
         self.upstreams.iter().map(move |(key, upstream)| {
-            let budget_left = upstream.budget.room(&bound, self.extra_view(key), now);
+            let budget_left = upstream
+                .budget
+                .remaining(&bound, self.budget_sharing(key), now);
             (
                 &*upstream.name,
                 upstream.counts,
@@ -356,10 +360,10 @@
     fn run_timers(&mut self, now: Duration, out: &mut Vec<ForwardAction>) {
         while let Some(timer) = self.timers.take_due(now) {
             match timer {
-                ForwardTimer::SoftDeadline(call) => self.soft_deadline_due(call, now, out),
-                ForwardTimer::HardDeadline(call) => self.hard_deadline_due(call, now, out),
+                ForwardTimer::SoftDeadline(call) => self.handle_soft_deadline(call, now, out),
+                ForwardTimer::HardDeadline(call) => self.handle_hard_deadline(call, now, out),
                 ForwardTimer::Sweep(call) => self.sweep(call, now, out),
-                ForwardTimer::Orphan(attempt) => self.orphan_due(attempt, out),
+                ForwardTimer::Orphan(attempt) => self.cancel_orphan(attempt, out),
             }
         }
     }
@@ -371,7 +375,7 @@
             return;
         }
         for service in table.services() {
-            let upstream = self.upstream(&service.name);
+            let upstream = self.find_or_add_upstream(&service.name);
             self.upstreams[upstream].connections = service.connections.max(1);
             self.upstreams[upstream].cold_per_s = service.cold_per_s;
         }
@@ -381,7 +385,7 @@
     }
 
     /// Returns the key of a service, and registers the service if it is new.
-    pub(super) fn upstream(&mut self, name: &str) -> UpstreamKey {
+    pub(super) fn find_or_add_upstream(&mut self, name: &str) -> UpstreamKey {
         if let Some(upstream) = self.upstreams_by_name.get(name) {
             return *upstream;
         }
@@ -396,7 +400,7 @@
 
     /// Returns the index of a route's timing, and creates the timing if the route
     /// is new.
-    pub(super) fn timing(&mut self, route: &str) -> usize {
+    pub(super) fn find_or_add_timing(&mut self, route: &str) -> usize {
         if let Some(timing) = self.timings_by_route.get(route) {
             return *timing;
         }
@@ -424,7 +428,7 @@
     }
 
     /// Returns the name of a server's service and the server's id.
-    pub(super) fn names(&self, server: ServerKey) -> (Arc<str>, Arc<str>) {
+    pub(super) fn server_names(&self, server: ServerKey) -> (Arc<str>, Arc<str>) {
         let state = &self.servers[server];
         let service = self.upstreams[state.upstream].name.clone();
         (service, state.id.clone())
--- a/crates/core/src/process/forward/place.rs
+++ b/crates/core/src/process/forward/place.rs
@@ -22,7 +22,7 @@
 
 impl DomainProximity {
     /// Returns the name that is used in logs.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             DomainProximity::Domain => "domain",
             DomainProximity::Region => "region",
--- a/crates/core/src/process/forward/relay.rs
+++ b/crates/core/src/process/forward/relay.rs
@@ -24,7 +24,7 @@
 pub(super) const UNRESPONSIVE_BACKOFF: Duration = Duration::from_secs(3);
 /// Time reserved for the merge of a bundle and for returning the answer, in addition to
 /// the round-trip time.
-const RETURN_MARGIN: Duration = Duration::from_millis(5);
+const BUNDLE_RETURN_MARGIN: Duration = Duration::from_millis(5);
 
 impl ForwardMachine {
     /// Replaces the set of known entries: adds new ones, marks missing ones as gone and
@@ -63,7 +63,7 @@
                 let id = self.servers[server].id.clone();
                 if !current_ids.contains(&*id) {
                     self.servers_by_id.remove(&*id);
-                    self.end_watch.record_lost_entry(now);
+                    self.crash_watch.record_lost_entry(now);
                     self.advance_lifecycle(server, ServerLifecycle::Gone, out);
                 }
             }
@@ -76,7 +76,7 @@
         let upstream = self.find_or_add_peer_domain(&peer.domain);
         let mut state = ServerState::new(id.clone().into(), upstream, peer.address);
         state.domain = peer.domain.clone();
-        state.place = self.place_of(&peer.domain);
+        state.proximity = self.proximity_of(&peer.domain);
         state.region = self.options.regions.region_of(&peer.domain);
         state.slots = 1024;
         let server = self.servers.push(state);
@@ -91,7 +91,7 @@
         if let Some((_, upstream)) = found {
             return *upstream;
         }
-        let upstream = self.upstream(&format!("entries of {domain}"));
+        let upstream = self.find_or_add_upstream(&format!("entries of {domain}"));
         self.upstreams[upstream].is_entry = true;
         self.peer_domains.push((domain.into(), upstream));
         upstream
@@ -118,7 +118,7 @@
         let round_trip = entry.round_trip();
         // Within a failure domain the round trip is short, so the default time is used
         // if none was measured.
-        let is_near = entry.place == DomainProximity::Domain;
+        let is_near = entry.proximity == DomainProximity::Domain;
         let known_rtt = entry
             .measured_round_trip()
             .or(is_near.then_some(round_trip));
@@ -130,9 +130,9 @@
         let order = RelayOrder {
             version: state.table.version(),
             answer_by: state
-                .plan
+                .deadlines
                 .soft_deadline
-                .saturating_sub(round_trip + RETURN_MARGIN),
+                .saturating_sub(round_trip + BUNDLE_RETURN_MARGIN),
             attempts: allowance.attempts,
             credits_budget: state.credits_budget
                 && parts.iter().all(|part| state.parts[*part].arrivals == 0),
--- a/crates/core/src/process/forward/reply.rs
+++ b/crates/core/src/process/forward/reply.rs
@@ -12,10 +12,10 @@
 use crate::process::forward::choose::SelectionFailure;
 use crate::process::forward::input::{AttemptResult, ServerAnswer};
 use crate::process::forward::machine::ForwardMachine;
-use crate::process::forward::pace::SlownessEstimate;
-use crate::process::forward::pause::{IntervalHistogram, StallStrategy, MIN_STALL};
 use crate::process::forward::relay::UNRESPONSIVE_BACKOFF;
 use crate::process::forward::server::ServerState;
+use crate::process::forward::slowness::SlownessEstimate;
+use crate::process::forward::stall::{IntervalHistogram, StallStrategy, MIN_STALL};
 use crate::process::forward::version::AttemptVerdict;
 use crate::process::input::CallTag;
 
@@ -34,7 +34,7 @@
 /// in a row reach this fraction.
 const FAILURE_FRACTION_LIMIT: f64 = 0.3;
 /// An answer is recorded as slow if it takes this many times the typical time.
-const SLOW_FACTOR: u32 = 3;
+const SLOW_DECISION_FACTOR: u32 = 3;
 
 /// The outcome of an attempt, as far as its request is concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -126,23 +126,25 @@
     server: &mut ServerState,
     attempt: &ForwardAttempt,
     end: &AttemptResult,
-    vote: &mut IntervalHistogram,
+    histogram: &mut IntervalHistogram,
     now: Duration,
 ) {
     if queue_factor(end) > 1.0 {
         return;
     }
     let arrived_at = attempt.sent_at + server.round_trip() / 2;
-    let work = server.work(attempt.typical, now);
+    let service_time = server.expected_service_time(attempt.typical, now);
     let started_at = now
-        .saturating_sub(server.round_trip() / 2 + work)
+        .saturating_sub(server.round_trip() / 2 + service_time)
         .max(arrived_at);
-    if started_at < arrived_at + MIN_STALL + work * 2 {
+    if started_at < arrived_at + MIN_STALL + service_time * 2 {
         server
-            .pauses
-            .record_prompt_start(started_at, vote.interval());
+            .stall_predictor
+            .record_prompt_start(started_at, histogram.interval());
     } else {
-        server.pauses.record_stall(arrived_at, started_at, vote);
+        server
+            .stall_predictor
+            .record_stall(arrived_at, started_at, histogram);
     }
 }
 
@@ -209,18 +211,27 @@
             return;
         }
         let round_trip = self.servers[attempt.server].round_trip();
-        let work = (now - attempt.sent_at).saturating_sub(round_trip);
+        let server_time = (now - attempt.sent_at).saturating_sub(round_trip);
         let verdict = match outcome {
-            AttemptOutcome::Final => AttemptVerdict::Answered(work.div_f64(queue_factor(end))),
+            AttemptOutcome::Final => {
+                AttemptVerdict::Answered(server_time.div_f64(queue_factor(end)))
+            }
             AttemptOutcome::Failure => AttemptVerdict::Failed,
-            AttemptOutcome::Broken if attempt.is_cancelled => AttemptVerdict::Abandoned(work),
+            AttemptOutcome::Broken if attempt.is_cancelled => {
+                AttemptVerdict::Abandoned(server_time)
+            }
             AttemptOutcome::Broken => AttemptVerdict::Failed,
             AttemptOutcome::NotRun
             | AttemptOutcome::Unsent
             | AttemptOutcome::Withdrawn
             | AttemptOutcome::RefusedAsSuspect => return,
         };
-        self.record_version_outcome(attempt.server, attempt.timing, attempt.slow_after, verdict);
+        self.record_version_outcome(
+            attempt.server,
+            attempt.timing,
+            attempt.slow_threshold,
+            verdict,
+        );
     }
 
     /// Counts and records that a server broke off an attempt.
@@ -234,7 +245,7 @@
         let call = attempt.call.and_then(|call| self.calls.get(call));
         let tag = call.map_or(NO_CALL, |call| call.tag);
         self.record_decision(tag, out, || {
-            let (service, instance) = self.names(attempt.server);
+            let (service, instance) = self.server_names(attempt.server);
             ForwardDecision::ServerBrokeOff {
                 mark: attempt.mark,
                 service,
@@ -260,38 +271,41 @@
         out: &mut Vec<ForwardAction>,
     ) {
         let server = &mut self.servers[attempt.server];
-        server.settle(attempt_key);
+        server.remove_attempt(attempt_key);
         if ![AttemptOutcome::Final, AttemptOutcome::Withdrawn].contains(&outcome) {
             self.upstreams[attempt.upstream].counts.losses += 1;
         }
-        let work = (now - attempt.sent_at).saturating_sub(server.round_trip());
+        let server_time = (now - attempt.sent_at).saturating_sub(server.round_trip());
         match outcome {
             AttemptOutcome::Final => {
-                if let Some(basis) = &attempt.basis {
-                    self.expectations.add(basis, now - attempt.sent_at);
+                if let Some(expectation_basis) = &attempt.expectation_basis {
+                    self.expectations
+                        .add(expectation_basis, now - attempt.sent_at);
                 }
-                let unqueued = work.div_f64(queue_factor(end));
-                if let Some(pace) = reported_slowness(end) {
-                    server.pace.record_report(pace, now);
+                let service_time = server_time.div_f64(queue_factor(end));
+                if let Some(report) = reported_slowness(end) {
+                    server.slowness_estimate.record_report(report, now);
                 }
-                if attempt.basis.is_some() && self.options.pauses == StallStrategy::Predictive {
-                    learn_stall(server, attempt, end, &mut self.pause_vote, now);
+                if attempt.expectation_basis.is_some()
+                    && self.options.stalls == StallStrategy::Predictive
+                {
+                    learn_stall(server, attempt, end, &mut self.stall_intervals, now);
                 }
-                server.answered(unqueued, attempt.typical, now);
+                server.record_answer(service_time, attempt.typical, now);
                 server.record_outcome(false);
-                self.timings[attempt.timing].add(work);
+                self.timings[attempt.timing].add(server_time);
             }
             AttemptOutcome::Failure | AttemptOutcome::NotRun => {
                 server.answered_at = now;
-                if let Some(pace) = reported_slowness(end) {
-                    server.pace.record_report(pace, now);
+                if let Some(report) = reported_slowness(end) {
+                    server.slowness_estimate.record_report(report, now);
                 }
                 server.record_outcome(true);
             }
             AttemptOutcome::RefusedAsSuspect => server.answered_at = now,
             AttemptOutcome::Withdrawn => {}
             AttemptOutcome::Broken if attempt.call.is_none() => {}
-            AttemptOutcome::Unsent if attempt.is_relay() && work > RELAY_REFUSAL_TIME => {
+            AttemptOutcome::Unsent if attempt.is_relay() && server_time > RELAY_REFUSAL_TIME => {
                 server.back_off_at_least(UNRESPONSIVE_BACKOFF, now);
             }
             AttemptOutcome::Unsent => server.back_off(now),
@@ -299,7 +313,7 @@
                 server.record_outcome(true);
                 // A single broken attempt is no reason to rest: servers that lose one
                 // attempt in ten would each rest for a quarter of the time.
-                if attempt.is_relay() || server.failing > FAILURE_FRACTION_LIMIT {
+                if attempt.is_relay() || server.failure_rate > FAILURE_FRACTION_LIMIT {
                     server.back_off(now);
                 }
             }
@@ -310,10 +324,10 @@
         let server = &mut self.servers[attempt.server];
         if let Some(load) = answer.load {
             server.record_load(load, now);
-            let work = server.work(attempt.typical, now);
+            let service_time = server.expected_service_time(attempt.typical, now);
             server
                 .backlog
-                .record_report(load.waiting, work, server.slots, now);
+                .record_report(load.waiting, service_time, server.slots, now);
         }
         if answer.status == MISDIRECTED {
             self.mark_replaced(attempt.server, out);
@@ -353,7 +367,7 @@
             }
         }
         if has_open_part && outcome != AttemptOutcome::Final {
-            let (service, instance) = self.names(attempt.server);
+            let (service, instance) = self.server_names(attempt.server);
             self.record_decision(tag, out, || ForwardDecision::Lost {
                 service,
                 instance,
@@ -383,7 +397,7 @@
                 }
             }
             AttemptResult::Withdrawn if self.is_past_hard_deadline(key, now) => {
-                return self.hard_deadline_due(key, now, out);
+                return self.handle_hard_deadline(key, now, out);
             }
             _ => {}
         }
@@ -402,7 +416,9 @@
         out: &mut Vec<ForwardAction>,
     ) {
         let after = now - attempt.sent_at;
-        if after < (attempt.typical + self.servers[attempt.server].round_trip()) * SLOW_FACTOR {
+        if after
+            < (attempt.typical + self.servers[attempt.server].round_trip()) * SLOW_DECISION_FACTOR
+        {
             return;
         }
         let load = match end {
@@ -410,7 +426,7 @@
             _ => None,
         };
         self.record_decision(tag, out, || {
-            let (service, instance) = self.names(attempt.server);
+            let (service, instance) = self.server_names(attempt.server);
             ForwardDecision::Slow {
                 service,
                 instance,
@@ -476,7 +492,7 @@
             return;
         }
         let may_repeat = rule.idempotent || state.runs == 0;
-        let has_time = now < call.plan.hard_deadline;
+        let has_time = now < call.deadlines.hard_deadline;
         let is_allowed = may_repeat && has_time && state.runs < call.attempts;
         let is_last = state.attempts.is_empty();
         // A part that is not idempotent is not scheduled for a later retry.
--- a/crates/core/src/process/forward/reroute.rs
+++ b/crates/core/src/process/forward/reroute.rs
@@ -26,16 +26,16 @@
 /// Fraction of the time left until the soft deadline within which an entry must
 /// acknowledge a relay. A busy entry takes some tens of milliseconds; rerouting needs
 /// time for a new connection and for the work of one request.
-const ACK_TIME_SHARE: f64 = 0.25;
+const ACK_TIME_FRACTION: f64 = 0.25;
 /// Minimum time allowed for an acknowledgement. Entries of other failure domains are
 /// some milliseconds away.
 const MIN_ACK_TIME: Duration = Duration::from_millis(20);
 /// Fraction of the time left until the soft deadline that is allowed for connecting
 /// to an entry whose round-trip time was never measured.
-const UNKNOWN_RTT_SHARE: f64 = 0.25;
+const UNKNOWN_RTT_FRACTION: f64 = 0.25;
 /// Time after the soft deadline at which an entry that has not answered is given up,
 /// as a fraction of the route's objective. Until then a late answer is still used.
-const GIVE_UP_SHARE: f64 = 0.5;
+const GIVE_UP_FRACTION: f64 = 0.5;
 
 /// How many servers another entry may try for each relayed part, and the deadline of
 /// the entry's acknowledgement.
@@ -56,12 +56,13 @@
         round_trip: Option<Duration>,
         now: Duration,
     ) -> AttemptAllowance {
-        let time_left = state.plan.soft_deadline.saturating_sub(now);
-        let ack_time = time_left.mul_f64(ACK_TIME_SHARE).max(MIN_ACK_TIME);
+        let time_left = state.deadlines.soft_deadline.saturating_sub(now);
+        let ack_time = time_left.mul_f64(ACK_TIME_FRACTION).max(MIN_ACK_TIME);
         // Allows a second round trip, as a connection may have to be opened first.
         // Without it, all entries 12 ms away were treated as unresponsive, and a tenth
         // of the requests was lost.
-        let network_time = round_trip.map_or(time_left.mul_f64(UNKNOWN_RTT_SHARE), |time| time * 2);
+        let network_time =
+            round_trip.map_or(time_left.mul_f64(UNKNOWN_RTT_FRACTION), |time| time * 2);
         let reserved = u32::from(state.rule().idempotent);
         AttemptAllowance {
             attempts: remaining_attempts(state, parts)
@@ -243,7 +244,7 @@
         let count = open_parts.len();
         self.counters.rerouted_relays += 1;
         self.record_decision(tag, out, || {
-            let (service, instance) = self.names(server);
+            let (service, instance) = self.server_names(server);
             ForwardDecision::Reroute {
                 service,
                 instance,
@@ -349,5 +350,5 @@
 
 /// Returns when the unanswered relays of a request are abandoned.
 fn relay_deadline(state: &CallState) -> Duration {
-    state.plan.soft_deadline + state.rule().objective().mul_f64(GIVE_UP_SHARE)
+    state.deadlines.soft_deadline + state.rule().objective().mul_f64(GIVE_UP_FRACTION)
 }
--- a/crates/core/src/process/forward/send.rs
+++ b/crates/core/src/process/forward/send.rs
@@ -12,11 +12,11 @@
 use crate::process::forward::machine::ForwardMachine;
 use crate::process::forward::server::OutstandingAttempt;
 use crate::process::forward::suspect::registry::SuspectStatus;
-use crate::process::forward::version::slow_after;
+use crate::process::forward::version::slow_threshold;
 
 /// Time reserved for returning the answer: a server's deadline is this much earlier than
 /// the caller's.
-const RESPONSE_MARGIN: Duration = Duration::from_millis(3);
+const SERVER_RETURN_MARGIN: Duration = Duration::from_millis(3);
 
 /// Everything needed to send one attempt to a server or to another entry.
 #[derive(Debug)]
@@ -127,7 +127,7 @@
         let starts_with_canary = self.suspects.status_of(state.mark, now) != SuspectStatus::Clear;
         let is_canary = state.needs_canary() || (starts_with_canary && !state.is_scatter_gather);
         let typical = self.timings[plan.timing].typical(state.rule());
-        let slow_after = slow_after(typical, state.rule().objective());
+        let slow_threshold = slow_threshold(typical, state.rule().objective());
         let key = choice.server.key();
         let server = &mut self.servers[key];
         let attempt = self.attempts.insert(ForwardAttempt {
@@ -138,11 +138,11 @@
             upstream: server.upstream,
             sent_at: now,
             typical,
-            slow_after,
-            basis: plan
+            slow_threshold,
+            expectation_basis: plan
                 .relay
                 .is_none()
-                .then(|| server.basis(choice.expected, now)),
+                .then(|| server.expectation_basis(choice.expected, now)),
             cause,
             timing: plan.timing,
             runs: plan.runs,
@@ -159,7 +159,10 @@
         state.sends += 1;
         let (tag, is_scatter_gather) = (state.tag, state.is_scatter_gather);
         let workspace = state.workspace.clone();
-        let until = state.plan.caller_deadline.saturating_sub(RESPONSE_MARGIN);
+        let until = state
+            .deadlines
+            .caller_deadline
+            .saturating_sub(SERVER_RETURN_MARGIN);
         for part in &plan.parts {
             let part = &mut state.parts[*part];
             part.attempts.push(attempt);
@@ -175,10 +178,10 @@
         }
         let outstanding = server.outstanding.len();
         if plan.relay.is_none() {
-            let work = server.work(typical, now);
+            let service_time = server.expected_service_time(typical, now);
             server
                 .backlog
-                .record_send(work, server.slots, self.entries, now);
+                .record_send(service_time, server.slots, self.entry_count, now);
         }
         if self.upstreams[server.upstream].cold_per_s > 0.0 {
             server.cold.record_send(now);
@@ -190,7 +193,7 @@
         });
         server.idle = server.idle.saturating_sub(1);
         let (address, instance) = (server.address, server.id.clone());
-        let place = server.place;
+        let place = server.proximity;
         match cause {
             AttemptCause::First => self.counters.sends += 1,
             AttemptCause::Retry => self.counters.retries += 1,
@@ -198,7 +201,7 @@
             AttemptCause::Relay => self.counters.relays += 1,
         }
         self.record_decision(tag, out, || {
-            let (service, instance) = self.names(key);
+            let (service, instance) = self.server_names(key);
             ForwardDecision::Send {
                 service,
                 instance,
--- a/crates/core/src/process/forward/server.rs
+++ b/crates/core/src/process/forward/server.rs
@@ -15,10 +15,10 @@
 use crate::process::forward::directory::ServerLifecycle;
 use crate::process::forward::expectation::ExpectationBasis;
 use crate::process::forward::input::LoadReport;
-use crate::process::forward::pace::{ServerSlowness, SlownessEstimate, SlownessStrategy};
-use crate::process::forward::pause::StallPredictor;
 use crate::process::forward::place::DomainProximity;
 use crate::process::forward::region_set::RegionKey;
+use crate::process::forward::slowness::{ServerSlowness, SlownessEstimate, SlownessStrategy};
+use crate::process::forward::stall::StallPredictor;
 
 /// Weight of a new sample in the moving average of the failure rate.
 const FAILURE_SAMPLE_WEIGHT: f64 = 0.15;
@@ -61,7 +61,7 @@
     /// Failure domain of the server.
     pub domain: Box<str>,
     /// Proximity of the server's failure domain to this entry.
-    pub place: DomainProximity,
+    pub proximity: DomainProximity,
     /// Region of the server.
     pub region: RegionKey,
     /// Software version of the server.
@@ -90,12 +90,12 @@
     /// Number of idle connections to the server.
     pub idle: u32,
     /// Estimate of how slow the server is relative to its peers.
-    pub pace: ServerSlowness,
+    pub slowness_estimate: ServerSlowness,
     /// Prediction of the server's stalls: short periods in which it answers nothing,
     /// such as garbage collections.
-    pub pauses: StallPredictor,
+    pub stall_predictor: StallPredictor,
     /// Moving average of the failure rate, from 0 to 1.
-    pub failing: f64,
+    pub failure_rate: f64,
     /// Until when the server gets no requests, after a failure to reach it.
     pub backoff_until: Duration,
     /// When the server last answered.
@@ -119,7 +119,7 @@
             upstream,
             address,
             domain: "".into(),
-            place: DomainProximity::Elsewhere,
+            proximity: DomainProximity::Elsewhere,
             region: RegionKey::UNKNOWN,
             version: "".into(),
             is_rolled_back: false,
@@ -132,9 +132,9 @@
             cold: SendWindow::default(),
             outstanding: Vec::new(),
             idle: 0,
-            pace: ServerSlowness::new(SlownessStrategy::default()),
-            pauses: StallPredictor::default(),
-            failing: 0.0,
+            slowness_estimate: ServerSlowness::new(SlownessStrategy::default()),
+            stall_predictor: StallPredictor::default(),
+            failure_rate: 0.0,
             backoff_until: Duration::ZERO,
             answered_at: Duration::ZERO,
             backlog: ServerBacklog::default(),
@@ -165,25 +165,25 @@
         };
     }
 
-    /// Records that the server answered after `work`, without the network round trip,
+    /// Records that the server answered after `service_time`, without the network round trip,
     /// where `typical` is usual for the request. Ends any back-off.
-    pub fn answered(&mut self, work: Duration, typical: Duration, now: Duration) {
+    pub fn record_answer(&mut self, service_time: Duration, typical: Duration, now: Duration) {
         self.answered_at = now;
         self.backoffs = 0;
         self.backoff_until = Duration::ZERO;
-        let ratio = work.as_secs_f64() / typical.as_secs_f64().max(1e-4);
-        self.pace.answered(ratio, now);
+        let ratio = service_time.as_secs_f64() / typical.as_secs_f64().max(1e-4);
+        self.slowness_estimate.record_ratio(ratio, now);
     }
 
     /// Returns how many times longer than its peers the server takes for a request.
     pub fn slowness(&self, now: Duration) -> f64 {
-        self.pace.slowness(now)
+        self.slowness_estimate.slowness(now)
     }
 
     /// Records whether an attempt failed, and updates the failure rate.
     pub fn record_outcome(&mut self, failed: bool) {
         let sample = if failed { 1.0 } else { 0.0 };
-        self.failing += FAILURE_SAMPLE_WEIGHT * (sample - self.failing);
+        self.failure_rate += FAILURE_SAMPLE_WEIGHT * (sample - self.failure_rate);
     }
 
     /// Backs off from the server, each time for longer.
@@ -204,7 +204,7 @@
     }
 
     /// Removes an attempt from the outstanding ones.
-    pub fn settle(&mut self, attempt: SlotKey) {
+    pub fn remove_attempt(&mut self, attempt: SlotKey) {
         self.outstanding.retain(|other| other.attempt != attempt);
     }
 
@@ -235,19 +235,19 @@
 
     /// Returns the expected processing time of a request that takes `typical` at the
     /// server's peers.
-    pub fn work(&self, typical: Duration, now: Duration) -> Duration {
-        let work = typical.mul_f64(self.slowness(now));
+    pub fn expected_service_time(&self, typical: Duration, now: Duration) -> Duration {
+        let service_time = typical.mul_f64(self.slowness(now));
         if now < self.warm_at {
-            return work.mul_f64(COLD_SLOWDOWN);
+            return service_time.mul_f64(COLD_SLOWDOWN);
         }
-        work
+        service_time
     }
 
     /// Returns the expected time to an answer, made of the round trip, the processing
     /// time and the wait for the server's backlog. Does not include stalls, because
     /// requests sent during a stall cost nothing.
-    pub fn expect_loaded(&self, typical: Duration, now: Duration) -> Duration {
-        self.round_trip + self.work(typical, now) + self.backlog.expected_wait(now)
+    pub fn expected_time_without_stalls(&self, typical: Duration, now: Duration) -> Duration {
+        self.round_trip + self.expected_service_time(typical, now) + self.backlog.expected_wait(now)
     }
 
     /// Returns the expected time to an answer for a request that takes `typical` at an
@@ -259,12 +259,12 @@
         interval: Option<Duration>,
         now: Duration,
     ) -> Duration {
-        let work = self.work(typical, now);
+        let service_time = self.expected_service_time(typical, now);
         let slots = f64::from(self.slots.max(1));
         let ahead = self.queue_ahead(now);
         let queue = (ahead + 1.0 - slots).max(0.0) / slots;
         let unanswered = self.unanswered_time(now);
-        let stall_threshold = work * 2 + self.round_trip;
+        let stall_threshold = service_time * 2 + self.round_trip;
         // A server that has been unresponsive for longer than its work explains is
         // likely to stay unresponsive for as long again.
         let current_stall = if unanswered > stall_threshold {
@@ -272,15 +272,18 @@
         } else {
             Duration::ZERO
         };
-        let predicted_stall = self
-            .pauses
-            .expected_wait(now + self.round_trip / 2, work, interval);
-        self.round_trip + work + work.mul_f64(queue) + current_stall.max(predicted_stall)
+        let predicted_stall =
+            self.stall_predictor
+                .expected_wait(now + self.round_trip / 2, service_time, interval);
+        self.round_trip
+            + service_time
+            + service_time.mul_f64(queue)
+            + current_stall.max(predicted_stall)
     }
 
     /// Returns the inputs of the expected time of a request sent now. The accuracy of
     /// the expectation is measured per combination of these inputs.
-    pub fn basis(&self, expected: Duration, now: Duration) -> ExpectationBasis {
+    pub fn expectation_basis(&self, expected: Duration, now: Duration) -> ExpectationBasis {
         let slots = f64::from(self.slots.max(1));
         ExpectationBasis {
             expected,
--- a/crates/core/src/process/forward/shard_owner.rs
+++ b/crates/core/src/process/forward/shard_owner.rs
@@ -27,8 +27,8 @@
             }
             for group in names.chunks(SHARD_GROUP_SIZE) {
                 for name in group {
-                    let upstream = self.upstream(name);
-                    let group_key = &mut self.upstreams[upstream].share_key;
+                    let upstream = self.find_or_add_upstream(name);
+                    let group_key = &mut self.upstreams[upstream].group_key;
                     group_key.get_or_insert_with(|| group[0].as_str().into());
                 }
             }
@@ -40,7 +40,7 @@
     pub(super) fn update_owned_shards(&mut self) {
         let mut owned_keys: HashMap<Box<str>, bool> = HashMap::new();
         for (_, upstream) in self.upstreams.iter() {
-            let Some(key) = &upstream.share_key else {
+            let Some(key) = &upstream.group_key else {
                 continue;
             };
             if !owned_keys.contains_key(key) {
@@ -48,7 +48,7 @@
             }
         }
         for (_, upstream) in self.upstreams.iter_mut() {
-            let key = upstream.share_key.as_ref();
+            let key = upstream.group_key.as_ref();
             upstream.owns_shard = key.is_some_and(|key| owned_keys.get(key) == Some(&true));
         }
     }
@@ -71,12 +71,12 @@
 
     /// Returns how many entries and failure domains share a service's bound on extra load,
     /// and whether this entry owns the shard if the service is a divided one.
-    pub(super) fn extra_view(&self, upstream: UpstreamKey) -> BudgetSharing {
+    pub(super) fn budget_sharing(&self, upstream: UpstreamKey) -> BudgetSharing {
         let state = &self.upstreams[upstream];
         let domains = self.options.regions.domain_count();
-        let is_divided = state.share_key.is_some() && domains > 0;
+        let is_divided = state.group_key.is_some() && domains > 0;
         BudgetSharing {
-            entries: self.entries,
+            entries: self.entry_count,
             domains: domains as u32,
             owns_shard: is_divided.then_some(state.owns_shard),
         }
--- a/crates/core/src/process/forward/pace.rs
+++ b/crates/core/src/process/forward/slowness.rs
@@ -27,7 +27,7 @@
 /// half as fast as its peers.
 pub trait SlownessEstimate {
     /// Records that a response took `ratio` times the usual service time.
-    fn answered(&mut self, ratio: f64, now: Duration);
+    fn record_ratio(&mut self, ratio: f64, now: Duration);
 
     /// Records the slowness that the server reported, in hundredths of the usual
     /// service time.
@@ -48,7 +48,7 @@
 }
 
 impl SlownessEstimate for ObservedSlowness {
-    fn answered(&mut self, ratio: f64, now: Duration) {
+    fn record_ratio(&mut self, ratio: f64, now: Duration) {
         let previous = decay(
             self.logarithm,
             now.saturating_sub(self.updated_at),
@@ -96,8 +96,9 @@
 }
 
 impl SlownessEstimate for ReportedSlowness {
-    fn answered(&mut self, ratio: f64, now: Duration) {
-        self.unreported.answered(ratio / self.reported(now), now);
+    fn record_ratio(&mut self, ratio: f64, now: Duration) {
+        self.unreported
+            .record_ratio(ratio / self.reported(now), now);
     }
 
     fn record_report(&mut self, report: u32, now: Duration) {
@@ -161,10 +162,10 @@
 }
 
 impl SlownessEstimate for ServerSlowness {
-    fn answered(&mut self, ratio: f64, now: Duration) {
+    fn record_ratio(&mut self, ratio: f64, now: Duration) {
         match self {
-            ServerSlowness::Observed(estimate) => estimate.answered(ratio, now),
-            ServerSlowness::Reported(estimate) => estimate.answered(ratio, now),
+            ServerSlowness::Observed(estimate) => estimate.record_ratio(ratio, now),
+            ServerSlowness::Reported(estimate) => estimate.record_ratio(ratio, now),
         }
     }
 
--- a/crates/core/src/process/forward/split.rs
+++ b/crates/core/src/process/forward/split.rs
@@ -27,7 +27,7 @@
     /// With many entries, each may receive only one or two requests of a route. If all
     /// entries started at the same position, the service with the largest weight would
     /// get nearly all of these requests.
-    pub fn begin<R: Rng>(parts: &[WeightedService], rng: &mut R) -> SplitScheduler {
+    pub fn with_random_start<R: Rng>(parts: &[WeightedService], rng: &mut R) -> SplitScheduler {
         let mut scheduler = SplitScheduler::default();
         for _ in 0..rng.random_range(0..START_POSITIONS) {
             scheduler.next(parts);
--- a/crates/core/src/process/forward/pause.rs
+++ b/crates/core/src/process/forward/stall.rs
@@ -230,19 +230,19 @@
     }
 
     /// Returns how long a request is expected to be delayed by a stall, if it
-    /// reaches the server at `at` and takes `work`. Zero if no stall is predicted
+    /// reaches the server at `at` and takes `service_time`. Zero if no stall is predicted
     /// for that time.
     pub fn expected_wait(
         &self,
         at: Duration,
-        work: Duration,
+        service_time: Duration,
         interval: Option<Duration>,
     ) -> Duration {
         let Some(end) = self.next_end(at, interval) else {
             return Duration::ZERO;
         };
         let start = end.saturating_sub(self.length);
-        if at + work < start {
+        if at + service_time < start {
             return Duration::ZERO;
         }
         end.saturating_sub(at)
--- a/crates/core/src/process/forward/suspicion.rs
+++ b/crates/core/src/process/forward/suspicion.rs
@@ -60,7 +60,7 @@
         out: &mut Vec<ForwardAction>,
     ) {
         if let Some(state) = self.calls.get_mut(call) {
-            state.doubt.crashes = state.doubt.crashes.max(crashes);
+            state.suspicion.crashes = state.suspicion.crashes.max(crashes);
             if self.review_suspect(call, now, out) {
                 self.schedule_sweep(call, now);
             }
@@ -102,7 +102,7 @@
                 self.merge_suspects(std::slice::from_ref(record), now, out);
                 let call = attempt.call.and_then(|call| self.calls.get_mut(call));
                 if let Some(state) = call {
-                    state.doubt.crashes = state.doubt.crashes.max(record.ends.len());
+                    state.suspicion.crashes = state.suspicion.crashes.max(record.ends.len());
                 }
             }
             _ => {}
@@ -112,7 +112,7 @@
     /// Records in the crash watch that a server refused a connection.
     fn record_refused_connection(&mut self, attempt: &ForwardAttempt, now: Duration) {
         let answered_at = self.servers[attempt.server].answered_at;
-        self.end_watch
+        self.crash_watch
             .record_crash(attempt.server, answered_at, now);
     }
 
@@ -125,13 +125,13 @@
         out: &mut Vec<ForwardAction>,
     ) {
         let call = attempt.call.and_then(|call| self.calls.get_mut(call));
-        let has_run = attempt.has_run || call.as_ref().is_some_and(|call| call.doubt.has_run);
+        let has_run = attempt.has_run || call.as_ref().is_some_and(|call| call.suspicion.has_run);
         if has_run {
             // Another server completed the request without a crash.
             return;
         }
         if let Some(state) = call {
-            state.doubt.crashes += 1;
+            state.suspicion.crashes += 1;
         }
         let instance = self.servers[attempt.server].id.clone();
         let crash = ServerCrash::of(&instance, attempt.is_canary);
@@ -148,7 +148,7 @@
         out: &mut Vec<ForwardAction>,
     ) {
         if let Some(state) = attempt.call.and_then(|call| self.calls.get_mut(call)) {
-            state.doubt.has_run = true;
+            state.suspicion.has_run = true;
         }
         if let Some(record) = self.suspects.record_completion(attempt.mark, now) {
             out.push(ForwardAction::PublishSuspect(record));
--- a/crates/core/src/process/forward/timing.rs
+++ b/crates/core/src/process/forward/timing.rs
@@ -23,7 +23,7 @@
 /// Additional time reserved for merging, as a fraction of the objective.
 const MERGE_MARGIN_FRACTION: f64 = 0.08;
 /// Time reserved for returning an answer before the caller's timeout.
-const RETURN_MARGIN: Duration = Duration::from_millis(30);
+const CALLER_RETURN_MARGIN: Duration = Duration::from_millis(30);
 /// Service time assumed while there are too few samples, as a fraction of the
 /// objective.
 const DEFAULT_SERVICE_TIME_FRACTION: f64 = 0.15;
@@ -111,7 +111,7 @@
 
     /// Computes the deadlines of a request that arrived at `now` and whose
     /// caller waits for `time_left`, if it sent a timeout.
-    pub fn plan(
+    pub fn compute_deadlines(
         &mut self,
         route: &RouteRule,
         time_left: Option<Duration>,
@@ -130,7 +130,7 @@
         AnswerDeadlines {
             objective: now + objective,
             soft_deadline: now + objective.saturating_sub(margin),
-            hard_deadline: now + limit.saturating_sub(RETURN_MARGIN.min(limit / 4)),
+            hard_deadline: now + limit.saturating_sub(CALLER_RETURN_MARGIN.min(limit / 4)),
             caller_deadline: now + limit,
         }
     }
--- a/crates/core/src/process/forward/version.rs
+++ b/crates/core/src/process/forward/version.rs
@@ -24,12 +24,12 @@
 /// Fraction of the route's objective up to which an answer does not count as bad.
 /// Without this minimum, answers that usually take 1 ms would count as bad whenever
 /// the machine is busy for a moment, which makes them many times slower.
-const SLOW_OBJECTIVE_SHARE: f64 = 0.1;
+const SLOW_OBJECTIVE_FRACTION: f64 = 0.1;
 
 /// Returns the time above which an answer counts as bad for the server's version.
-pub(super) fn slow_after(typical: Duration, objective: Duration) -> Duration {
+pub(super) fn slow_threshold(typical: Duration, objective: Duration) -> Duration {
     let typical = typical.mul_f64(SLOW_FACTOR);
-    typical.max(objective.mul_f64(SLOW_OBJECTIVE_SHARE))
+    typical.max(objective.mul_f64(SLOW_OBJECTIVE_FRACTION))
 }
 
 /// State that an entry holds for the roll-out of a service.
@@ -82,7 +82,7 @@
     /// versions, and removes servers of the old version once a roll-out is completed.
     pub(super) fn set_rollouts(&mut self, views: Vec<RolloutView>, out: &mut Vec<ForwardAction>) {
         for view in views {
-            let upstream = self.upstream(&view.service);
+            let upstream = self.find_or_add_upstream(&view.service);
             let known = self.upstreams[upstream].rollout.as_ref();
             if known.is_some_and(|known| known.view == view) {
                 continue;
@@ -90,7 +90,7 @@
             let former = self.upstreams[upstream].rollout.take();
             let share = match former {
                 Some(former) if former.view.order == view.order => former.share,
-                _ => CanarySampler::new(self.options.canary_bound, self.entries, &mut self.rng),
+                _ => CanarySampler::new(self.options.canary_bound, self.entry_count, &mut self.rng),
             };
             let is_completed = view.state == RolloutState::Completed;
             self.upstreams[upstream].rollout = Some(UpstreamRollout {
@@ -154,12 +154,12 @@
     }
 
     /// Counts the outcome of an attempt for the version of its server. An attempt that
-    /// was abandoned before `slow_after` is not counted.
+    /// was abandoned before `slow_threshold` is not counted.
     pub(super) fn record_version_outcome(
         &mut self,
         server: ServerKey,
         timing: usize,
-        slow_after: Duration,
+        slow_threshold: Duration,
         verdict: AttemptVerdict,
     ) {
         let is_target = self.runs_target_version(server);
@@ -171,9 +171,9 @@
             return;
         }
         let is_bad = match verdict {
-            AttemptVerdict::Answered(after) => after > slow_after,
+            AttemptVerdict::Answered(after) => after > slow_threshold,
             AttemptVerdict::Failed => true,
-            AttemptVerdict::Abandoned(after) if after > slow_after => true,
+            AttemptVerdict::Abandoned(after) if after > slow_threshold => true,
             AttemptVerdict::Abandoned(_) => return,
         };
         let count = rollout.counts.entry((timing, is_target)).or_default();
@@ -184,7 +184,7 @@
     /// Returns the counts since the last call, to be reported to the control group, and
     /// resets them.
     pub fn take_outcome_counts(&mut self) -> Vec<VersionOutcomes> {
-        let mut tallies = Vec::new();
+        let mut outcomes = Vec::new();
         for (_, upstream) in self.upstreams.iter_mut() {
             let Some(rollout) = &mut upstream.rollout else {
                 continue;
@@ -192,7 +192,7 @@
             for ((timing, is_target), count) in std::mem::take(&mut rollout.counts) {
                 let mut names = self.timings_by_route.iter();
                 let route = names.find(|(_, index)| **index == timing);
-                tallies.push(VersionOutcomes {
+                outcomes.push(VersionOutcomes {
                     order: rollout.view.order,
                     service: rollout.view.service.clone(),
                     route: route.map(|(route, _)| route.clone()).unwrap_or_default(),
@@ -202,6 +202,6 @@
                 });
             }
         }
-        tallies
+        outcomes
     }
 }
--- a/crates/core/tests/forward/admit.rs
+++ b/crates/core/tests/forward/admit.rs
@@ -195,11 +195,11 @@
         },
     ];
     for case in cases {
-        let (now, work) = (ms(1000), ms(20));
+        let (now, service_time) = (ms(1000), ms(20));
         let mut backlog = ServerBacklog::default();
-        backlog.record_report(case.waiting, work, 2, now);
+        backlog.record_report(case.waiting, service_time, 2, now);
         for _ in 0..case.sends {
-            backlog.record_send(work, 2, 8, now);
+            backlog.record_send(service_time, 2, 8, now);
         }
         assert_eq!(
             backlog.expected_wait(now),
--- a/crates/core/tests/forward/allowed_regions.rs
+++ b/crates/core/tests/forward/allowed_regions.rs
@@ -10,19 +10,19 @@
 use crate::harness::{route, shards, table, Harness, LOCAL_DOMAIN};
 
 /// Another failure domain of the local region.
-const BESIDE: &str = "beside";
+const NEAR_DOMAIN: &str = "beside";
 /// A failure domain of another region.
-const FAR: &str = "far";
+const FAR_DOMAIN: &str = "far";
 /// A failure domain of a third region.
-const FARTHER: &str = "farther";
+const THIRD_DOMAIN: &str = "farther";
 
 /// Maps the four failure domains to three regions.
 fn regions() -> RegionMap {
     let pairs = [
         (LOCAL_DOMAIN, "west"),
-        (BESIDE, "west"),
-        (FAR, "east"),
-        (FARTHER, "south"),
+        (NEAR_DOMAIN, "west"),
+        (FAR_DOMAIN, "east"),
+        (THIRD_DOMAIN, "south"),
     ];
     RegionMap::new(pairs.map(|(domain, region)| (domain.into(), region.into())))
 }
@@ -70,30 +70,30 @@
     RegionCase {
         name: "the local region",
         allowed_regions: &["west"],
-        domains: &[LOCAL_DOMAIN, BESIDE, FAR, FARTHER],
-        peers: &[BESIDE, FAR, FARTHER],
-        allowed: &[LOCAL_DOMAIN, BESIDE],
+        domains: &[LOCAL_DOMAIN, NEAR_DOMAIN, FAR_DOMAIN, THIRD_DOMAIN],
+        peers: &[NEAR_DOMAIN, FAR_DOMAIN, THIRD_DOMAIN],
+        allowed: &[LOCAL_DOMAIN, NEAR_DOMAIN],
     },
     RegionCase {
         name: "another region",
         allowed_regions: &["east"],
-        domains: &[LOCAL_DOMAIN, BESIDE, FAR, FARTHER],
-        peers: &[LOCAL_DOMAIN, BESIDE, FAR, FARTHER],
-        allowed: &[FAR],
+        domains: &[LOCAL_DOMAIN, NEAR_DOMAIN, FAR_DOMAIN, THIRD_DOMAIN],
+        peers: &[LOCAL_DOMAIN, NEAR_DOMAIN, FAR_DOMAIN, THIRD_DOMAIN],
+        allowed: &[FAR_DOMAIN],
     },
     RegionCase {
         name: "two other regions",
         allowed_regions: &["east", "south"],
-        domains: &[LOCAL_DOMAIN, FAR, FARTHER],
-        peers: &[FAR, FARTHER, BESIDE],
-        allowed: &[FAR, FARTHER],
+        domains: &[LOCAL_DOMAIN, FAR_DOMAIN, THIRD_DOMAIN],
+        peers: &[FAR_DOMAIN, THIRD_DOMAIN, NEAR_DOMAIN],
+        allowed: &[FAR_DOMAIN, THIRD_DOMAIN],
     },
     RegionCase {
         name: "no entry in the allowed region",
         allowed_regions: &["east"],
-        domains: &[LOCAL_DOMAIN, FAR],
-        peers: &[BESIDE, FARTHER],
-        allowed: &[FAR],
+        domains: &[LOCAL_DOMAIN, FAR_DOMAIN],
+        peers: &[NEAR_DOMAIN, THIRD_DOMAIN],
+        allowed: &[FAR_DOMAIN],
     },
 ];
 
@@ -146,8 +146,8 @@
             let mut harness = new_harness(
                 target,
                 allowed_regions,
-                &[LOCAL_DOMAIN, FARTHER],
-                &[BESIDE, FAR],
+                &[LOCAL_DOMAIN, THIRD_DOMAIN],
+                &[NEAR_DOMAIN, FAR_DOMAIN],
             );
             harness.call("q");
             assert_eq!(harness.sends.len(), 0, "{allowed_regions:?}");
@@ -167,12 +167,12 @@
 fn a_region_set_contains_its_regions_and_no_unknown_one() {
     let map = regions();
     let east = map.allowed_regions(&["east".to_string()]);
-    assert!(east.contains(map.region_of(FAR)));
+    assert!(east.contains(map.region_of(FAR_DOMAIN)));
     assert!(!east.contains(map.region_of(LOCAL_DOMAIN)));
     assert!(!east.contains(map.region_of("unheard")));
     assert!(!east.contains(RegionKey::UNKNOWN));
     assert!(map.allowed_regions(&[]).contains(RegionKey::UNKNOWN));
-    assert!(RegionSet::ANYWHERE.contains(map.region_of(FARTHER)));
+    assert!(RegionSet::ANYWHERE.contains(map.region_of(THIRD_DOMAIN)));
     let many = RegionSet::of((0..200).map(RegionKey::new));
     assert!(many.contains(RegionKey::new(62)));
     assert!(!many.contains(RegionKey::new(63)));
--- a/crates/core/tests/forward/chance.rs
+++ b/crates/core/tests/forward/chance.rs
@@ -16,7 +16,7 @@
 use wheelmast_core::process::input::CallTag;
 use wheelmast_core::version::route_table::{RouteTarget, WeightedService};
 
-use crate::harness::{answer, notice, route, shards, table, Harness, LOCAL_DOMAIN};
+use crate::harness::{answer, route, server_announcement, shards, table, Harness, LOCAL_DOMAIN};
 
 /// A random event. The numbers choose among the possible targets and outcomes.
 #[derive(Debug, Clone)]
@@ -121,7 +121,7 @@
                 let id = format!("desk-{}", pick % 3);
                 let announcement = match how % 3 {
                     0 => ServerAnnouncement::gone(&id, 0),
-                    _ => notice(&id, "desk", LOCAL_DOMAIN, 1000),
+                    _ => server_announcement(&id, "desk", LOCAL_DOMAIN, 1000),
                 };
                 harness.step(ForwardInput::Announcement(announcement));
             }
@@ -172,8 +172,11 @@
     }
     for (millis, expected) in [(0, 20.0), (1900, 20.0), (2050, 0.0), (2500, 0.0)] {
         let now = begin + Duration::from_millis(millis);
-        let room = budget.room(&bound, 1, now);
-        assert!((room - expected).abs() < 1e-9, "{room} after {millis} ms");
+        let remaining = budget.remaining(&bound, 1, now);
+        assert!(
+            (remaining - expected).abs() < 1e-9,
+            "{remaining} after {millis} ms"
+        );
     }
 }
 
@@ -231,7 +234,7 @@
     fn announcements_of_a_server_give_the_same_state_in_any_order(
         order in prop::collection::vec(0usize..6, 1..40),
     ) {
-        let standings = [
+        let states = [
             ServerLifecycle::Ready, ServerLifecycle::Ready, ServerLifecycle::Draining,
             ServerLifecycle::Ready, ServerLifecycle::Draining, ServerLifecycle::Gone,
         ];
@@ -239,13 +242,13 @@
         let mut worst = ServerLifecycle::Ready;
         for (step, index) in order.into_iter().enumerate() {
             let announcement = ServerAnnouncement {
-                standing: standings[index],
+                standing: states[index],
                 sequence: index as u64 + 1,
-                ..notice("a", "desk", LOCAL_DOMAIN, 1)
+                ..server_announcement("a", "desk", LOCAL_DOMAIN, 1)
             };
-            worst = worst.max(standings[index]);
+            worst = worst.max(states[index]);
             directory.apply(announcement, Duration::from_secs(step as u64));
-            let stored = directory.get("a").expect("known").notice.standing;
+            let stored = directory.get("a").expect("known").announcement.standing;
             prop_assert_eq!(stored, worst);
         }
     }
--- a/crates/core/tests/forward/cold.rs
+++ b/crates/core/tests/forward/cold.rs
@@ -13,7 +13,7 @@
 use wheelmast_core::process::forward::machine::ForwardOptions;
 use wheelmast_core::version::route_table::{RouteDraft, RouteTable, RouteTarget};
 
-use crate::harness::{notice, route, table, Harness, LOCAL_DOMAIN};
+use crate::harness::{route, server_announcement, table, Harness, LOCAL_DOMAIN};
 
 const BOUND: ColdBound = ColdBound {
     excess: 1.5,
@@ -86,7 +86,7 @@
         harness.step(ForwardInput::Announcement(ServerAnnouncement {
             cold_ms: if server < cold { 4000 } else { 0 },
             slots: 50,
-            ..notice(&id, "desk", LOCAL_DOMAIN, 1000 + server as u16)
+            ..server_announcement(&id, "desk", LOCAL_DOMAIN, 1000 + server as u16)
         }));
     }
     harness
@@ -247,7 +247,7 @@
 fn a_server_is_assumed_cold_after_its_domain_or_its_lease_came_back() {
     let lease_expiry = |harness: &mut Harness| {
         for silent in [true, false] {
-            harness.step(ForwardInput::Silent("desk-5".into(), silent));
+            harness.step(ForwardInput::LeaseExpiry("desk-5".into(), silent));
         }
     };
     let evacuation = |harness: &mut Harness| {
--- a/crates/core/tests/forward/ends.rs
+++ b/crates/core/tests/forward/ends.rs
@@ -9,7 +9,7 @@
 use wheelmast_core::process::forward::input::{AttemptResult, ForwardInput, ServerAnswer};
 use wheelmast_core::version::route_table::RouteTarget;
 
-use crate::harness::{answer, notice, route, table, Harness, LOCAL_DOMAIN};
+use crate::harness::{answer, route, server_announcement, table, Harness, LOCAL_DOMAIN};
 
 /// Returns an answer by which the server states that it did not run the request.
 fn not_run(status: u16) -> AttemptResult {
@@ -204,7 +204,7 @@
     )));
     let outdated = ServerAnnouncement {
         sequence: 50,
-        ..notice("desk-0", "desk", LOCAL_DOMAIN, 1000)
+        ..server_announcement("desk-0", "desk", LOCAL_DOMAIN, 1000)
     };
     harness.step(ForwardInput::Announcement(outdated));
     let call = harness.call("a");
@@ -218,13 +218,13 @@
         1,
         vec![route("a", RouteTarget::Service("desk".into()))],
     ));
-    harness.step(ForwardInput::Announcement(notice(
+    harness.step(ForwardInput::Announcement(server_announcement(
         "old",
         "desk",
         LOCAL_DOMAIN,
         1000,
     )));
-    harness.step(ForwardInput::Announcement(notice(
+    harness.step(ForwardInput::Announcement(server_announcement(
         "new",
         "other",
         LOCAL_DOMAIN,
--- a/crates/core/tests/forward/evacuate.rs
+++ b/crates/core/tests/forward/evacuate.rs
@@ -4,7 +4,7 @@
 use wheelmast_core::process::forward::input::{AttemptResult, ForwardInput};
 use wheelmast_core::version::route_table::RouteTarget;
 
-use crate::harness::{notice, route, shards, table, Harness, LOCAL_DOMAIN};
+use crate::harness::{route, server_announcement, shards, table, Harness, LOCAL_DOMAIN};
 
 const OTHER_DOMAIN: &str = "other";
 
@@ -124,7 +124,7 @@
 fn a_server_that_starts_in_an_evacuated_domain_gets_no_requests() {
     let mut harness = evacuation_harness(RouteTarget::Service("desk".into()));
     evacuate(&mut harness, &[LOCAL_DOMAIN]);
-    let new_server = notice("late", "desk", LOCAL_DOMAIN, 5000);
+    let new_server = server_announcement("late", "desk", LOCAL_DOMAIN, 5000);
     harness.step(ForwardInput::Announcement(new_server));
     for _ in 0..10 {
         harness.call("q");
--- a/crates/core/tests/forward/harness.rs
+++ b/crates/core/tests/forward/harness.rs
@@ -70,7 +70,12 @@
 }
 
 /// Returns the announcement of a ready server at a local port.
-pub(crate) fn notice(id: &str, service: &str, domain: &str, port: u16) -> ServerAnnouncement {
+pub(crate) fn server_announcement(
+    id: &str,
+    service: &str,
+    domain: &str,
+    port: u16,
+) -> ServerAnnouncement {
     ServerAnnouncement {
         id: id.into(),
         service: service.into(),
@@ -195,7 +200,7 @@
         for number in 0..count {
             let port = 1000 + self.machine.server_count() as u16;
             let id = format!("{service}-{number}");
-            self.step(ForwardInput::Announcement(notice(
+            self.step(ForwardInput::Announcement(server_announcement(
                 &id,
                 service,
                 LOCAL_DOMAIN,
@@ -208,7 +213,7 @@
     pub(crate) fn add_server_in(&mut self, service: &str, domain: &str) {
         let port = 1000 + self.machine.server_count() as u16;
         let id = format!("{service}-{domain}");
-        self.step(ForwardInput::Announcement(notice(
+        self.step(ForwardInput::Announcement(server_announcement(
             &id, service, domain, port,
         )));
     }
--- a/crates/core/tests/forward/hedges.rs
+++ b/crates/core/tests/forward/hedges.rs
@@ -57,10 +57,12 @@
         }
         for shard in 0..case.shards {
             let id = format!("s{shard}");
-            let mut notice = crate::harness::notice(&id, &id, case.second, 5000 + shard as u16);
-            notice.id = format!("{id}-second").into();
-            harness
-                .step(wheelmast_core::process::forward::input::ForwardInput::Announcement(notice));
+            let mut announcement =
+                crate::harness::server_announcement(&id, &id, case.second, 5000 + shard as u16);
+            announcement.id = format!("{id}-second").into();
+            harness.step(
+                wheelmast_core::process::forward::input::ForwardInput::Announcement(announcement),
+            );
         }
         let from = harness.sends.len();
         harness.call("q");
--- a/crates/core/tests/forward/keys.rs
+++ b/crates/core/tests/forward/keys.rs
@@ -18,9 +18,13 @@
 
 /// Returns a route table with one workspace per pair of workspace name and caller key.
 /// The workspace `tied` allows only the region `east`.
-fn keyed(version: u64, routes: Vec<RouteRule>, holders: &[(&str, &str)]) -> Arc<RouteTable> {
+fn table_with_keys(
+    version: u64,
+    routes: Vec<RouteRule>,
+    workspace_keys: &[(&str, &str)],
+) -> Arc<RouteTable> {
     let plain = table(version, routes);
-    let workspaces = holders.iter().map(|(name, key)| WorkspaceRule {
+    let workspaces = workspace_keys.iter().map(|(name, key)| WorkspaceRule {
         name: (*name).to_string(),
         keys: vec![CallerKey::new(*key)],
         rank: None,
@@ -56,7 +60,7 @@
 
 /// Returns a harness with a sharded route `q`, a public route `open`, a non-idempotent
 /// route `once`, and servers for each of them.
-fn world(holders: &[(&str, &str)]) -> Harness {
+fn new_harness(workspace_keys: &[(&str, &str)]) -> Harness {
     let mut harness = Harness::new();
     let public_rule = RouteRule {
         public: true,
@@ -67,7 +71,7 @@
         ..route("once", RouteTarget::Service("desk".into()))
     };
     let routes = vec![route("q", shards(2)), public_rule, non_idempotent_rule];
-    harness.set_table(keyed(3, routes, holders));
+    harness.set_table(table_with_keys(3, routes, workspace_keys));
     for service in ["s0", "s1", "desk"] {
         harness.add_servers(service, 2);
     }
@@ -124,7 +128,7 @@
 #[test]
 fn only_a_valid_key_is_authorized_and_every_send_names_its_workspace() {
     for case in CASES {
-        let mut harness = world(&[("north", KEY)]);
+        let mut harness = new_harness(&[("north", KEY)]);
         let tag = harness.call_with_key(case.route, case.key, None);
         match case.found {
             Ok(workspace) => {
@@ -152,7 +156,7 @@
         (None, Some(ForwardFailure::NoTable)),
     ];
     for (workspace, failure) in cases {
-        let mut harness = world(&[("north", KEY)]);
+        let mut harness = new_harness(&[("north", KEY)]);
         let relay_order = order(&harness, workspace);
         let tag = harness.call_with_key("q", None, Some(relay_order));
         assert_eq!(harness.failure_of(tag), failure, "{workspace:?}");
@@ -167,7 +171,11 @@
 #[test]
 fn a_relay_to_another_entry_names_the_workspace() {
     let mut harness = Harness::new();
-    harness.set_table(keyed(3, vec![route("q", shards(6))], &[("north", KEY)]));
+    harness.set_table(table_with_keys(
+        3,
+        vec![route("q", shards(6))],
+        &[("north", KEY)],
+    ));
     for number in 0..6 {
         harness.add_server_in(&format!("s{number}"), "far");
     }
@@ -183,20 +191,20 @@
 
 #[test]
 fn requests_whose_key_is_revoked_end_immediately_without_further_sends() {
-    let holders: [(&str, &[(&str, &str)]); 2] = [
+    let workspace_keys: [(&str, &[(&str, &str)]); 2] = [
         ("no workspace has the key", &[("north", "key-two")]),
         (
             "another workspace has the key",
             &[("north", "key-two"), ("south", KEY)],
         ),
     ];
-    for (name, holders) in holders {
-        let mut harness = world(&[("north", KEY)]);
+    for (name, workspace_keys) in workspace_keys {
+        let mut harness = new_harness(&[("north", KEY)]);
         let gathered = harness.call_with_key("q", Some(KEY), None);
         let sent = harness.sends.len();
         let once = harness.call_with_key("once", Some(KEY), None);
         let routes = harness.machine.table().expect("a table").routes().to_vec();
-        harness.set_table(keyed(4, routes, holders));
+        harness.set_table(table_with_keys(4, routes, workspace_keys));
         assert_eq!(
             harness.failure_of(gathered),
             Some(ForwardFailure::KeyRevoked),
@@ -216,7 +224,7 @@
 fn a_waiting_request_whose_key_is_revoked_is_refused_as_not_run() {
     let mut harness = Harness::new();
     let routes = vec![route("q", RouteTarget::Service("desk".into()))];
-    harness.set_table(keyed(3, routes.clone(), &[("north", KEY)]));
+    harness.set_table(table_with_keys(3, routes.clone(), &[("north", KEY)]));
     harness.add_servers("desk", 1);
     // All connections to the server are in use, so the last requests wait.
     let tags: Vec<CallTag> = (0..40)
@@ -224,7 +232,7 @@
         .collect();
     let waiting = *tags.last().expect("one");
     assert!(harness.sends.len() < tags.len(), "some requests wait");
-    harness.set_table(keyed(4, routes, &[]));
+    harness.set_table(table_with_keys(4, routes, &[]));
     assert_eq!(harness.failure_of(waiting), Some(ForwardFailure::NoKey));
     harness.answer_ok(0, b"done");
     harness.advance(900);
@@ -250,7 +258,7 @@
             allowed_regions: allowed_regions.iter().map(ToString::to_string).collect(),
             ..route("q", RouteTarget::Service("desk".into()))
         };
-        harness.set_table(keyed(3, vec![rule], &[(workspace, KEY)]));
+        harness.set_table(table_with_keys(3, vec![rule], &[(workspace, KEY)]));
         harness.add_server_in("desk", LOCAL_DOMAIN);
         harness.add_server_in("desk", "far");
         harness.call_with_key("q", Some(KEY), None);
--- a/crates/core/tests/forward/pauses.rs
+++ b/crates/core/tests/forward/pauses.rs
@@ -4,7 +4,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use wheelmast_core::process::forward::pause::{IntervalHistogram, StallPredictor};
+use wheelmast_core::process::forward::stall::{IntervalHistogram, StallPredictor};
 
 /// Minimum service time of a request.
 const WORK: Duration = Duration::from_millis(8);
--- a/crates/core/tests/forward/proximity.rs
+++ b/crates/core/tests/forward/proximity.rs
@@ -7,13 +7,17 @@
 use crate::harness::{route, shards, table, Harness, LOCAL_DOMAIN};
 
 /// Another failure domain of the local region.
-const BESIDE: &str = "beside";
+const NEAR_DOMAIN: &str = "beside";
 /// A failure domain of another region.
-const FAR: &str = "far";
+const FAR_DOMAIN: &str = "far";
 
 /// Maps the three failure domains to two regions.
 fn regions() -> RegionMap {
-    let pairs = [(LOCAL_DOMAIN, "west"), (BESIDE, "west"), (FAR, "east")];
+    let pairs = [
+        (LOCAL_DOMAIN, "west"),
+        (NEAR_DOMAIN, "west"),
+        (FAR_DOMAIN, "east"),
+    ];
     RegionMap::new(pairs.map(|(domain, region)| (domain.into(), region.into())))
 }
 
@@ -38,8 +42,8 @@
 fn proximity_of_known_and_unknown_domains() {
     let cases = [
         (LOCAL_DOMAIN, LOCAL_DOMAIN, DomainProximity::Domain),
-        (LOCAL_DOMAIN, BESIDE, DomainProximity::Region),
-        (LOCAL_DOMAIN, FAR, DomainProximity::Elsewhere),
+        (LOCAL_DOMAIN, NEAR_DOMAIN, DomainProximity::Region),
+        (LOCAL_DOMAIN, FAR_DOMAIN, DomainProximity::Elsewhere),
         (LOCAL_DOMAIN, "unknown", DomainProximity::Elsewhere),
         ("unknown", "unheard", DomainProximity::Elsewhere),
         ("unknown", "unknown", DomainProximity::Domain),
@@ -66,18 +70,18 @@
     let cases = [
         ProximityCase {
             name: "servers in all three domains",
-            domains: &[FAR, BESIDE, LOCAL_DOMAIN],
+            domains: &[FAR_DOMAIN, NEAR_DOMAIN, LOCAL_DOMAIN],
             chosen: LOCAL_DOMAIN,
         },
         ProximityCase {
             name: "no server in the local domain",
-            domains: &[FAR, BESIDE],
-            chosen: BESIDE,
+            domains: &[FAR_DOMAIN, NEAR_DOMAIN],
+            chosen: NEAR_DOMAIN,
         },
         ProximityCase {
             name: "servers only in another region",
-            domains: &[FAR],
-            chosen: FAR,
+            domains: &[FAR_DOMAIN],
+            chosen: FAR_DOMAIN,
         },
     ];
     for case in cases {
@@ -97,8 +101,8 @@
 
 #[test]
 fn a_bundle_goes_to_the_local_region_also_without_a_measured_round_trip() {
-    let mut harness = new_harness(6, &[FAR, BESIDE]);
-    harness.add_entries(&[FAR, BESIDE]);
+    let mut harness = new_harness(6, &[FAR_DOMAIN, NEAR_DOMAIN]);
+    harness.add_entries(&[FAR_DOMAIN, NEAR_DOMAIN]);
     for _ in 0..4 {
         harness.call("q");
     }
--- a/crates/core/tests/forward/reborn.rs
+++ b/crates/core/tests/forward/reborn.rs
@@ -10,7 +10,7 @@
 use wheelmast_core::process::forward::input::{AttemptResult, ForwardInput};
 use wheelmast_core::version::route_table::RouteTarget;
 
-use crate::harness::{answer, notice, route, table, Harness, LOCAL_DOMAIN};
+use crate::harness::{answer, route, server_announcement, table, Harness, LOCAL_DOMAIN};
 
 const START: Duration = Duration::from_secs(1);
 const LEASE: Duration = Duration::from_secs(5);
@@ -20,7 +20,7 @@
     ServerAnnouncement {
         born,
         sequence,
-        ..notice("desk-0", "desk", LOCAL_DOMAIN, 1)
+        ..server_announcement("desk-0", "desk", LOCAL_DOMAIN, 1)
     }
 }
 
@@ -109,7 +109,7 @@
             effect = directory.apply(announcement, START);
         }
         assert_eq!(effect, case.effect, "{}", case.name);
-        let record = &directory.get("desk-0").expect("known").notice;
+        let record = &directory.get("desk-0").expect("known").announcement;
         let found = (record.born, record.sequence, record.standing);
         assert_eq!(found, case.recorded, "{}", case.name);
     }
@@ -197,7 +197,7 @@
         let target = RouteTarget::Service("desk".into());
         harness.set_table(table(3, vec![route("q", target)]));
         for id in order {
-            harness.step(ForwardInput::Announcement(notice(
+            harness.step(ForwardInput::Announcement(server_announcement(
                 id,
                 "desk",
                 LOCAL_DOMAIN,
--- a/crates/core/tests/forward/remember.rs
+++ b/crates/core/tests/forward/remember.rs
@@ -12,7 +12,7 @@
 
 use wheelmast_core::process::forward::input::ForwardInput;
 
-use crate::harness::{notice, Harness, LOCAL_DOMAIN};
+use crate::harness::{server_announcement, Harness, LOCAL_DOMAIN};
 
 const LEASE: Duration = Duration::from_secs(5);
 /// Lease of a server that was loaded from disk after a restart: half of `LEASE`.
@@ -22,7 +22,10 @@
 /// Returns a directory with one server that was loaded from disk at `START`.
 fn remembered_directory() -> ServerDirectory {
     let mut directory = ServerDirectory::default();
-    directory.remember(notice("desk-0", "desk", LOCAL_DOMAIN, 1), START);
+    directory.remember(
+        server_announcement("desk-0", "desk", LOCAL_DOMAIN, 1),
+        START,
+    );
     directory
 }
 
@@ -30,7 +33,7 @@
 fn later(sequence: u64) -> ServerAnnouncement {
     ServerAnnouncement {
         sequence,
-        ..notice("desk-0", "desk", LOCAL_DOMAIN, 1)
+        ..server_announcement("desk-0", "desk", LOCAL_DOMAIN, 1)
     }
 }
 
@@ -63,9 +66,12 @@
 fn remembering_does_not_overwrite_a_known_server() {
     let mut directory = ServerDirectory::default();
     directory.apply(ServerAnnouncement::gone("desk-0", 0), START);
-    directory.remember(notice("desk-0", "desk", LOCAL_DOMAIN, 1), START);
+    directory.remember(
+        server_announcement("desk-0", "desk", LOCAL_DOMAIN, 1),
+        START,
+    );
     let record = directory.get("desk-0").expect("it is known");
-    assert_eq!(record.notice.standing, ServerLifecycle::Gone);
+    assert_eq!(record.announcement.standing, ServerLifecycle::Gone);
     assert_eq!(directory.confirmed_alive().count(), 0);
 }
 
@@ -176,7 +182,7 @@
 fn a_reconnecting_entry_is_sent_only_the_servers_in_changed_buckets() {
     let server = |number: usize| {
         let id = format!("desk-{number}");
-        notice(&id, "desk", LOCAL_DOMAIN, 1 + number as u16)
+        server_announcement(&id, "desk", LOCAL_DOMAIN, 1 + number as u16)
     };
     let (mut entry, mut group) = (ServerDirectory::default(), ServerDirectory::default());
     for number in 0..4000 {
@@ -196,11 +202,11 @@
     let records_to_sync: Vec<ServerAnnouncement> = group
         .records_to_sync(&entry.bucket_digests())
         .into_iter()
-        .map(|record| record.notice.clone())
+        .map(|record| record.announcement.clone())
         .collect();
     assert!(records_to_sync.len() < 400, "{}", records_to_sync.len());
-    for notice in records_to_sync {
-        entry.apply(notice, START);
+    for announcement in records_to_sync {
+        entry.apply(announcement, START);
     }
     assert_eq!(group.records_to_sync(&entry.bucket_digests()).len(), 0);
 }
@@ -250,7 +256,7 @@
         let (first, second) = (START, START + case.apart);
         for port in 0..50 {
             group.apply(
-                notice(&format!("desk-{port}"), "desk", LOCAL_DOMAIN, port),
+                server_announcement(&format!("desk-{port}"), "desk", LOCAL_DOMAIN, port),
                 first,
             );
             group.observe_at_peer(&format!("desk-{port}"), peer);
@@ -261,7 +267,7 @@
                 assert!(group.record_peer_expiry(&dead, later(9).position(), peer));
             }
             group.apply(
-                notice(&format!("till-{port}"), "till", LOCAL_DOMAIN, port),
+                server_announcement(&format!("till-{port}"), "till", LOCAL_DOMAIN, port),
                 second,
             );
         }
@@ -270,7 +276,7 @@
         }
         let mut entry = Harness::new();
         for record in group.records_to_sync(&[]) {
-            entry.step(ForwardInput::Announcement(record.notice.clone()));
+            entry.step(ForwardInput::Announcement(record.announcement.clone()));
         }
         let services = entry.machine.services(entry.now);
         let tills = services.filter(|(service, ..)| *service == "till");
--- a/crates/core/tests/forward/reroute.rs
+++ b/crates/core/tests/forward/reroute.rs
@@ -9,7 +9,7 @@
 use crate::harness::{route, shards, table, Harness, LOCAL_DOMAIN};
 
 /// Number of shards of the route; none has a server in the local failure domain.
-const FAR: usize = 4;
+const FAR_SHARDS: usize = 4;
 
 /// Creates a harness whose shards each have a server in the domains "there" and "beyond",
 /// and one other entry in each of `domains`.
@@ -31,7 +31,7 @@
 
 #[test]
 fn an_unacknowledged_relay_is_rerouted_in_time() {
-    let mut harness = new_harness(FAR, &["there"]);
+    let mut harness = new_harness(FAR_SHARDS, &["there"]);
     let call = harness.call("q");
     assert_eq!((harness.sends.len(), relays(&harness.sends)), (1, 1));
     harness.advance(20);
@@ -43,20 +43,20 @@
     harness.advance(25);
     assert_eq!(
         harness.sends.len(),
-        1 + FAR,
+        1 + FAR_SHARDS,
         "the parts are sent to servers directly"
     );
-    for send in 1..=FAR {
+    for send in 1..=FAR_SHARDS {
         harness.answer_ok(send, b"");
     }
     let (stamps, missing) = harness.gathered(call).expect("an answer in time");
-    assert_eq!((stamps.len(), missing), (FAR, 0));
+    assert_eq!((stamps.len(), missing), (FAR_SHARDS, 0));
     assert_eq!(harness.machine.counters().rerouted_relays, 1);
 }
 
 #[test]
 fn an_acknowledged_relay_gets_the_remaining_attempts_and_is_not_rerouted() {
-    let mut harness = new_harness(FAR, &["there"]);
+    let mut harness = new_harness(FAR_SHARDS, &["there"]);
     harness.call("q");
     let order = harness.sends[0].relay.clone().expect("an order");
     assert_eq!(order.attempts, 1);
@@ -78,10 +78,10 @@
 
 #[test]
 fn a_rerouted_relay_gets_no_further_attempts() {
-    let mut harness = new_harness(FAR, &["there"]);
+    let mut harness = new_harness(FAR_SHARDS, &["there"]);
     harness.call("q");
     harness.advance(45);
-    assert_eq!(harness.sends.len(), 1 + FAR);
+    assert_eq!(harness.sends.len(), 1 + FAR_SHARDS);
     harness.acknowledge_relay(0);
     assert!(harness.raised_allowances.is_empty());
 }
@@ -213,7 +213,7 @@
 fn the_acknowledgement_time_includes_round_trips() {
     // The entry is 12 ms away, so the round trip for opening a connection takes 24 ms.
     let round_trip = Duration::from_millis(24);
-    let mut harness = new_harness(FAR, &["there"]);
+    let mut harness = new_harness(FAR_SHARDS, &["there"]);
     harness.call("q");
     harness.end_bundle(0, &["s0", "s1", "s2", "s3"], b"");
     let server = harness.sends[0].server;
@@ -229,24 +229,24 @@
         "the acknowledgement may still be in transit"
     );
     harness.advance(15);
-    assert_eq!(harness.sends.len(), 2 + FAR);
+    assert_eq!(harness.sends.len(), 2 + FAR_SHARDS);
 }
 
 #[test]
 fn a_late_answer_is_still_used() {
-    let mut harness = new_harness(FAR, &["there"]);
+    let mut harness = new_harness(FAR_SHARDS, &["there"]);
     let call = harness.call("q");
     harness.advance(70);
-    assert_eq!(harness.sends.len(), 1 + FAR);
+    assert_eq!(harness.sends.len(), 1 + FAR_SHARDS);
     harness.answer_ok(1, b"");
     harness.end_bundle(0, &["s0", "s1", "s2", "s3"], b"");
     let (stamps, missing) = harness.gathered(call).expect("an answer");
-    assert_eq!((stamps.len(), missing), (FAR, 0));
+    assert_eq!((stamps.len(), missing), (FAR_SHARDS, 0));
 }
 
 #[test]
 fn omitted_parts_are_sent_to_servers_of_other_domains() {
-    let mut harness = new_harness(FAR, &["there"]);
+    let mut harness = new_harness(FAR_SHARDS, &["there"]);
     let call = harness.call("q");
     harness.end_bundle(0, &["s0", "s2"], b"");
     let direct: Vec<&str> = harness.sends[1..]
@@ -257,7 +257,7 @@
     harness.answer_ok(1, b"");
     harness.answer_ok(2, b"");
     let (stamps, missing) = harness.gathered(call).expect("an answer");
-    assert_eq!((stamps.len(), missing), (FAR, 0));
+    assert_eq!((stamps.len(), missing), (FAR_SHARDS, 0));
 }
 
 #[test]
@@ -300,7 +300,7 @@
         },
     ];
     for case in cases {
-        let mut harness = new_harness(FAR, &["there"]);
+        let mut harness = new_harness(FAR_SHARDS, &["there"]);
         harness.call("q");
         harness.advance(1);
         if case.answers_other {
@@ -308,7 +308,7 @@
             harness.end_bundle(1, &["s0", "s1", "s2", "s3"], b"");
         }
         harness.advance(70);
-        let first = harness.sends.len() - FAR;
+        let first = harness.sends.len() - FAR_SHARDS;
         for send in first..harness.sends.len() {
             harness.answer_ok(send, b"");
         }
--- a/crates/core/tests/forward/shift.rs
+++ b/crates/core/tests/forward/shift.rs
@@ -44,7 +44,7 @@
 fn simulate(case: &ShiftCase, bound: &ExtraBound) -> Vec<StepSum> {
     let reduced = bound.with_reserve();
     let mut entries = vec![ExtraBudget::default(); DURING_RESTARTS.len()];
-    let mut owed = [0u32; DURING_RESTARTS.len()];
+    let mut accumulated = [0u32; DURING_RESTARTS.len()];
     let mut sums = Vec::new();
     for step in 0..3 * WINDOW_STEPS {
         let now = STEP * step;
@@ -52,13 +52,13 @@
         let is_back = seconds >= case.back_at;
         let mut sum = StepSum::default();
         for (index, entry) in entries.iter_mut().enumerate() {
-            owed[index] += if is_back {
+            accumulated[index] += if is_back {
                 AFTER_RESTARTS[index]
             } else {
                 DURING_RESTARTS[index]
             };
-            while owed[index] >= WINDOW_STEPS {
-                owed[index] -= WINDOW_STEPS;
+            while accumulated[index] >= WINDOW_STEPS {
+                accumulated[index] -= WINDOW_STEPS;
                 entry.count_request(&reduced, now);
                 sum.requests += 1;
                 let wants_repeat = seconds >= case.reject_at;
--- a/crates/core/tests/forward/slowness.rs
+++ b/crates/core/tests/forward/slowness.rs
@@ -4,8 +4,10 @@
 use std::time::Duration;
 
 use wheelmast_core::arena::{KeyArena, UpstreamKey};
-use wheelmast_core::process::forward::pace::{ServerSlowness, SlownessEstimate, SlownessStrategy};
 use wheelmast_core::process::forward::server::ServerState;
+use wheelmast_core::process::forward::slowness::{
+    ServerSlowness, SlownessEstimate, SlownessStrategy,
+};
 
 /// Usual service time of the servers.
 const TYPICAL: Duration = Duration::from_millis(40);
@@ -19,7 +21,7 @@
     let mut now = Duration::from_secs(10);
     for ratio in ratios {
         now += Duration::from_millis(100);
-        server.answered(TYPICAL.mul_f64(*ratio), TYPICAL, now);
+        server.record_answer(TYPICAL.mul_f64(*ratio), TYPICAL, now);
     }
     (server, now)
 }
@@ -155,7 +157,7 @@
                 if let Some(report) = report {
                     estimate.record_report(*report, now);
                 }
-                estimate.answered(*ratio, now);
+                estimate.record_ratio(*ratio, now);
             }
             let slowness = estimate.slowness(now + Duration::from_millis(case.idle_ms));
             assert!(
--- a/crates/core/tests/forward/versions.rs
+++ b/crates/core/tests/forward/versions.rs
@@ -8,12 +8,12 @@
 use wheelmast_core::process::rollout::{RolloutView, VersionOutcomes};
 use wheelmast_core::version::route_table::RouteTarget;
 
-use crate::harness::{answer, notice, route, table, Harness, LOCAL_DOMAIN};
+use crate::harness::{answer, route, server_announcement, table, Harness, LOCAL_DOMAIN};
 
 /// Announces a server of the service `desk` with this id and version.
 fn add_servers(harness: &mut Harness, id: &str, version: &str) {
     let port = 2000 + id.bytes().map(u16::from).sum::<u16>();
-    let plain = notice(id, "desk", LOCAL_DOMAIN, port);
+    let plain = server_announcement(id, "desk", LOCAL_DOMAIN, port);
     harness.step(ForwardInput::Announcement(ServerAnnouncement {
         version: version.into(),
         ..plain
@@ -32,7 +32,7 @@
 
 /// Returns a harness with one server of the old and one of the new version. The canary
 /// bound is high enough not to limit the tests.
-fn world() -> Harness {
+fn new_harness() -> Harness {
     let mut harness = Harness::with_options(ForwardOptions {
         domain: LOCAL_DOMAIN.into(),
         canary_bound: CanaryBound {
@@ -91,7 +91,7 @@
         },
     ];
     for case in cases {
-        let mut harness = world();
+        let mut harness = new_harness();
         harness.step(view(case.state, 1));
         let new = requests(&mut harness, 200);
         let (least, most) = case.new;
@@ -101,7 +101,7 @@
 
 #[test]
 fn an_entry_without_control_contact_sends_nothing_to_a_new_version_under_test() {
-    let mut harness = world();
+    let mut harness = new_harness();
     harness.step(view(RolloutState::Trying, 1));
     assert!(requests(&mut harness, 100) > 0);
     harness.advance(2500);
@@ -112,7 +112,7 @@
 
 #[test]
 fn a_repeat_goes_to_the_old_version() {
-    let mut harness = world();
+    let mut harness = new_harness();
     add_servers(&mut harness, "old-two", "v1");
     harness.step(view(RolloutState::Trying, 1));
     for _ in 0..100 {
@@ -130,7 +130,7 @@
 
 #[test]
 fn a_server_of_a_rolled_back_version_that_joins_later_gets_nothing() {
-    let mut harness = world();
+    let mut harness = new_harness();
     harness.step(view(RolloutState::RolledBack, 1));
     add_servers(&mut harness, "new", "v2");
     add_servers(&mut harness, "later", "v2");
@@ -145,7 +145,7 @@
 
 #[test]
 fn servers_that_join_after_a_roll_out_get_requests_whatever_their_version() {
-    let mut harness = world();
+    let mut harness = new_harness();
     harness.step(view(RolloutState::Completed, 1));
     add_servers(&mut harness, "next", "v3");
     let before = harness.sends.len();
@@ -160,7 +160,7 @@
 
 #[test]
 fn failures_and_slow_answers_are_counted_by_version_and_route() {
-    let mut harness = world();
+    let mut harness = new_harness();
     harness.step(view(RolloutState::Moving, 7));
     for (number, status) in [200, 200, 500].into_iter().enumerate() {
         let send = harness.sends.len();
@@ -172,11 +172,14 @@
             harness.answer_ok(repeat, b"done");
         }
     }
-    let tallies = harness.machine.take_outcome_counts();
-    let new: Vec<&VersionOutcomes> = tallies.iter().filter(|tally| tally.is_target).collect();
-    assert_eq!(new.len(), 1, "{tallies:?}");
+    let outcomes = harness.machine.take_outcome_counts();
+    let new: Vec<&VersionOutcomes> = outcomes
+        .iter()
+        .filter(|outcome| outcome.is_target)
+        .collect();
+    assert_eq!(new.len(), 1, "{outcomes:?}");
     assert_eq!((new[0].order, &*new[0].route), (7, "q"));
-    assert_eq!((new[0].answers, new[0].bad), (3, 2), "{tallies:?}");
+    assert_eq!((new[0].answers, new[0].bad), (3, 2), "{outcomes:?}");
     assert!(harness.machine.take_outcome_counts().is_empty());
 }
 
@@ -184,7 +187,7 @@
 /// usually take 1 ms take a few milliseconds.
 #[test]
 fn an_answer_that_is_far_within_the_objective_is_not_slow() {
-    let mut harness = world();
+    let mut harness = new_harness();
     // The route's typical time becomes 1 ms.
     for _ in 0..200 {
         let send = harness.sends.len();
@@ -200,7 +203,7 @@
         harness.advance(8);
         harness.answer_ok(send, b"done");
     }
-    let tallies = harness.machine.take_outcome_counts();
-    let bad: u32 = tallies.iter().map(|tally| tally.bad).sum();
-    assert_eq!(bad, 0, "{tallies:?}");
+    let outcomes = harness.machine.take_outcome_counts();
+    let bad: u32 = outcomes.iter().map(|outcome| outcome.bad).sum();
+    assert_eq!(bad, 0, "{outcomes:?}");
 }
--- a/crates/fake/src/model/entry.rs
+++ b/crates/fake/src/model/entry.rs
@@ -39,7 +39,7 @@
             local_id: peer.id(),
             extra: spec.extra.with_reserve(),
             seed,
-            pauses: spec.pause_way,
+            stalls: spec.pause_way,
             canary: spec.canary,
             records_decisions: false,
             ..ForwardOptions::default()
--- a/crates/fake/src/model/spec.rs
+++ b/crates/fake/src/model/spec.rs
@@ -5,7 +5,7 @@
 
 use wheelmast_core::process::forward::canary::CanaryStrategy;
 use wheelmast_core::process::forward::extra::ExtraBound;
-use wheelmast_core::process::forward::pause::StallStrategy;
+use wheelmast_core::process::forward::stall::StallStrategy;
 
 /// A kind of request; all are gathered over the same shards.
 #[derive(Debug, Clone)]
--- a/crates/fake/tests/plays/pauses.rs
+++ b/crates/fake/tests/plays/pauses.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use wheelmast_core::process::forward::pause::StallStrategy;
+use wheelmast_core::process::forward::stall::StallStrategy;
 use wheelmast_fake::model::spec::{KindSpec, PauseSpec, PlaySpec};
 use wheelmast_fake::model::tally::PlayTally;
 
--- a/crates/node/src/process/forward/feed.rs
+++ b/crates/node/src/process/forward/feed.rs
@@ -103,7 +103,7 @@
             let mut lines = self.lines.borrow_mut();
             lines.forget_sites(&sites);
             for site in sites {
-                let place = self.place_of(&site.domain);
+                let place = self.proximity_of(&site.domain);
                 lines.learn_site(site.address, Some((site.domain, place)));
             }
         }
@@ -111,11 +111,11 @@
     }
 
     /// Returns how far off a failure domain is.
-    fn place_of(&self, domain: &str) -> DomainProximity {
+    fn proximity_of(&self, domain: &str) -> DomainProximity {
         if *domain == *self.peer.domain {
             return DomainProximity::Domain;
         }
-        self.entry.look(|machine| machine.place_of(domain))
+        self.entry.look(|machine| machine.proximity_of(domain))
     }
 
     /// Chooses the control instances to be connected to, and follows the new
@@ -230,9 +230,9 @@
                     self.entry.step(ForwardInput::Announcement(notice));
                 }
             }
-            GroupMessage::Silent(servers) => {
+            GroupMessage::LeaseExpiry(servers) => {
                 for (id, silent) in servers {
-                    self.entry.step(ForwardInput::Silent(id, silent));
+                    self.entry.step(ForwardInput::LeaseExpiry(id, silent));
                 }
             }
             GroupMessage::Suspects(records) => self.take_suspects(records),
@@ -258,7 +258,7 @@
                 fresh,
                 version,
             } => {
-                let place = self.place_of(&domain);
+                let place = self.proximity_of(&domain);
                 let is_near = place == DomainProximity::Domain;
                 let place = Some((domain, place));
                 self.lines.borrow_mut().learn_site(address, place);
--- a/crates/node/src/process/forward/run.rs
+++ b/crates/node/src/process/forward/run.rs
@@ -63,8 +63,8 @@
         extra: settings.extra.with_reserve(),
         cold: settings.cold,
         canary_bound: settings.canary,
-        pace: settings.pace,
-        pauses: settings.pauses,
+        slowness: settings.slowness,
+        stalls: settings.stalls,
         seed: rand::random(),
         ..ForwardOptions::default()
     };
--- a/crates/node/src/process/forward/story.rs
+++ b/crates/node/src/process/forward/story.rs
@@ -303,7 +303,7 @@
             outstanding,
         } => {
             let expected_ms = millis(*expected);
-            let (cause, place) = (cause_word(*cause), place.word());
+            let (cause, place) = (cause_word(*cause), place.label());
             tracing::info!(target: "entry", request, at_ms, %service, server = %instance, cause, place, expected_ms, candidates, outstanding, "route: sent");
         }
         ForwardDecision::Lost {
--- a/crates/node/src/process/group/inbound.rs
+++ b/crates/node/src/process/group/inbound.rs
@@ -123,12 +123,12 @@
             node.step_replica(ReplicaInput::Message { from, message });
         }
         GroupMessage::Notices(notices) => {
-            for notice in notices {
-                node.take_notice(notice);
+            for announcement in notices {
+                node.take_notice(announcement);
             }
         }
-        GroupMessage::Keep { tag, notice } => {
-            node.take_notice(*notice);
+        GroupMessage::Keep { tag, announcement } => {
+            node.take_notice(*announcement);
             answer(node, peer, GroupMessage::Kept(tag));
         }
         GroupMessage::Suspects(records) => {
@@ -361,8 +361,8 @@
     messages.extend(state.first_members(key));
     messages.push(GroupMessage::Notices(notices));
     let expired = state.directory.iter().filter(|record| record.expired);
-    let expired = expired.map(|record| (record.notice.id.clone(), true));
-    messages.push(GroupMessage::Silent(expired.collect()));
+    let expired = expired.map(|record| (record.announcement.id.clone(), true));
+    messages.push(GroupMessage::LeaseExpiry(expired.collect()));
     messages
 }
 
--- a/crates/node/src/process/group/servers.rs
+++ b/crates/node/src/process/group/servers.rs
@@ -32,7 +32,7 @@
     pub fn lacking_notices(&self, digests: &[u64]) -> Vec<ServerAnnouncement> {
         let state = self.state.borrow();
         let records = state.directory.records_to_sync(digests).into_iter();
-        records.map(|record| record.notice.clone()).collect()
+        records.map(|record| record.announcement.clone()).collect()
     }
 
     /// Returns the servers that were heard to leave in the last `time`.
@@ -40,23 +40,24 @@
         let now = self.now();
         let state = self.state.borrow();
         let leavers = state.directory.iter().filter(|record| {
-            record.notice.standing != ServerLifecycle::Ready && now < record.last_seen_at + time
+            record.announcement.standing != ServerLifecycle::Ready
+                && now < record.last_seen_at + time
         });
         leavers
-            .map(|record| record.notice.lifecycle_only())
+            .map(|record| record.announcement.lifecycle_only())
             .collect()
     }
 
     /// Takes news of a server and tells the entries what they change.
-    pub fn take_notice(&self, notice: ServerAnnouncement) -> AnnouncementEffect {
+    pub fn take_notice(&self, announcement: ServerAnnouncement) -> AnnouncementEffect {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        let id = notice.id.clone();
+        let id = announcement.id.clone();
         let was_silent = state
             .directory
             .get(&id)
             .is_some_and(|record| record.expired);
-        let effect = state.directory.apply(notice, now);
+        let effect = state.directory.apply(announcement, now);
         if effect != AnnouncementEffect::Changed {
             return effect;
         }
@@ -64,14 +65,14 @@
         let Some(record) = state.directory.get(&id) else {
             return effect;
         };
-        let notice = record.notice.clone();
-        tracing::info!(target: "group", server = %id, service = %notice.service, standing = ?notice.standing, sequence = notice.sequence, "server: changed");
-        if notice.standing != ServerLifecycle::Ready {
-            state.tell_urgent(GroupMessage::Notices(vec![notice.lifecycle_only()]));
+        let announcement = record.announcement.clone();
+        tracing::info!(target: "group", server = %id, service = %announcement.service, standing = ?announcement.standing, sequence = announcement.sequence, "server: changed");
+        if announcement.standing != ServerLifecycle::Ready {
+            state.tell_urgent(GroupMessage::Notices(vec![announcement.lifecycle_only()]));
         }
-        state.tell_whole(GroupMessage::Notices(vec![notice]));
+        state.tell_whole(GroupMessage::Notices(vec![announcement]));
         if was_silent {
-            state.tell_whole(GroupMessage::Silent(vec![(id, false)]));
+            state.tell_whole(GroupMessage::LeaseExpiry(vec![(id, false)]));
         }
         effect
     }
@@ -88,13 +89,13 @@
 
     /// Returns what speaks against an announcement made here, if it is none of
     /// the server that it names.
-    pub fn doubt_announcement(&self, notice: &ServerAnnouncement) -> Option<&'static str> {
+    pub fn doubt_announcement(&self, announcement: &ServerAnnouncement) -> Option<&'static str> {
         let state = self.state.borrow();
-        let known = &state.directory.get(&notice.id)?.notice;
-        if notice.address.is_some() && notice.born == 0 && known.born != 0 {
+        let known = &state.directory.get(&announcement.id)?.announcement;
+        if announcement.address.is_some() && announcement.born == 0 && known.born != 0 {
             return Some("it does not say when the server started");
         }
-        notice
+        announcement
             .conflicts_with(known)
             .then_some("the server is another one by what it said before")
     }
@@ -118,10 +119,10 @@
     /// Takes an announcement made here. Returns whether it may be
     /// acknowledged: that a server leaves must outlast this instance, and that
     /// it lives must come to the others, or they would take it for silent.
-    pub async fn take_announcement(self: &Rc<Self>, notice: ServerAnnouncement) -> bool {
-        let (id, position) = (notice.id.clone(), notice.position());
-        let leaves = notice.standing != ServerLifecycle::Ready;
-        let effect = self.take_notice(notice.clone());
+    pub async fn take_announcement(self: &Rc<Self>, announcement: ServerAnnouncement) -> bool {
+        let (id, position) = (announcement.id.clone(), announcement.position());
+        let leaves = announcement.standing != ServerLifecycle::Ready;
+        let effect = self.take_notice(announcement.clone());
         let is_news = matches!(
             effect,
             AnnouncementEffect::Changed | AnnouncementEffect::Renewed
@@ -130,17 +131,17 @@
             self.state.borrow_mut().renewals.insert(id, position);
         }
         if leaves {
-            return self.keep_leaving(notice).await;
+            return self.keep_leaving(announcement).await;
         }
         if effect == AnnouncementEffect::Changed {
-            let message = GroupMessage::Notices(vec![notice]);
+            let message = GroupMessage::Notices(vec![announcement]);
             self.state.borrow().tell_control(&message);
         }
         let contacts = self.state.borrow().count_contacts(self.now());
         contacts >= self.settings.tolerate
     }
 
-    async fn keep_leaving(self: &Rc<Self>, notice: ServerAnnouncement) -> bool {
+    async fn keep_leaving(self: &Rc<Self>, announcement: ServerAnnouncement) -> bool {
         let missing = self.settings.tolerate;
         if missing == 0 {
             return true;
@@ -150,8 +151,8 @@
         {
             let mut state = self.state.borrow_mut();
             state.keeps.insert(tag, KeepWait { missing, done });
-            let notice = Box::new(notice);
-            state.tell_control(&GroupMessage::Keep { tag, notice });
+            let announcement = Box::new(announcement);
+            state.tell_control(&GroupMessage::Keep { tag, announcement });
         }
         let observed = tokio::time::timeout(KEEP_TIME, receiver).await;
         self.state.borrow_mut().keeps.remove(&tag);
@@ -235,8 +236,9 @@
     pub fn notices_of(&self, ids: &[Box<str>]) -> Vec<ServerAnnouncement> {
         let state = self.state.borrow();
         let records = ids.iter().filter_map(|id| state.directory.get(id));
-        let notices = records.map(|record| &record.notice);
-        let notices = notices.filter(|notice| notice.standing == ServerLifecycle::Ready);
+        let notices = records.map(|record| &record.announcement);
+        let notices =
+            notices.filter(|announcement| announcement.standing == ServerLifecycle::Ready);
         notices.cloned().collect()
     }
 
@@ -252,7 +254,7 @@
             return;
         }
         state.servers_changed = true;
-        state.tell_whole(GroupMessage::Silent(lapsed));
+        state.tell_whole(GroupMessage::LeaseExpiry(lapsed));
     }
 
     /// Has the disk keep which servers live, if that changed.
@@ -278,8 +280,8 @@
         let now = self.now();
         let mut state = self.state.borrow_mut();
         tracing::info!(target: "group", servers = servers.len(), "server: remembered");
-        for notice in servers {
-            state.directory.remember(notice, now);
+        for announcement in servers {
+            state.directory.remember(announcement, now);
         }
     }
 
@@ -307,11 +309,11 @@
         let own = expired.iter().filter_map(|id| {
             let record = state.directory.get(id)?;
             (record.observer == ServerObserver::Local)
-                .then(|| (id.clone(), record.notice.position()))
+                .then(|| (id.clone(), record.announcement.position()))
         });
         let lapsed = GroupMessage::Lapsed(own.collect());
         state.tell_control(&lapsed);
         let expired = expired.into_iter().map(|id| (id, true)).collect();
-        state.tell_whole(GroupMessage::Silent(expired));
+        state.tell_whole(GroupMessage::LeaseExpiry(expired));
     }
 }
--- a/crates/node/src/settings/role.rs
+++ b/crates/node/src/settings/role.rs
@@ -10,9 +10,9 @@
 use wheelmast_core::process::forward::cold::ColdBound;
 use wheelmast_core::process::forward::directory::lease_for;
 use wheelmast_core::process::forward::extra::ExtraBound;
-use wheelmast_core::process::forward::pace::SlownessStrategy;
-use wheelmast_core::process::forward::pause::StallStrategy;
 use wheelmast_core::process::forward::place::RegionMap;
+use wheelmast_core::process::forward::slowness::SlownessStrategy;
+use wheelmast_core::process::forward::stall::StallStrategy;
 use wheelmast_core::process::rollout::share::CanaryBound;
 
 use crate::settings::reader::ObjectReader;
@@ -88,9 +88,9 @@
     /// How far usage caps may be exceeded.
     pub caps: CapBound,
     /// How an entry estimates how fast a server is.
-    pub pace: SlownessStrategy,
+    pub slowness: SlownessStrategy,
     /// How an entry meets pauses of servers.
-    pub pauses: StallStrategy,
+    pub stalls: StallStrategy,
     /// Time without an announcement after which a server counts as silent.
     pub lease: Duration,
     /// Time for a graceful end.
@@ -147,8 +147,8 @@
     let announce = reader.number("announce_ms", 100, 600_000, findings);
     let grace = reader.number("grace_ms", 100, 600_000, findings);
     let plain_every = reader.number("log_plain_every", 1, 1_000_000, findings);
-    let pace = reader.word("server_pace", &SlownessStrategy::NAMES, findings);
-    let pauses = reader.word("server_pauses", &StallStrategy::NAMES, findings);
+    let slowness = reader.word("server_pace", &SlownessStrategy::NAMES, findings);
+    let stalls = reader.word("server_pauses", &StallStrategy::NAMES, findings);
     let log_level = reader.word("log_level", &LOG_LEVELS, findings);
     let extra = reader.object("extra_load", findings);
     let extra = extra.map(|extra| read_extra(extra, findings));
@@ -185,8 +185,10 @@
         cold: cold.unwrap_or_default(),
         caps: caps.unwrap_or_default(),
         canary: canary.unwrap_or_default(),
-        pace: pace.map(SlownessStrategy::from_name).unwrap_or_default(),
-        pauses: pauses.map(StallStrategy::from_name).unwrap_or_default(),
+        slowness: slowness
+            .map(SlownessStrategy::from_name)
+            .unwrap_or_default(),
+        stalls: stalls.map(StallStrategy::from_name).unwrap_or_default(),
         lease: lease.map_or_else(|| lease_for(announce), millis),
         grace: grace.map_or(DEFAULT_GRACE, millis),
         log_level: log_level.unwrap_or("info").to_string(),
--- a/crates/wire/src/group.rs
+++ b/crates/wire/src/group.rs
@@ -54,7 +54,8 @@
         /// The sender's name for it.
         tag: u64,
         /// The news.
-        notice: Box<ServerAnnouncement>,
+        #[serde(rename = "notice")]
+        announcement: Box<ServerAnnouncement>,
     },
     /// The news of this tag are held.
     Kept(u64),
@@ -71,7 +72,8 @@
     /// Servers that the sender heard and does not hear any more.
     Lapsed(Vec<(Box<str>, AnnouncementPosition)>),
     /// Servers that are silent, or no longer.
-    Silent(Vec<(Box<str>, bool)>),
+    #[serde(rename = "Silent")]
+    LeaseExpiry(Vec<(Box<str>, bool)>),
     /// A question to the leader.
     Ask {
         /// The sender's name for it.
@@ -213,7 +215,7 @@
             GroupMessage::Renewals { .. } => "renewals",
             GroupMessage::AskRenewals => "ask_renewals",
             GroupMessage::Lapsed(_) => "lapsed",
-            GroupMessage::Silent(_) => "silent",
+            GroupMessage::LeaseExpiry(_) => "silent",
             GroupMessage::Ask { .. } => "ask",
             GroupMessage::Told { .. } => "told",
             GroupMessage::Subscribe { .. } => "subscribe",
