--- a/crates/core/src/process/forward/access.rs
+++ b/crates/core/src/process/forward/access.rs
@@ -1,5 +1,5 @@
-//! Access control: determines the workspace (customer) that a request belongs to by
-//! the caller's key, and ends requests whose key is revoked by a new route table.
+//! Access control: determines by the caller's key which workspace (customer) a request
+//! belongs to, and ends requests whose key is revoked by a new route table.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 ///
 /// Fails with `NoKey` if the caller's key belongs to no workspace. A request relayed by
 /// another entry carries the workspace's name instead of a key. If that workspace
-/// is unknown, the entries have different tables and the call fails with `NoTable`.
+/// is unknown, the two entries have different tables and the call fails with `NoTable`.
 pub(super) fn find_workspace(
     table: &RouteTable,
     route: &RouteRule,
--- a/crates/core/src/process/forward/admit.rs
+++ b/crates/core/src/process/forward/admit.rs
@@ -31,9 +31,9 @@
 /// fifth more requests were late when all shards were overloaded.
 const SCARCE_TIME_FRACTION: f64 = 0.6;
 /// Like [`SCARCE_TIME_FRACTION`], for a shard that is not scarce. It is above 1
-/// because such a shard has time to spare and may answer earlier than expected.
-/// At 1.0, a hundredth of the value of all answers was lost under loads that
-/// overloaded no shard.
+/// because such a shard has spare capacity and may answer earlier than expected.
+/// At 1.0, simulated runs under loads that overloaded no shard lost a hundredth
+/// of the score that they get for requests answered in time.
 const AMPLE_TIME_FRACTION: f64 = 1.5;
 /// Minimum of the time left that admission assumes, as a fraction of the
 /// objective. It applies to retries of a caller whose objective has passed: if
@@ -58,8 +58,9 @@
     Scarce(Duration),
     /// The shard would answer too late.
     Insufficient,
-    /// Not enough is known about the shard. The part is sent, but is not counted
-    /// as certain.
+    /// The shard's capacity is unknown: no server is available, or recent bundles
+    /// often lacked the shard. The part is sent, but is not relied on to reach the
+    /// minimum coverage.
     Unknown,
 }
 
--- a/crates/core/src/process/forward/announcements.rs
+++ b/crates/core/src/process/forward/announcements.rs
@@ -66,11 +66,11 @@
         now: Duration,
         out: &mut Vec<ForwardAction>,
     ) {
-        // A server that had the address before has most likely left. This is not
-        // certain: announcements do not tell which of two incarnations is the later
-        // one, and an entry that has just started receives them in any order. If the
-        // expired server is the live one, the process at the address answers 421
-        // (misdirected) to requests meant for the new server, and `mark_replaced` corrects the state.
+        // A server that had the address before has most likely left. This is not certain:
+        // announcements do not show which of two servers is the later one, and an entry
+        // that has just started receives them in any order. If the expired server is the
+        // live one, the process at the address answers 421 (misdirected) to requests
+        // meant for the new server, and `mark_replaced` corrects the state.
         let former = self.servers.iter_mut().find(|(_, server)| {
             server.address == address && server.standing != ServerLifecycle::Gone
         });
--- a/crates/core/src/process/forward/answer.rs
+++ b/crates/core/src/process/forward/answer.rs
@@ -36,9 +36,9 @@
     /// The request is quarantined, because servers crashed under it, here or at
     /// other entries; it was refused and has not run this time.
     Quarantined,
-    /// Servers crashed under the request, and a canary attempt that is to show
-    /// whether the request was the cause is still running; this time the request
-    /// was refused and has not run.
+    /// Servers crashed under the request, and a canary attempt that shows whether
+    /// the request is the cause is still running; the request was refused and has
+    /// not run this time.
     AwaitingCanary,
     /// Servers crashed under the request while it was in flight, and it is now
     /// quarantined; it may have run.
@@ -136,8 +136,8 @@
     Retry,
     /// An earlier attempt is slow and still outstanding.
     Hedge,
-    /// Parts are relayed to another entry, which is nearer to the shards or shares
-    /// the work.
+    /// Parts are relayed to another entry, which is nearer to the shards or takes a
+    /// part of the work.
     Relay,
 }
 
@@ -207,7 +207,7 @@
         cause: AttemptCause,
         /// Distance to the server's failure domain.
         place: DomainProximity,
-        /// Expected answer time.
+        /// Expected response time.
         expected: Duration,
         /// Number of servers to choose from.
         candidates: usize,
@@ -220,7 +220,7 @@
         service: Arc<str>,
         /// Server of the attempt.
         instance: Arc<str>,
-        /// Kind of the result.
+        /// Label of the attempt's outcome.
         reason: &'static str,
         /// Time since the attempt was sent.
         after: Duration,
@@ -308,7 +308,7 @@
         after: Duration,
         /// Number of attempts sent for the request.
         sends: u32,
-        /// Whether the route's objective for the answer time was missed.
+        /// Whether the route's objective for the response time was missed.
         late: bool,
     },
 }
--- a/crates/core/src/process/forward/bundle.rs
+++ b/crates/core/src/process/forward/bundle.rs
@@ -7,9 +7,9 @@
 //!
 //! Many near shards: querying all of them would keep an entry on a small machine busy
 //! for most of the objective, so the shards are divided among the entries of the local
-//! failure domain. Rendezvous hashing assigns the same shards to the same entry each
-//! time; this entry has warm connections to their servers and notices early which
-//! servers are stalled.
+//! failure domain. Rendezvous hashing assigns a shard to the same entry each time. That
+//! entry has warm connections to the shard's servers and detects early which of them
+//! are stalled.
 //!
 //! If the other entry refuses a bundle, the shards are sent to servers directly.
 
@@ -38,7 +38,7 @@
 /// Maximum number of connections to another entry.
 pub(super) const MAX_RELAY_CONNECTIONS: usize = 64;
 
-/// A bundle that is to be sent: the chosen entry and the parts for it.
+/// A bundle that is to be sent: the chosen entry and the parts to send there.
 #[derive(Debug)]
 pub(super) struct BundlePlan {
     /// The entry that receives the bundle.
--- a/crates/core/src/process/forward/call.rs
+++ b/crates/core/src/process/forward/call.rs
@@ -1,7 +1,7 @@
 //! State of the requests that an entry currently forwards.
 //!
 //! A request ([`CallState`]) consists of one or more parts ([`PartState`]).
-//! Each message sent for one or several parts is an attempt
+//! Each message that is sent for one or more parts is an attempt
 //! ([`ForwardAttempt`]), addressed to a server or to another entry.
 
 use std::sync::Arc;
@@ -39,12 +39,12 @@
         /// Records of the answer. For parts that came in one bundle, the first
         /// of them holds the merged records of all and the others are empty.
         body: Bytes,
-        /// The attempt that brought the part in a bundle, which is one answer
-        /// with the merged records of several parts; `None` for a server's
-        /// answer.
+        /// The attempt that was answered with a bundle: one answer of another
+        /// entry with the merged records of several parts. `None` if a server
+        /// answered the part.
         bundle: Option<SlotKey>,
     },
-    /// The part was given up; the answer will omit it.
+    /// The part was given up; the answer omits the part.
     Missing,
 }
 
@@ -92,7 +92,8 @@
         }
     }
 
-    /// Returns the attempt that brought this part in a bundle, if one did.
+    /// Returns the attempt whose bundle answered this part, or `None` if the part
+    /// is not answered by a bundle.
     pub fn bundle(&self) -> Option<SlotKey> {
         match self.status {
             PartStatus::Answered { bundle, .. } => bundle,
@@ -126,8 +127,8 @@
     /// Whether another entry relayed the request here. Such a request is
     /// answered at the soft deadline with whatever parts are answered by then.
     pub is_relayed: bool,
-    /// Whether this entry may send the shards of its failure domain on to the
-    /// other entries there.
+    /// Whether this entry may divide the shards near it among the entries of its
+    /// failure domain.
     pub may_divide: bool,
     /// Maximum number of servers that may run each part. For a relayed request
     /// the sending entry sets this number and may raise it later.
@@ -136,10 +137,10 @@
     pub allowed_regions: RegionSet,
     /// Workspace (customer) of the request, if one was identified by its key.
     pub workspace: Option<Arc<str>>,
-    /// Digest of the request's key. The key is not sent to other entries.
+    /// Digest of the caller's key. The key is not sent to other entries.
     pub key: Option<KeyDigest>,
-    /// Whether the request's parts raise the budget for extra load (retries and
-    /// hedges) of their services.
+    /// Whether the request's parts raise their services' budgets for extra load
+    /// (retries and hedges).
     pub credits_budget: bool,
     /// Arrival time, since the process started.
     pub arrived_at: Duration,
@@ -156,7 +157,7 @@
     pub failed_answer: Option<Box<ServerAnswer>>,
     /// Number of attempts sent.
     pub sends: u32,
-    /// Evidence that the request crashes servers.
+    /// Evidence on whether the request crashes servers.
     pub suspicion: CallSuspicion,
 }
 
@@ -272,12 +273,13 @@
     pub upstream: UpstreamKey,
     /// Time of sending, since the process started.
     pub sent_at: Duration,
-    /// Median work time on the route when the attempt was sent.
+    /// Median service time on the route when the attempt was sent: the time that a
+    /// server takes for a request, without the network round trip.
     pub typical: Duration,
-    /// Work time above which the answer counts as slow in the statistics of its
-    /// server's version.
+    /// Service time above which the answer counts as slow in the statistics of the
+    /// server's software version.
     pub slow_threshold: Duration,
-    /// Basis of the expected answer time; `None` if sent to another entry.
+    /// Expected response time and its inputs; `None` if sent to another entry.
     pub expectation_basis: Option<ExpectationBasis>,
     /// Reason for sending.
     pub cause: AttemptCause,
@@ -293,10 +295,10 @@
     /// Whether this is the canary attempt of a suspect request: one server runs
     /// the request before any other server gets it.
     pub is_canary: bool,
-    /// Whether another server had run the request to completion when the
-    /// request ended here.
+    /// Whether some server had completed the request when the request ended at this
+    /// entry. A crash under this attempt is then no evidence against the request.
     pub has_run: bool,
-    /// Index of the route's timing, where the work time is recorded.
+    /// Index of the timing in which the service time is recorded.
     pub timing: usize,
 }
 
--- a/crates/core/src/process/forward/canary.rs
+++ b/crates/core/src/process/forward/canary.rs
@@ -1,4 +1,4 @@
-//! Limits how many servers a suspect request (one under which servers crash) can reach.
+//! Limits how many servers a suspect request (one under which servers crash) can crash.
 //!
 //! Once a server crashes, the request's shards are sent to no other servers until one
 //! server has completed the request. If more crash, the outstanding attempts are cancelled
@@ -28,9 +28,9 @@
     Never,
     /// Requests under which servers crashed before.
     Suspects,
-    /// These, and during an alert every scatter-gather request (one that is sent to several
-    /// shards). An alert is raised while servers crash and a lost entry may know which request
-    /// is the cause.
+    /// The same requests as `Suspects`, and during an alert every scatter-gather request
+    /// (one that is sent to several shards). An alert is raised while servers crash and a
+    /// lost entry may know which request is the cause.
     #[default]
     Alert,
     /// Every scatter-gather request.
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Returns the suspicion with which a new request starts.
+    /// Returns the evidence against a request at its arrival, and whether the request must
+    /// start with a canary attempt.
     pub(super) fn initial_suspicion(&self, call: &ForwardCall, now: Duration) -> CallSuspicion {
         let strategy_requires = call.relayed.is_none()
             && match self.options.canary {
@@ -196,9 +197,10 @@
             let part = &state.parts[*part];
             part.is_open() && part.runs < state.attempts
         });
-        // Prefers the shard with the most servers that were not tried, as it loses the
-        // least capacity if its server crashes. Among equal shards the choice is random, as
-        // canaries of several requests would otherwise run on one server and crash together.
+        // Prefers the shard with the most servers that were not tried, because that shard
+        // loses the smallest part of its capacity if a server crashes. Among equal shards
+        // the choice is random, as canaries of several requests would otherwise run on one
+        // server and crash together.
         let mut candidates: Vec<usize> = candidates.collect();
         if !candidates.is_empty() {
             let first = self.rng.random_range(0..candidates.len());
--- a/crates/core/src/process/forward/choose.rs
+++ b/crates/core/src/process/forward/choose.rs
@@ -20,10 +20,10 @@
 /// entries with the same information would all choose the same server.
 const MAX_JITTER: f64 = 0.15;
 /// Penalty for a server in another region, as a fraction of the objective. Traffic
-/// between regions is expensive, and a near server that answers in time is as good. In
-/// 15 simulated runs of a deployment whose round trip between regions is a sixth of the
-/// objective, penalties of 0.4, 0.3 and 0.2 earned 0.642, 0.652 and 0.656 of the
-/// value that the simulation assigns to requests answered in time.
+/// between regions is expensive, and a near server that answers in time is as good.
+/// Simulated runs give a score for each request that is answered in time. In 15 runs of
+/// a deployment whose round trip between regions is a sixth of the objective, penalties
+/// of 0.4, 0.3 and 0.2 reached 0.642, 0.652 and 0.656 of the maximum score.
 const OTHER_REGION_COST: f64 = 0.2;
 /// Penalty for a server in another failure domain of the same region, as a fraction of
 /// the objective. In a deployment of six domains in three regions, this traffic costs a
@@ -53,13 +53,13 @@
 /// Properties of a request that the choice of a server depends on.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SelectionCriteria {
-    /// Response time that is typical of an idle server.
+    /// Median service time on the request's route.
     pub(super) typical: Duration,
     /// Time within which the caller should get the whole answer.
     pub(super) objective: Duration,
-    /// Whether distance adds no penalty. Set for retries and hedges of a request that a
-    /// single server answers: such an answer is small, and a fault that slows one server
-    /// often slows the servers of the same failure domain too.
+    /// Whether distance adds no penalty. This is so for retries and hedges of a request
+    /// that a single server answers: such an answer is small, and a fault that slows one
+    /// server often slows the servers of the same failure domain too.
     pub(super) ignores_distance: bool,
     /// Whether the request may be repeated, as its route is idempotent.
     pub(super) is_repeatable: bool,
@@ -138,8 +138,9 @@
             let Some(permitted) = criteria.allowed_regions.permit(*server, state) else {
                 continue;
             };
-            // A cold server at its limit does not count as full: the part would be queued,
-            // but no event tells when the server has capacity again. The caller can retry.
+            // A cold server at its limit does not count as full: otherwise the part would
+            // be queued, but no event occurs when the server has capacity again. The
+            // caller can retry instead.
             if !self.has_cold_capacity(*server, now) {
                 continue;
             }
@@ -195,7 +196,8 @@
     }
 
     /// Returns whether a server may get one more request under the limit for cold
-    /// servers. A server is cold just after its start or return, while its caches are empty.
+    /// servers. A server is cold just after its start or its return into use, while its
+    /// caches are empty.
     fn has_cold_capacity(&self, server: ServerKey, now: Duration) -> bool {
         let state = &self.servers[server];
         let per_s = self.upstreams[state.upstream].cold_per_s;
--- a/crates/core/src/process/forward/cold.rs
+++ b/crates/core/src/process/forward/cold.rs
@@ -4,17 +4,17 @@
 //! back: its caches are empty, so it serves only a few requests per second and
 //! fails under more. The limit applies to the sum over all entries, including
 //! those that are partitioned from the control group. An entry therefore derives
-//! its allowance only from state that it always has.
+//! its allowance only from state that every entry always has.
 //!
 //! While a change of the set of entries disseminates, some entries use the old
-//! set and others the new one. All entries with the same set may together spend
-//! half of the limit, so that both groups stay within it.
+//! set and others the new one. All entries with the same set may together use half
+//! of the limit, so that both groups together stay within the limit.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 /// Fraction of the limit that the entries with the same view of the set of
-/// entries may spend together.
+/// entries may use together.
 const VIEW_FRACTION: f64 = 0.5;
 /// Length of the sliding window in which requests to a cold server are counted:
 /// one second, plus a margin for the network delay, because requests that were
@@ -64,7 +64,7 @@
     pub is_owner: bool,
 }
 
-/// A way to divide the limit of a cold server among the entries.
+/// Strategy for dividing the limit of a cold server among the entries.
 pub trait ShareStrategy {
     /// Returns how many requests this entry may send per second, if all entries
     /// together may send `max_per_second`.
--- a/crates/core/src/process/forward/counts.rs
+++ b/crates/core/src/process/forward/counts.rs
@@ -16,7 +16,7 @@
 pub struct ForwardCounters {
     /// Requests received.
     pub calls: u64,
-    /// Requests answered in full: by one server, or by all shards.
+    /// Requests answered completely: by one server, or by all shards.
     pub whole: u64,
     /// Requests answered with some shards omitted.
     pub partial: u64,
--- a/crates/core/src/process/forward/decay.rs
+++ b/crates/core/src/process/forward/decay.rs
@@ -1,12 +1,13 @@
 //! An exponentially weighted moving average that also decays with time.
 //!
-//! Some rates control how many events are seen: a shard with a high shortage
-//! rate gets fewer requests, so fewer samples could lower the rate. Because the
-//! rate decays without samples, such a decision cannot sustain itself forever.
+//! Some rates influence how many samples follow: a shard with a high shortage
+//! rate gets fewer requests, so there are fewer samples that could lower the
+//! rate. Because the rate also decays without samples, it cannot stay high
+//! forever.
 
 use std::time::Duration;
 
-/// Weight of a new sample: about the last seven samples determine the rate.
+/// Weight of a new sample. The rate is mostly determined by the last seven samples.
 const SAMPLE_WEIGHT: f64 = 0.15;
 /// Time in which the rate halves without samples. At 0.7 s, the few events per
 /// second that an entry sees of one shard decayed before they added up.
--- a/crates/core/src/process/forward/directory.rs
+++ b/crates/core/src/process/forward/directory.rs
@@ -19,10 +19,11 @@
 /// Number of buckets that server ids are hashed into when directories are compared.
 const DIGEST_BUCKETS: usize = 64;
 /// Fraction of a lease granted to a server that was loaded from disk after a
-/// restart and has not been heard from since.
+/// restart and has not announced itself or been reported alive since.
 const REMEMBERED_LEASE_FRACTION: f64 = 0.5;
 /// Consecutive announcements that a server may miss before its lease expires. This
-/// applies to long announcement intervals; `MIN_LEASE` governs short ones.
+/// determines the lease for long announcement intervals; for short ones the lease is
+/// `MIN_LEASE`.
 const MAX_MISSED_ANNOUNCEMENTS: u32 = 1;
 /// Maximum expected delay of an announcement.
 const MAX_ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(1500);
@@ -36,7 +37,8 @@
 }
 
 /// Returns the lease of a server that announces itself once per `interval`: the
-/// time without an announcement after which the server is considered unresponsive.
+/// time without an announcement after which the server is no longer considered
+/// alive.
 pub fn lease_for(interval: Duration) -> Duration {
     let missed = interval * (MAX_MISSED_ANNOUNCEMENTS + 1) + MAX_ANNOUNCEMENT_DELAY;
     missed.max(MIN_LEASE)
@@ -76,8 +78,8 @@
     pub born: u64,
     /// Sequence number, which increases with each announcement of the incarnation.
     pub sequence: u64,
-    /// Remaining time for which the server is still cold (slow after its start), in
-    /// milliseconds.
+    /// Remaining time for which the server is cold (just started, with empty caches),
+    /// in milliseconds.
     pub cold_ms: u64,
 }
 
@@ -106,7 +108,7 @@
         ServerAnnouncement::without_details(self.id.clone(), self.standing, self.position())
     }
 
-    /// Returns an announcement that says nothing but the lifecycle state.
+    /// Returns an announcement with no details except the lifecycle state.
     fn without_details(
         id: Box<str>,
         standing: ServerLifecycle,
@@ -126,9 +128,10 @@
         }
     }
 
-    /// Returns whether the two announcements cannot come from the same incarnation.
-    /// Its service, address and failure domain never change, so a difference
-    /// means that another process announced itself under the same id.
+    /// Returns whether this announcement cannot come from the same incarnation as
+    /// `known`. The service, address and failure domain of an incarnation never
+    /// change, so a difference means that another process announced itself under the
+    /// same id.
     pub fn conflicts_with(&self, known: &ServerAnnouncement) -> bool {
         let are_complete = self.address.is_some() && known.address.is_some();
         are_complete
@@ -163,8 +166,8 @@
     Changed,
 }
 
-/// The control instance that a server announces itself to. Only the observer
-/// tells the other control instances when the server's lease expires.
+/// The control instance that a server announces itself to. Only this observer
+/// reports to the other control instances that the server's lease has expired.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerObserver {
     /// This control instance.
@@ -179,16 +182,17 @@
 /// Record of one server in the directory.
 #[derive(Debug, Clone)]
 pub struct DirectoryRecord {
-    /// Newest announcement of the server, with the lifecycle state in force.
+    /// Newest announcement of the server, with the server's current lifecycle state.
     pub announcement: ServerAnnouncement,
     /// When the server last announced itself or was reported alive.
     pub last_seen_at: Duration,
-    /// When the server was granted a full lease, regardless of `last_seen_at`.
+    /// When the server was granted a full lease: when this record was created, or when
+    /// the server's observer stopped observing it.
     lease_granted_at: Duration,
     /// Whether the server's lease has expired.
     pub expired: bool,
     /// Whether the record was loaded from disk after a restart and the server has
-    /// not been heard from since.
+    /// not announced itself or been reported alive since.
     pub is_remembered: bool,
     /// Control instance that the server announces itself to.
     pub observer: ServerObserver,
@@ -282,8 +286,9 @@
         });
     }
 
-    /// Iterates over the announcements of the live servers that were heard from since
-    /// the last restart. These are the servers to save for the next restart.
+    /// Iterates over the announcements of the live servers that announced themselves
+    /// or were reported alive since this instance restarted. These servers are saved
+    /// for the next restart.
     pub fn confirmed_alive(&self) -> impl Iterator<Item = &ServerAnnouncement> {
         let records = self.records.values();
         let alive = records.filter(|record| record.is_alive() && !record.is_remembered);
--- a/crates/core/src/process/forward/end.rs
+++ b/crates/core/src/process/forward/end.rs
@@ -29,13 +29,12 @@
 /// Range of the random time added to [`NO_TABLE_RETRY_AFTER`].
 const NO_TABLE_RETRY_SPREAD: Duration = Duration::from_millis(250);
 /// Minimum time after which a caller should retry while another entry runs the
-/// canary attempt of the same request: the work time of one request and two round
+/// canary attempt of the same request: the service time of one request and two round
 /// trips to a control instance.
 const CANARY_RETRY_AFTER: Duration = Duration::from_millis(100);
-/// Time after which an outstanding attempt is cancelled when its request
-/// ended.
+/// Time from the end of a request until its outstanding attempts are cancelled.
 const ORPHAN_GRACE: Duration = Duration::from_millis(400);
-/// Time after which an outstanding attempt is cancelled when its caller left.
+/// Like [`ORPHAN_GRACE`], for a request that ended because its caller left.
 const CALLER_LEFT_GRACE: Duration = Duration::from_millis(250);
 
 impl ForwardMachine {
@@ -73,8 +72,8 @@
         }
     }
 
-    /// Handles the soft deadline of a request: ends the request if what is answered
-    /// suffices.
+    /// Handles the soft deadline of a request: ends the request if the answered parts
+    /// reach the required coverage.
     pub(super) fn handle_soft_deadline(
         &mut self,
         call: SlotKey,
@@ -90,8 +89,8 @@
         state.is_some_and(|state| now >= state.deadlines.hard_deadline)
     }
 
-    /// Handles the hard deadline of a request: answers with the parts that came, if
-    /// they suffice, or else fails the request as timed out.
+    /// Handles the hard deadline of a request: answers with the answered parts if
+    /// they reach the required coverage, or else fails the request as timed out.
     pub(super) fn handle_hard_deadline(
         &mut self,
         call: SlotKey,
@@ -150,8 +149,8 @@
         });
     }
 
-    /// Returns the services of the answered parts, or of the others if `is_answered`
-    /// is false.
+    /// Returns the services of the answered parts, or of the unanswered ones if
+    /// `is_answered` is false.
     fn shard_names(&self, state: &CallState, is_answered: bool) -> Vec<Arc<str>> {
         let selected = state
             .parts
--- a/crates/core/src/process/forward/expectation.rs
+++ b/crates/core/src/process/forward/expectation.rs
@@ -1,10 +1,9 @@
 //! Statistics on the accuracy of expected response times, for metrics.
 //!
-//! Every response of a server is counted, also if its request no longer waits for
-//! it. Counting only responses that were examined because they were slow would
-//! bias the statistics. The responses are grouped by the inputs of the
-//! expectation: the queue length at the server, its slowness, and the age of its
-//! last response.
+//! Every response of a server is counted, even if its request has already ended.
+//! Counting only slow responses would bias the statistics. The responses are
+//! grouped by the inputs of the expectation: the queue length at the server, its
+//! slowness, and the age of its last response.
 
 use std::time::Duration;
 
--- a/crates/core/src/process/forward/extra.rs
+++ b/crates/core/src/process/forward/extra.rs
@@ -1,5 +1,5 @@
-//! Budget for extra load: sends of a request to servers beyond its first, such as retries
-//! and hedges.
+//! Budget for extra load: sends of a part of a request to servers beyond the part's first
+//! send, that is, retries and hedges.
 //!
 //! The bound limits the sum over all entries in a sliding window, to a ratio of the requests
 //! plus a constant allowance. Each entry may spend in proportion to its own requests, plus
@@ -31,7 +31,7 @@
 /// between entries.
 const HALF_WINDOW_FRACTION: f64 = 0.5;
 
-/// The bound on extra load that the operator sets for each service.
+/// Bound on the extra load of each service, set by the operator.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ExtraBound {
     /// Extra sends allowed for each request.
@@ -109,9 +109,9 @@
     /// The whole budget may be spent at once.
     Unlimited,
     /// At most half of the earned budget may be spent in half a window, while load shifts
-    /// between entries. An entry that served the callers of restarted entries must not spend
-    /// the budget earned by these callers at once, as they earn it again at the other
-    /// entries.
+    /// between entries. An entry that served the callers of restarted entries must not
+    /// spend the budget earned by these callers at once, as the requests of the same
+    /// callers earn budget again at the other entries.
     Halved,
 }
 
--- a/crates/core/src/process/forward/hedge.rs
+++ b/crates/core/src/process/forward/hedge.rs
@@ -25,7 +25,7 @@
 /// answer.
 const EAGER_HEDGE_SHARDS: f64 = 20.0;
 /// Fraction of recent requests that a shard had no capacity for, above which no
-/// hedges are sent to the shard, because they would take capacity from requests
+/// hedges are sent to the shard, because hedges would take capacity from requests
 /// that were admitted.
 const MAX_HEDGE_SHORTAGE: f64 = 0.1;
 /// Factor on the expected response time of a hedge to another region, when the
@@ -73,8 +73,9 @@
         self.check_end(call, now, out);
     }
 
-    /// Sends another attempt for a part if the part is due for a hedge and the
-    /// hedge is allowed and worthwhile. Otherwise sets when to check again.
+    /// Sends another attempt for a part if the part is due for a hedge, the hedge
+    /// is likely to answer first and the budget for extra load allows it. Otherwise
+    /// sets when to check the part again.
     fn hedge_if_slow(
         &mut self,
         call: SlotKey,
--- a/crates/core/src/process/forward/input.rs
+++ b/crates/core/src/process/forward/input.rs
@@ -31,10 +31,10 @@
     pub mark: RequestFingerprint,
     /// Digest of the caller's key, if the request had one.
     pub key: Option<KeyDigest>,
-    /// Earliest possible arrival time, since the process started. The request's
-    /// deadlines are counted from this time.
+    /// Earliest time at which the request may have arrived, since the process
+    /// started. The request's deadlines are counted from this time.
     pub arrived_at: Duration,
-    /// Time that the caller allows for the answer, if the request says so.
+    /// Time that the caller allows for the answer, if the request states one.
     pub time_left: Option<Duration>,
     /// Order of the sending entry, if another entry relayed the request.
     pub relayed: Option<RelayOrder>,
@@ -42,21 +42,21 @@
 
 /// Order of one entry to another to query some shards of a request (a relay).
 ///
-/// An entry relays shards that another entry is nearer to, or to share the work
-/// of a request with many shards within its failure domain.
+/// An entry relays shards if another entry is nearer to them, or to divide the work
+/// of a request with many shards among the entries of its failure domain.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RelayOrder {
     /// Version of the route table with which the sending entry admitted the
     /// request.
     pub version: u64,
-    /// Latest useful time of an answer, since this process started.
+    /// Latest time at which the answer is still useful, since this process started.
     pub answer_by: Duration,
     /// Attempt allowance: maximum number of servers to try for each shard. The
     /// sending entry may raise the allowance later.
     pub attempts: u32,
-    /// Whether the shards raise the receiving entry's budget for extra load (retries
-    /// and hedges). False if the parts were sent elsewhere
-    /// before, where they may have been counted already.
+    /// Whether the shards raise the receiving entry's budgets for extra load
+    /// (retries and hedges). False if the shards were sent elsewhere before, where
+    /// they may have been counted already.
     pub credits_budget: bool,
     /// Whether the receiving entry may send shards on to the other entries of its
     /// failure domain.
@@ -108,7 +108,8 @@
     pub waiting: u32,
     /// Number of requests that the server can process at once.
     pub slots: u32,
-    /// Current work time per request in percent of the usual time, if reported.
+    /// Slowness of the server: its current service time per request in percent of
+    /// the usual one, if reported.
     pub pace: Option<u32>,
 }
 
@@ -139,8 +140,9 @@
     /// The request has not run: the server could not be reached, or another entry
     /// refused the relay before it sent any shard to a server.
     Unsent,
-    /// Nothing was written, because the request had timed out or was no longer
-    /// needed: the request has not run. This is no evidence against the server.
+    /// Nothing was written to the connection, because the request had timed out or
+    /// was no longer needed: the request has not run. The result is no evidence
+    /// against the server.
     Withdrawn,
     /// Another entry refused the request as suspect, because servers crashed under
     /// it; with that entry's record of the crashes.
@@ -158,14 +160,14 @@
     /// An announcement that a server made about itself, or the control group about
     /// a server.
     Announcement(ServerAnnouncement),
-    /// Whether the lease of the server with this id has expired at the control
-    /// group: the group has received nothing from the server.
+    /// Whether the control group considers the lease of the server with this id
+    /// expired, because the server has not announced itself.
     LeaseExpiry(Box<str>, bool),
     /// Complete list of the failure domains that an operator evacuated.
     EvacuatedDomains(Vec<Box<str>>),
     /// Complete list of the services' latest roll-outs.
     Rollouts(Vec<RolloutView>),
-    /// The control group sent a sign of life.
+    /// A message of the control group arrived, so the entry is in contact with it.
     ControlContact,
     /// Number of entries that share the servers' connection limits.
     EntryCount(u32),
--- a/crates/core/src/process/forward/machine.rs
+++ b/crates/core/src/process/forward/machine.rs
@@ -37,7 +37,7 @@
 use crate::process::timer::TimerHeap;
 use crate::version::route_table::{RouteTable, RouteTarget, WeightedService};
 
-/// Connection limit per server for a service that no route table names.
+/// Connections allowed to each server of a service that no route table names.
 const DEFAULT_CONNECTIONS: u32 = 8;
 /// Number of entries assumed to share the servers until the real number is known.
 const ASSUMED_ENTRIES: u32 = 8;
@@ -49,8 +49,8 @@
     SoftDeadline(SlotKey),
     /// Last time at which an answer can still reach the caller.
     HardDeadline(SlotKey),
-    /// Check of a request's outstanding attempts for hedges, retries and entries
-    /// that did not acknowledge.
+    /// Check whether a request needs a hedge or a retry, and whether the entries
+    /// that it was relayed to have acknowledged.
     Sweep(SlotKey),
     /// Time to cancel an attempt that is still outstanding after its request
     /// ended.
@@ -62,7 +62,7 @@
 pub struct ForwardOptions {
     /// Failure domain (zone) of this instance.
     pub domain: Box<str>,
-    /// Map from failure domains to regions, where configured.
+    /// Map from failure domains to regions; empty if not configured.
     pub regions: RegionMap,
     /// Identity of this instance's current incarnation among the entries.
     pub local_id: Box<str>,
@@ -78,10 +78,10 @@
     pub seed: u64,
     /// Whether to emit [`ForwardAction::RecordDecision`] for each decision.
     pub records_decisions: bool,
-    /// Strategy for estimating the relative speed of servers.
+    /// How the slowness of servers relative to their peers is estimated.
     pub slowness: SlownessStrategy,
-    /// Strategy for servers that stall: short periods without any answer, for
-    /// example in garbage collection.
+    /// How stalls of servers are anticipated. A stall is a short period without any
+    /// answer, for example during a garbage collection.
     pub stalls: StallStrategy,
     /// Which requests are first sent to a single server as a canary.
     pub canary: CanaryStrategy,
@@ -126,25 +126,27 @@
     pub(super) waiting: VecDeque<(SlotKey, usize)>,
     /// Fraction of recent requests for which the service had no capacity.
     pub(super) shortage_rate: DecayingRate,
-    /// Fraction of recent bundles that should have included this shard and came
-    /// without it.
+    /// Fraction of the recent bundles that were requested with this shard and were
+    /// answered without it. A bundle is several shards of one request, sent to
+    /// another entry in one message.
     pub(super) bundle_miss_rate: DecayingRate,
     /// Counters since the process started.
     pub(super) counts: UpstreamCounts,
-    /// Rendezvous hashing key that selects the owner of this shard among the
-    /// entries of a failure domain; `None` if the service is no such shard.
+    /// Key of the shard's group, which selects the owner of the shard among the
+    /// entries of a failure domain by rendezvous hashing; `None` if the service is
+    /// not a shard of a route that is divided among the entries.
     pub(super) group_key: Option<Box<str>>,
-    /// Whether this entry owns the shard in its failure domain.
+    /// Whether this entry owns the shard within its failure domain.
     pub(super) owns_shard: bool,
-    /// Latest roll-out of the service.
+    /// Latest roll-out of the service, if there was one.
     pub(super) rollout: Option<UpstreamRollout>,
 }
 
 /// State machine for all requests forwarded by one entry instance.
 ///
-/// Keys index the arenas: `calls` holds the requests in flight, `attempts` the
+/// Four arenas hold the state: `calls` the requests in flight, `attempts` the
 /// messages without a result, `servers` the servers and the other entries, and
-/// `upstreams` the services.
+/// `upstreams` the services. They refer to each other by key.
 #[derive(Debug)]
 pub struct ForwardMachine {
     pub(super) options: ForwardOptions,
@@ -182,16 +184,17 @@
     pub(super) counters: ForwardCounters,
     /// Statistics of expected against actual answer times.
     pub(super) expectations: ExpectationStats,
-    /// Suspect requests: those under which servers crashed.
+    /// Suspect requests: those under which servers crashed, by their fingerprint.
     pub(super) suspects: SuspectRegistry,
     /// Recent server crashes.
     pub(super) crash_watch: CrashWatch,
-    /// Estimate of the interval between stalls, from the stalls of all servers.
+    /// Histogram of the intervals between stalls, over all servers.
     pub(super) stall_intervals: IntervalHistogram,
-    /// Earliest time at which to admit another request that depends on shards
-    /// that were recently unavailable.
+    /// Earliest time of the next probe: a request that is admitted to find out
+    /// whether shards that were missing from recent bundles answer again.
     pub(super) next_probe_at: Duration,
-    /// Time until which callers are assumed to move between entries.
+    /// Time until which callers are assumed to move to an entry that has just
+    /// joined. Until then the budgets for extra load are spent more slowly.
     pub(super) load_shifts_until: Duration,
     /// Time of the last contact with the control group.
     pub(super) control_seen_at: Duration,
@@ -245,7 +248,7 @@
             ForwardInput::Announcement(announcement) => {
                 self.handle_announcement(announcement, now, out)
             }
-            ForwardInput::LeaseExpiry(id, silent) => self.set_expired(&id, silent, now),
+            ForwardInput::LeaseExpiry(id, expired) => self.set_expired(&id, expired, now),
             ForwardInput::EvacuatedDomains(domains) => self.set_evacuated(domains, now, out),
             ForwardInput::Rollouts(views) => self.set_rollouts(views, out),
             ForwardInput::ControlContact => self.control_seen_at = now,
--- a/crates/core/src/process/forward/place.rs
+++ b/crates/core/src/process/forward/place.rs
@@ -1,8 +1,8 @@
 //! Proximity of failure domains: the same domain, the same region or elsewhere.
 //!
 //! Traffic within a region costs a fraction of traffic between regions and takes a tenth
-//! of the time. The settings give the region of each failure domain. Measured round-trip
-//! times are not enough to find it, as an entry with one request in several seconds
+//! of the time. The settings give the region of each failure domain. The regions cannot be
+//! derived from measured round-trip times, as an entry with one request in several seconds
 //! has contacted few other domains.
 
 use std::collections::BTreeMap;
@@ -68,8 +68,8 @@
         index.map_or(RegionKey::UNKNOWN, |index| RegionKey::new(*index))
     }
 
-    /// Returns the set of regions with these names (the `allowed_regions` of a route or a
-    /// workspace), or all regions if `names` is empty. Unknown names are ignored.
+    /// Returns the set of regions with these names, which a route or a workspace allows, or
+    /// all regions if `names` is empty. Unknown names are ignored.
     pub fn allowed_regions(&self, names: &[String]) -> RegionSet {
         if names.is_empty() {
             return RegionSet::ANYWHERE;
--- a/crates/core/src/process/forward/region_set.rs
+++ b/crates/core/src/process/forward/region_set.rs
@@ -1,10 +1,10 @@
 //! Restricts where a request may be sent: to the route's allowed regions, and never to
 //! an evacuated failure domain.
 //!
-//! A route's `homes` setting lists the regions outside which none of its requests may
-//! reach a server or another entry. In addition, an operator may evacuate a failure
-//! domain, that is, take it out of use. Both apply to every send: first attempts,
-//! retries, hedges and relays to other entries.
+//! A route's setting `homes` lists its allowed regions: none of its requests may reach a
+//! server or another entry outside of these regions. In addition, an operator may evacuate
+//! a failure domain, that is, take it out of use. Both restrictions apply to every send:
+//! first attempts, retries, hedges and relays to other entries.
 //!
 //! A send needs a `PermittedServer`, which only `RegionSet::permit` creates. So no code
 //! that sends a request can skip the check.
--- a/crates/core/src/process/forward/relay.rs
+++ b/crates/core/src/process/forward/relay.rs
@@ -1,5 +1,5 @@
 //! Tracks the other entries, sends relays to them and accepts their merged answers. A
-//! relay is a request, or some of its shards, that is sent to another entry.
+//! relay is a request, or some of the request's shards, that is sent to another entry.
 //!
 //! [`crate::process::forward::bundle`] plans which parts are relayed;
 //! [`crate::process::forward::reroute`] handles entries that do not acknowledge a relay.
@@ -19,8 +19,8 @@
 use crate::process::forward::server::ServerState;
 
 /// Minimum time for which an unresponsive entry gets no relays. Each request relayed to
-/// an unresponsive entry loses the relayed shards; by the end of this time the control group
-/// removes the entry if it has failed.
+/// an unresponsive entry loses the relayed shards; by the end of this time the control
+/// group has removed the entry if it has failed.
 pub(super) const UNRESPONSIVE_BACKOFF: Duration = Duration::from_secs(3);
 /// Time reserved for the merge of a bundle and for returning the answer, in addition to
 /// the round-trip time.
@@ -116,8 +116,8 @@
         } = plan;
         let entry = &self.servers[choice.server.key()];
         let round_trip = entry.round_trip();
-        // Within a failure domain the round trip is short, so the default time is used
-        // if none was measured.
+        // Within a failure domain the round trip is short, so the assumed round-trip time
+        // is good enough if none was measured.
         let is_near = entry.proximity == DomainProximity::Domain;
         let known_rtt = entry
             .measured_round_trip()
--- a/crates/core/src/process/forward/reply.rs
+++ b/crates/core/src/process/forward/reply.rs
@@ -30,10 +30,10 @@
 /// after a longer time, that entry was unreachable.
 const RELAY_REFUSAL_TIME: Duration = Duration::from_millis(300);
 /// Fraction of failures among a server's recent answers above which one more broken attempt
-/// makes the server rest, so that it gets no requests for a while. Two or three failures
-/// in a row reach this fraction.
+/// makes the entry back off from the server, so that it gets no requests for a while. Two
+/// or three failures in a row reach this fraction.
 const FAILURE_FRACTION_LIMIT: f64 = 0.3;
-/// An answer is recorded as slow if it takes this many times the typical time.
+/// An answer is logged as slow if it takes this many times the typical response time.
 const SLOW_DECISION_FACTOR: u32 = 3;
 
 /// The outcome of an attempt, as far as its request is concerned.
@@ -47,8 +47,8 @@
     NotRun,
     /// The attempt did not reach the server, or another entry refused to take it.
     Unsent,
-    /// This entry dropped the attempt before writing it to a connection, as its time was
-    /// over or its request had ended.
+    /// This entry dropped the attempt before writing it to a connection, because the
+    /// request had timed out or had ended.
     Withdrawn,
     /// Another entry refused the relayed request, as servers crashed under it.
     RefusedAsSuspect,
@@ -101,7 +101,8 @@
 }
 
 /// Returns the factor by which queueing at the server prolonged an answer, relative to the
-/// work alone. Assumes that the request found as long a queue as its answer reports.
+/// service time alone. Assumes that the request found as long a queue as its answer
+/// reports.
 fn queue_factor(end: &AttemptResult) -> f64 {
     match end {
         AttemptResult::Answer(answer) => answer.load.map_or(1.0, |load| {
@@ -111,7 +112,8 @@
     }
 }
 
-/// Returns the current slowness that the server reports with its answer, relative to its peers.
+/// Returns the current slowness that the server reports with its answer, in percent of its
+/// usual service time.
 fn reported_slowness(end: &AttemptResult) -> Option<u32> {
     match end {
         AttemptResult::Answer(answer) => answer.load?.pace,
@@ -259,8 +261,8 @@
         });
     }
 
-    /// Updates the statistics of a server with the outcome of an attempt: its speed, its
-    /// failures, its load, and whether it rests.
+    /// Updates the statistics of a server with the outcome of an attempt: the server's
+    /// slowness, failure rate, load and back-off.
     fn update_server_stats(
         &mut self,
         attempt_key: SlotKey,
@@ -311,8 +313,8 @@
             AttemptOutcome::Unsent => server.back_off(now),
             AttemptOutcome::Broken => {
                 server.record_outcome(true);
-                // A single broken attempt is no reason to rest: servers that lose one
-                // attempt in ten would each rest for a quarter of the time.
+                // A single broken attempt is no reason to back off: a server that loses
+                // one attempt in ten would get no requests for a quarter of the time.
                 if attempt.is_relay() || server.failure_rate > FAILURE_FRACTION_LIMIT {
                     server.back_off(now);
                 }
@@ -334,8 +336,8 @@
         }
     }
 
-    /// Applies the outcome of an attempt to its request: accepts the answer, or retries or
-    /// gives up the parts that the attempt was sent for.
+    /// Applies the outcome of an attempt to its request: accepts the answer, or else
+    /// retries the attempt's parts or gives them up.
     fn apply_to_request(
         &mut self,
         attempt_key: SlotKey,
@@ -406,7 +408,7 @@
         }
     }
 
-    /// Records an answer that took much longer than is typical.
+    /// Records an answer for the log if it took much longer than is typical.
     fn record_slow_answer(
         &self,
         attempt: &ForwardAttempt,
--- a/crates/core/src/process/forward/reroute.rs
+++ b/crates/core/src/process/forward/reroute.rs
@@ -30,15 +30,15 @@
 /// Minimum time allowed for an acknowledgement. Entries of other failure domains are
 /// some milliseconds away.
 const MIN_ACK_TIME: Duration = Duration::from_millis(20);
-/// Fraction of the time left until the soft deadline that is allowed for connecting
-/// to an entry whose round-trip time was never measured.
+/// Fraction of the time left until the soft deadline that is allowed for the network
+/// if the entry's round-trip time was never measured.
 const UNKNOWN_RTT_FRACTION: f64 = 0.25;
-/// Time after the soft deadline at which an entry that has not answered is given up,
-/// as a fraction of the route's objective. Until then a late answer is still used.
+/// Time after the soft deadline at which a relay without an answer is abandoned, as a
+/// fraction of the route's objective. Until then a late answer is still used.
 const GIVE_UP_FRACTION: f64 = 0.5;
 
-/// How many servers another entry may try for each relayed part, and the deadline of
-/// the entry's acknowledgement.
+/// Attempt allowance of a relay: how many servers the other entry may try for each
+/// part. Includes the deadline of the entry's acknowledgement.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AttemptAllowance {
     /// Number of servers that the entry may try for each part.
@@ -306,8 +306,8 @@
         self.close_if_unresponsive(server, sent_at, out);
     }
 
-    /// Sends an entry no relays for [`UNRESPONSIVE_BACKOFF`] if that entry has answered
-    /// nothing since `sent_at`, when the late relay was sent.
+    /// Backs off from an entry for at least [`UNRESPONSIVE_BACKOFF`] if the entry has
+    /// answered nothing since `sent_at`, the time at which a late relay was sent.
     pub(super) fn back_off_if_unresponsive(
         &mut self,
         server: ServerKey,
--- a/crates/core/src/process/forward/send.rs
+++ b/crates/core/src/process/forward/send.rs
@@ -27,12 +27,12 @@
     pub(super) cause: AttemptCause,
     /// The server or entry that was chosen.
     pub(super) choice: ServerChoice,
-    /// Index of the timing statistics that the attempt counts for.
+    /// Index of the timing in which the attempt's service time is recorded.
     pub(super) timing: usize,
     /// Time after which an unanswered attempt is checked for a hedge or, if the attempt
     /// is a relay, for its acknowledgement.
     pub(super) check_after: Duration,
-    /// Number of servers that the attempt may run on, per part.
+    /// Maximum number of servers that may run each part by this attempt.
     pub(super) runs: u32,
     /// The order for the other entry, if the attempt is a relay.
     pub(super) relay: Option<RelayOrder>,
--- a/crates/core/src/process/forward/server.rs
+++ b/crates/core/src/process/forward/server.rs
@@ -70,10 +70,10 @@
     pub is_rolled_back: bool,
     /// Whether the operator took the server's failure domain out of use.
     pub is_evacuated: bool,
-    /// Lifecycle state of the server.
+    /// Lifecycle state of the server: ready, draining or gone.
     pub standing: ServerLifecycle,
     /// Whether the control group reported the server's lease as expired, or another
-    /// server announced itself at its address.
+    /// server announced itself at the same address.
     pub expired: bool,
     /// Number of requests that the server processes concurrently.
     pub slots: u32,
@@ -82,8 +82,8 @@
     /// Until when the server is treated as cold without having announced so, because
     /// its caches may have gone cold during an interruption.
     pub assumed_cold_until: Duration,
-    /// Requests that this entry sent to the server in about the last second; limits
-    /// the rate at which a cold server is used.
+    /// Requests that this entry sent to the server in about the last second. They
+    /// limit the request rate while the server is cold.
     pub cold: SendWindow,
     /// Unanswered attempts, oldest first.
     pub outstanding: Vec<OutstandingAttempt>,
@@ -165,8 +165,9 @@
         };
     }
 
-    /// Records that the server answered after `service_time`, without the network round trip,
-    /// where `typical` is usual for the request. Ends any back-off.
+    /// Records that the server answered after `service_time`, which excludes the
+    /// network round trip and the wait in the server's queue. `typical` is the median
+    /// service time of the request's route. Ends any back-off.
     pub fn record_answer(&mut self, service_time: Duration, typical: Duration, now: Duration) {
         self.answered_at = now;
         self.backoffs = 0;
@@ -175,7 +176,7 @@
         self.slowness_estimate.record_ratio(ratio, now);
     }
 
-    /// Returns how many times longer than its peers the server takes for a request.
+    /// Returns how many times as long as its peers the server takes for a request.
     pub fn slowness(&self, now: Duration) -> f64 {
         self.slowness_estimate.slowness(now)
     }
@@ -186,7 +187,8 @@
         self.failure_rate += FAILURE_SAMPLE_WEIGHT * (sample - self.failure_rate);
     }
 
-    /// Backs off from the server, each time for longer.
+    /// Backs off from the server: sends it no requests for a while. Each back-off
+    /// without an answer in between is longer than the last.
     pub fn back_off(&mut self, now: Duration) {
         self.back_off_at_least(Duration::ZERO, now);
     }
@@ -203,7 +205,7 @@
         self.load = Some((load, now));
     }
 
-    /// Removes an attempt from the outstanding ones.
+    /// Removes an attempt from the outstanding ones, as it has ended.
     pub fn remove_attempt(&mut self, attempt: SlotKey) {
         self.outstanding.retain(|other| other.attempt != attempt);
     }
@@ -216,14 +218,14 @@
         now.saturating_sub(since)
     }
 
-    /// Returns whether the server has been unresponsive for longer than the expected
-    /// work on a request explains.
+    /// Returns whether the server has been unresponsive for longer than its expected
+    /// service time explains.
     pub fn is_stalled(&self, typical: Duration, now: Duration) -> bool {
         self.unanswered_time(now) > typical.mul_f64(self.slowness(now)) * 2 + self.round_trip
     }
 
-    /// Treats the server as cold until its next announcement must have arrived, which
-    /// says whether it really is.
+    /// Treats the server as cold until its next announcement, which says whether the
+    /// server is cold, must have arrived.
     pub fn assume_cold(&mut self, now: Duration) {
         self.assumed_cold_until = now + ASSUMED_COLD_TIME;
     }
@@ -233,7 +235,7 @@
         now < self.warm_at || now < self.assumed_cold_until
     }
 
-    /// Returns the expected processing time of a request that takes `typical` at the
+    /// Returns the expected service time of a request that takes `typical` at the
     /// server's peers.
     pub fn expected_service_time(&self, typical: Duration, now: Duration) -> Duration {
         let service_time = typical.mul_f64(self.slowness(now));
@@ -243,15 +245,15 @@
         service_time
     }
 
-    /// Returns the expected time to an answer, made of the round trip, the processing
-    /// time and the wait for the server's backlog. Does not include stalls, because
-    /// requests sent during a stall cost nothing.
+    /// Returns the expected response time as the sum of the round trip, the service
+    /// time and the wait for the server's backlog. Stalls are not
+    /// included, because a request that is sent during a stall costs nothing.
     pub fn expected_time_without_stalls(&self, typical: Duration, now: Duration) -> Duration {
         self.round_trip + self.expected_service_time(typical, now) + self.backlog.expected_wait(now)
     }
 
-    /// Returns the expected time to an answer for a request that takes `typical` at an
-    /// idle server of the service. Includes the queue at this server and its current
+    /// Returns the expected response time of a request that takes `typical` at an idle
+    /// server of the service. Includes the queue at this server and its current
     /// or predicted stall; `interval` is the time between stalls, if known.
     pub fn expected_response_time(
         &self,
@@ -265,8 +267,8 @@
         let queue = (ahead + 1.0 - slots).max(0.0) / slots;
         let unanswered = self.unanswered_time(now);
         let stall_threshold = service_time * 2 + self.round_trip;
-        // A server that has been unresponsive for longer than its work explains is
-        // likely to stay unresponsive for as long again.
+        // A server that has been unresponsive for longer than its service time explains
+        // is likely to stay unresponsive for as long again.
         let current_stall = if unanswered > stall_threshold {
             unanswered
         } else {
@@ -281,8 +283,9 @@
             + current_stall.max(predicted_stall)
     }
 
-    /// Returns the inputs of the expected time of a request sent now. The accuracy of
-    /// the expectation is measured per combination of these inputs.
+    /// Returns the expected response time of a request sent now, with the inputs that
+    /// it was estimated from. The accuracy of the estimate is measured per combination
+    /// of these inputs.
     pub fn expectation_basis(&self, expected: Duration, now: Duration) -> ExpectationBasis {
         let slots = f64::from(self.slots.max(1));
         ExpectationBasis {
--- a/crates/core/src/process/forward/shard_owner.rs
+++ b/crates/core/src/process/forward/shard_owner.rs
@@ -14,9 +14,9 @@
 impl ForwardMachine {
     /// Assigns the shards of each divided route in a route table to groups, and records
     /// the group's key with each shard. A shard keeps its first key even if a later table
-    /// no longer divides it: while entries have different tables, some would use an
-    /// equal share of the extra-load allowance and others an owner's share, which
-    /// together exceed the bound.
+    /// no longer divides the route. Otherwise, while entries have different tables, some
+    /// would use an equal part of the extra-load allowance and others an owner's part,
+    /// which together exceed the bound.
     pub(super) fn assign_shard_groups(&mut self, table: &RouteTable) {
         for route in table.routes() {
             let RouteTarget::Gather(names) = &route.target else {
--- a/crates/core/src/process/forward/slowness.rs
+++ b/crates/core/src/process/forward/slowness.rs
@@ -26,7 +26,7 @@
 /// Estimates the slowness of one server. A slowness of 2 means that the server is
 /// half as fast as its peers.
 pub trait SlownessEstimate {
-    /// Records that a response took `ratio` times the usual service time.
+    /// Records a response whose service time was `ratio` times the usual one.
     fn record_ratio(&mut self, ratio: f64, now: Duration);
 
     /// Records the slowness that the server reported, in hundredths of the usual
--- a/crates/core/src/process/forward/source.rs
+++ b/crates/core/src/process/forward/source.rs
@@ -35,8 +35,9 @@
     pub address: SocketAddr,
     /// Failure domain of the instance and its proximity to the entry, if known.
     pub place: Option<(&'a str, DomainProximity)>,
-    /// When the instance last could not be reached, was unresponsive or had no quorum.
-    /// `None` if that was long ago or the instance reported a quorum since.
+    /// When the instance last failed: it could not be reached, was unresponsive or had no
+    /// quorum. `None` if the failure was long ago or the instance reported a quorum
+    /// since.
     pub last_failed_at: Option<Duration>,
 }
 
@@ -50,10 +51,10 @@
 /// Chooses the control instances that the entry `local_id` connects to, at most
 /// `CONTROL_CONNECTIONS`.
 ///
-/// Prefers instances that have not failed, then the one whose failure is oldest: an
+/// Prefers instances that have not failed, then the one that failed longest ago: an
 /// instance that has just reported the loss of its quorum is a worse choice than one
 /// that failed earlier. Next, prefers instances in a failure domain that no chosen
-/// instance is in, then close ones. Ties are broken by rendezvous hashing of the
+/// instance is in, then near ones. Ties are broken by rendezvous hashing of the
 /// entry's id, so that the entries spread over the instances.
 pub fn choose_control_connections(
     local_id: &str,
--- a/crates/core/src/process/forward/split.rs
+++ b/crates/core/src/process/forward/split.rs
@@ -22,7 +22,7 @@
 }
 
 impl SplitScheduler {
-    /// Creates a scheduler at a random position of its sequence.
+    /// Creates a scheduler that starts at a random position in its sequence of choices.
     ///
     /// With many entries, each may receive only one or two requests of a route. If all
     /// entries started at the same position, the service with the largest weight would
--- a/crates/core/src/process/forward/stall.rs
+++ b/crates/core/src/process/forward/stall.rs
@@ -6,19 +6,19 @@
 //! stall lasts as long as a route's objective, and of 90 shards four are stalled
 //! at any time.
 //!
-//! A response that is later than work and queueing explain shows when a stall
-//! ended. Servers of one kind stall at the same interval, so one
+//! A response that is later than service time and queueing explain shows when a
+//! stall ended. Servers of one kind stall at the same interval, so one
 //! [`IntervalHistogram`] collects the samples of all servers. The phase differs
 //! per server, so each has a [`StallPredictor`]. Predictions start once three
 //! stalls of a server fit the interval, and stop when two predicted stalls in a
 //! row do not occur. A false prediction costs the traffic of a response from
 //! another region; a missed stall costs a part of the answer.
 //!
-//! In 15 simulated runs with stalls of 120 ms every 3 s, requests earned 0.652 of
-//! their possible value with reactive detection and 0.657 with prediction from
-//! three matching stalls. With two matching stalls they earned 0.651, because
-//! under the highest load responses that were late for other reasons were taken
-//! for stalls.
+//! Simulated runs give a score for each request that is answered in time. In 15 runs
+//! with stalls of 120 ms every 3 s, reactive detection reached 0.652 of the maximum
+//! score, and prediction from three matching stalls 0.657. Prediction from two
+//! matching stalls reached 0.651, because under the highest load responses that were
+//! late for other reasons were taken for stalls.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
 /// Range of the intervals between stalls that are detected.
 const INTERVAL_RANGE: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(15));
 /// Width of a histogram bucket. The end of a stall is known only to within some
-/// milliseconds, because the work time of a request varies.
+/// milliseconds, because the service time of a request varies.
 const BUCKET_WIDTH: Duration = Duration::from_millis(20);
 /// Number of histogram buckets.
 const BUCKET_COUNT: usize = 750;
@@ -50,7 +50,7 @@
 /// server's stall history is discarded.
 const MAX_MISSES: u32 = 2;
 /// Minimum delay that counts as a stall. Shorter delays are attributed to the
-/// work itself.
+/// request's service time.
 pub(super) const MIN_STALL: Duration = Duration::from_millis(15);
 /// Maximum delay that counts as a stall.
 const MAX_STALL: Duration = Duration::from_millis(600);
@@ -211,9 +211,9 @@
         self.ends.push(started);
     }
 
-    /// Records that the server started a request without delay at `started`, so
-    /// was not stalled then. If a stall was predicted for that time, counts the
-    /// prediction as a miss.
+    /// Records that the server started a request without delay at `started`, so the
+    /// server was not stalled then. If a stall was predicted for that time, counts
+    /// the prediction as a miss.
     pub fn record_prompt_start(&mut self, started: Duration, interval: Option<Duration>) {
         let Some(end) = self.next_end(started, interval) else {
             return;
--- a/crates/core/src/process/forward/suspect/crash_watch.rs
+++ b/crates/core/src/process/forward/suspect/crash_watch.rs
@@ -15,16 +15,16 @@
 const ALERT_WINDOW: Duration = Duration::from_secs(2);
 /// Time for which the alert lasts after the last crash that raised it. Network
 /// partitions last some seconds. During an alert a canary attempt costs each
-/// scatter-gather request one more round trip, and makes one urgent request in 40 late where servers
-/// stall.
+/// scatter-gather request one more round trip, and makes one urgent request in 40 late
+/// where servers stall.
 const ALERT_DURATION: Duration = Duration::from_secs(10);
 /// A server counts as crashed only if it answered within this time: a server that was
 /// unreachable for longer did not crash now.
 const RECENT_ANSWER_WINDOW: Duration = Duration::from_secs(5);
 /// Time after the loss of another entry during which that entry may know of crashes that
 /// it reported to nobody; network partitions last some seconds. While no entry is lost,
-/// suspect records arrive at once. An alert on every day with crashes would cost 0.04
-/// of the served load.
+/// suspect records arrive at once. If every crash raised an alert, with or
+/// without a lost entry, the served fraction of the load would fall by 0.04.
 const LOST_ENTRY_WINDOW: Duration = Duration::from_secs(20);
 /// Maximum number of crashes that are remembered.
 const MAX_CRASHES: usize = 8;
--- a/crates/core/src/process/forward/suspect/record.rs
+++ b/crates/core/src/process/forward/suspect/record.rs
@@ -12,7 +12,7 @@
 /// Number of servers that must crash under a request before it is quarantined, so that
 /// no server gets it.
 pub const CRASHES_TO_QUARANTINE: usize = 3;
-/// How many of these crashes must happen during canary attempts. With 1, harmless requests
+/// How many of those crashes must happen during canary attempts. With 1, harmless requests
 /// that twice ran beside the harmful one were quarantined: 10 per simulation with 20
 /// distinct requests that recur. With 2, none were, at the cost of one more crashed server.
 const CANARY_CRASHES_TO_QUARANTINE: usize = 2;
@@ -25,9 +25,9 @@
 pub struct ServerCrash {
     /// Digest of the server's id, which is unique to its incarnation.
     pub server: u64,
-    /// Whether this was a canary attempt: the request was sent to this server alone after
-    /// other servers had crashed. A harmless request that only ran beside the harmful one
-    /// completes its canary attempt.
+    /// Whether the server crashed during a canary attempt: the request was sent to this
+    /// server alone after other servers had crashed. A harmless request that only ran
+    /// beside the harmful one completes its canary attempt.
     #[serde(rename = "on_trial")]
     pub during_canary: bool,
 }
--- a/crates/core/src/process/forward/suspect/registry.rs
+++ b/crates/core/src/process/forward/suspect/registry.rs
@@ -16,12 +16,13 @@
 const MAX_CALLERS_PER_CONTENT: usize = 16;
 /// Time after the last change of a record for which it is kept.
 const RETENTION: Duration = Duration::from_secs(3600);
-/// Time that the entry which saw the crashes has to make the canary attempts. After this
-/// time a request with enough crashes is quarantined without them.
+/// Time allowed for the canary attempts of the entry that observed the crashes. After
+/// this time a request with enough crashes is quarantined without canary attempts.
 const CANARY_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Time after the second-last crash needed for a quarantine for which the last canary
-/// attempt is assumed to be running, if the earlier ones have failed. A caller that retries
-/// at another entry arrives there before the report of the last attempt.
+/// Time after a crash during which the last canary attempt is assumed to be running, if the
+/// request is one crash short of a quarantine and its earlier canary attempts failed. A
+/// caller that retries at another entry arrives there before the report of the last
+/// attempt.
 const LAST_CANARY_TIMEOUT: Duration = Duration::from_millis(120);
 /// Number of servers that must crash under the same content, sent by several callers,
 /// before the content is quarantined for all callers.
@@ -30,15 +31,15 @@
 /// Whether a request may be sent to servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SuspectStatus {
-    /// It may be sent: no crashes are held against it.
+    /// The request may be sent: no crashes count against it.
     Clear,
-    /// Servers crashed under it: it is sent to one server as a canary attempt before
-    /// others get it.
+    /// Servers crashed under the request: it is sent to one server as a canary attempt
+    /// before others get it.
     Suspect,
-    /// Enough servers crashed under it for a quarantine, and one entry is making the canary
-    /// attempts: other entries refuse it until these have ended.
+    /// Enough servers crashed under the request for a quarantine, and one entry is making
+    /// the canary attempts. The other entries refuse the request until these have ended.
     CanaryRunning,
-    /// No server gets it.
+    /// No server gets the request.
     Quarantined,
 }
 
--- a/crates/core/src/process/forward/suspicion.rs
+++ b/crates/core/src/process/forward/suspicion.rs
@@ -1,4 +1,4 @@
-//! Collects the evidence whether a request crashes servers.
+//! Collects the evidence on whether a request crashes servers.
 //!
 //! The evidence comes from the ends of this entry's attempts and from the crash records of
 //! other entries. New evidence triggers a review of the running requests that it concerns.
@@ -17,8 +17,9 @@
 /// Time within which a host refuses a connection if the server process has crashed. A
 /// host that is down or unreachable sends no refusal.
 const REFUSAL_TIME: Duration = Duration::from_millis(100);
-/// Status (504 Gateway Timeout) of a server that stopped working on a request at its
-/// deadline: the request might have crashed the server later.
+/// Status (504 Gateway Timeout) of a server that stopped working on a request at the
+/// request's deadline. This is no proof of completion: with more time, the request
+/// might have crashed the server.
 const TIMED_OUT: u16 = 504;
 
 /// Returns whether an answer shows that the server completed the request.
--- a/crates/core/src/process/forward/timing.rs
+++ b/crates/core/src/process/forward/timing.rs
@@ -1,4 +1,4 @@
-//! Response times of a route and the deadlines derived from its settings.
+//! Service times of a route's servers and the deadlines of its requests.
 //!
 //! [`RouteTiming`] keeps a histogram of the service times of a route's servers
 //! and the timeouts of its recent callers. From these it derives the hedge
@@ -57,7 +57,7 @@
     /// times, or else the longest one, but at least `timeout`.
     ///
     /// A caller that retries sends the time it has left, which is shorter and
-    /// differs each time, so retries do not set the usual timeout. A timeout
+    /// differs each time, so retries do not determine the usual timeout. A timeout
     /// above the route's time limit `limit` is not recorded, because it says
     /// nothing about the other callers.
     fn record_and_get_usual(&mut self, timeout: Duration, limit: Duration) -> Duration {
--- a/crates/core/src/process/forward/version.rs
+++ b/crates/core/src/process/forward/version.rs
@@ -19,14 +19,15 @@
 /// requests to a new version under test, because the entry would not learn that
 /// the version is bad.
 const CONTROL_CONTACT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Multiple of the typical time up to which an answer does not count as bad.
+/// Multiple of the typical service time up to which an answer does not count as bad.
 const SLOW_FACTOR: f64 = 2.5;
 /// Fraction of the route's objective up to which an answer does not count as bad.
 /// Without this minimum, answers that usually take 1 ms would count as bad whenever
 /// the machine is busy for a moment, which makes them many times slower.
 const SLOW_OBJECTIVE_FRACTION: f64 = 0.1;
 
-/// Returns the time above which an answer counts as bad for the server's version.
+/// Returns the service time above which an answer counts as bad for the server's
+/// version.
 pub(super) fn slow_threshold(typical: Duration, objective: Duration) -> Duration {
     let typical = typical.mul_f64(SLOW_FACTOR);
     typical.max(objective.mul_f64(SLOW_OBJECTIVE_FRACTION))
@@ -37,7 +38,7 @@
 pub(super) struct UpstreamRollout {
     /// Roll-out as announced by the control group.
     view: RolloutView,
-    /// Share of requests that this entry sends to the new version as canaries.
+    /// Selects the requests that this entry sends to the new version as canaries.
     share: CanarySampler,
     /// Counts since the last report to the control group, by route (index of its
     /// timing) and whether the server ran the new version.
@@ -65,7 +66,7 @@
     NewFirst,
 }
 
-/// Outcome of an attempt, as far as it says something about the server's version.
+/// Outcome of an attempt, reduced to what is counted for the server's version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AttemptVerdict {
     /// The attempt was answered after this time, not counting the wait in the server's
@@ -181,8 +182,8 @@
         count.bad += u32::from(is_bad);
     }
 
-    /// Returns the counts since the last call, to be reported to the control group, and
-    /// resets them.
+    /// Returns the outcome counts since the last call of this method, which are
+    /// reported to the control group, and resets them.
     pub fn take_outcome_counts(&mut self) -> Vec<VersionOutcomes> {
         let mut outcomes = Vec::new();
         for (_, upstream) in self.upstreams.iter_mut() {
--- a/crates/core/src/request/answer.rs
+++ b/crates/core/src/request/answer.rs
@@ -157,7 +157,7 @@
     pub run: RunState,
     /// Time after which a retry may succeed, if a retry can help.
     pub retry_after: Option<Duration>,
-    /// Coverage reached until the refusal; empty if nothing was sent.
+    /// Coverage that was reached before the refusal; empty if nothing was sent.
     pub coverage: CoverageReport,
 }
 
--- a/crates/core/src/request/decision.rs
+++ b/crates/core/src/request/decision.rs
@@ -24,7 +24,7 @@
     Hedge,
     /// A send after an earlier one failed.
     Retry,
-    /// A send after one that failed before any of it was written to a connection.
+    /// A send after an attempt that failed before any of it was written to a connection.
     Resend,
     /// A send that replaces an attempt whose server or failure domain was lost.
     Rescue,
@@ -41,19 +41,19 @@
 /// Status of a server as a candidate when a shard was routed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OptionStatus {
-    /// It was chosen.
+    /// The server was chosen.
     Chosen,
-    /// Another server was chosen, as its expected cost was lower or by random choice.
+    /// Another server was chosen, at random or because its expected cost was lower.
     NotChosen,
-    /// All of its connections or slots were in use.
+    /// All connections or slots of the server were in use.
     Full,
-    /// It was ejected, so that it gets no requests for a time, for failures or latency.
+    /// The server was ejected for failures or latency: it gets no requests for a time.
     Ejected,
-    /// It was draining or had stopped.
+    /// The server was draining or had stopped.
     Leaving,
-    /// Its lease had expired.
+    /// The server's lease had expired.
     Expired,
-    /// An attempt for the same shard was outstanding at it.
+    /// An attempt for the same shard was outstanding at the server.
     Outstanding,
 }
 
--- a/crates/core/src/request/mark.rs
+++ b/crates/core/src/request/mark.rs
@@ -1,8 +1,8 @@
 //! Fingerprints that recognise a request when its caller sends it again.
 //!
-//! Each time a caller sends a request, the request gets a new [`RequestId`]. The fingerprint
-//! stays the same, as it is a digest of what servers are given to work on, and of the
-//! caller. The wire and the logs call a fingerprint a mark.
+//! Each time a caller sends a request, the request gets a new [`RequestId`]. The
+//! fingerprint stays the same, as it is a digest of the content that servers get, and of
+//! the caller. Messages and logs call a fingerprint a mark.
 //!
 //! [`RequestId`]: crate::request::identity::RequestId
 
@@ -28,7 +28,7 @@
 /// fingerprint can only cause their own requests to be refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestFingerprint {
-    /// Digest of what is requested.
+    /// Digest of the request's content.
     pub content: ContentFingerprint,
     /// Digest of the caller.
     pub caller: CallerFingerprint,
--- a/crates/core/tests/forward/admit.rs
+++ b/crates/core/tests/forward/admit.rs
@@ -87,7 +87,7 @@
         if let Some(ForwardAnswer::Failure { retry_after, .. }) = harness.answer_to(call) {
             assert!(
                 retry_after.is_some(),
-                "{}: the refusal says when to come back",
+                "{}: the refusal says when to retry",
                 case.name
             );
         }
--- a/crates/core/tests/forward/allowed_regions.rs
+++ b/crates/core/tests/forward/allowed_regions.rs
@@ -1,4 +1,5 @@
-//! Allowed regions of a route (`allowed_regions`): none of its requests is sent outside of them.
+//! Allowed regions of a route (setting `homes`): none of its requests is sent to another
+//! region.
 
 use wheelmast_core::process::forward::answer::{AttemptOrder, ForwardAnswer, ForwardFailure};
 use wheelmast_core::process::forward::input::AttemptResult;
@@ -27,8 +28,8 @@
     RegionMap::new(pairs.map(|(domain, region)| (domain.into(), region.into())))
 }
 
-/// Creates a harness with a route restricted to the regions `allowed_regions`. Each service has a
-/// server in each of `domains`; there is another entry in each of `peers`.
+/// Creates a harness with a route restricted to the regions `allowed_regions`. Each service
+/// has a server in each of `domains`; there is another entry in each of `peers`.
 fn new_harness(
     target: RouteTarget,
     allowed_regions: &[&str],
--- a/crates/core/tests/forward/cold.rs
+++ b/crates/core/tests/forward/cold.rs
@@ -246,8 +246,8 @@
 #[test]
 fn a_server_is_assumed_cold_after_its_domain_or_its_lease_came_back() {
     let lease_expiry = |harness: &mut Harness| {
-        for silent in [true, false] {
-            harness.step(ForwardInput::LeaseExpiry("desk-5".into(), silent));
+        for has_expired in [true, false] {
+            harness.step(ForwardInput::LeaseExpiry("desk-5".into(), has_expired));
         }
     };
     let evacuation = |harness: &mut Harness| {
--- a/crates/core/tests/forward/crashing.rs
+++ b/crates/core/tests/forward/crashing.rs
@@ -54,7 +54,7 @@
     assert_eq!(
         crashed,
         CRASHES + CANARIES,
-        "all other attempts were called back in time"
+        "all other attempts were cancelled in time"
     );
 }
 
@@ -92,7 +92,11 @@
     record.add(ServerCrash::of("some-server", false));
     harness.step(ForwardInput::Suspects(vec![record]));
     harness.call_with_fingerprint("q", mark, None, None);
-    assert_eq!(harness.sends.len(), 1, "one server gets it as a canary");
+    assert_eq!(
+        harness.sends.len(),
+        1,
+        "one server gets the request as a canary"
+    );
     harness.answer_ok(0, b"");
     let mut relays = harness
         .sends
@@ -100,6 +104,9 @@
         .filter_map(|order| order.relay.as_ref());
     let relay = relays
         .next()
-        .expect("another entry is asked for some shards");
-    assert!(!relay.credits_budget, "all its shards were counted here");
+        .expect("some shards are relayed to another entry");
+    assert!(
+        !relay.credits_budget,
+        "all shards were counted at this entry"
+    );
 }
--- a/crates/core/tests/forward/ends.rs
+++ b/crates/core/tests/forward/ends.rs
@@ -117,10 +117,7 @@
         panic!("the request was not refused");
     };
     assert_eq!(*failure, ForwardFailure::NoServer);
-    assert!(
-        retry_after.is_some(),
-        "the caller is told when to come back"
-    );
+    assert!(retry_after.is_some(), "the refusal says when to retry");
 }
 
 #[test]
--- a/crates/core/tests/forward/evacuate.rs
+++ b/crates/core/tests/forward/evacuate.rs
@@ -58,7 +58,7 @@
     harness
 }
 
-/// Tells the machine the complete list of evacuated domains.
+/// Gives the machine the complete list of evacuated domains.
 fn evacuate(harness: &mut Harness, domains: &[&str]) {
     let domains = domains.iter().map(|domain| (*domain).into()).collect();
     harness.step(ForwardInput::EvacuatedDomains(domains));
@@ -85,7 +85,7 @@
                     .expected_domains
                     .iter()
                     .any(|domain| order.instance.ends_with(domain));
-                assert!(is_expected, "{}: asked {}", case.name, order.instance);
+                assert!(is_expected, "{}: sent to {}", case.name, order.instance);
             }
             assert_eq!(
                 harness.sends.is_empty(),
--- a/crates/core/tests/forward/keys.rs
+++ b/crates/core/tests/forward/keys.rs
@@ -88,7 +88,7 @@
 
 const CASES: &[AccessCase] = &[
     AccessCase {
-        name: "a key that is held by a workspace",
+        name: "a key that belongs to a workspace",
         route: "q",
         key: Some(KEY),
         found: Ok(Some("north")),
@@ -184,7 +184,7 @@
     let relay = harness.sends[0]
         .relay
         .as_ref()
-        .expect("another entry is asked for the shards");
+        .expect("the shards are relayed to another entry");
     assert_eq!(relay.workspace.as_deref(), Some("north"));
     assert_eq!(harness.sends[0].workspace.as_deref(), Some("north"));
 }
--- a/crates/core/tests/forward/merged.rs
+++ b/crates/core/tests/forward/merged.rs
@@ -56,10 +56,10 @@
     merge.finish()
 }
 
-/// Returns the answer of another entry to a relay: those of the ordered shards whose
-/// index `has_part` selects, from servers of that entry's domain.
+/// Returns the answer of another entry to a relay. The answer has those of the requested
+/// shards whose index `has_part` selects, from servers of that entry's domain.
 fn entry_answer(order: &AttemptOrder, has_part: impl Fn(usize) -> bool) -> AttemptResult {
-    let relay = order.relay.as_ref().expect("another entry was asked");
+    let relay = order.relay.as_ref().expect("a relay to another entry");
     let domain = if order.instance.contains(FAR_DOMAIN) {
         FAR_DOMAIN
     } else {
--- a/crates/core/tests/forward/reborn.rs
+++ b/crates/core/tests/forward/reborn.rs
@@ -169,7 +169,10 @@
     }
     let old = harness.sends[0].server;
     harness.step(ForwardInput::Announcement(incarnation(20, 1)));
-    assert!(harness.idle_closes > 0, "its idle connections are closed");
+    assert!(
+        harness.idle_closes > 0,
+        "idle connections to the old incarnation are closed"
+    );
     assert_eq!(harness.machine.server_count(), 1);
     let first = harness.sends.len();
     harness.call("q");
@@ -188,8 +191,8 @@
 
 /// Guards against an entry that permanently has no server for a shard. A server
 /// stopped and another one started at its address under another id. An entry that
-/// starts afterwards is told about both in either order; it must not assume that the
-/// one announced last is alive and the other one gone.
+/// starts afterwards receives both announcements in either order; it must not assume
+/// that the server announced last is alive and the other one gone.
 #[test]
 fn of_two_servers_at_an_address_the_one_that_answers_is_used() {
     for order in [["desk-old", "desk-new"], ["desk-new", "desk-old"]] {
@@ -217,7 +220,7 @@
                 }
             }
             let is_served = matches!(harness.answer_to(call), Some(ForwardAnswer::Server(_)));
-            assert!(is_served, "told about them in the order {order:?}");
+            assert!(is_served, "announced in the order {order:?}");
         }
     }
 }
--- a/crates/core/tests/forward/remember.rs
+++ b/crates/core/tests/forward/remember.rs
@@ -223,19 +223,19 @@
 
 const REUSED_ADDRESS_CASES: [ReusedAddressCase; 4] = [
     ReusedAddressCase {
-        name: "silent and expired, then no longer listed",
+        name: "unresponsive and expired, then no longer listed",
         apart: LEASE,
         has_expired: true,
         is_relisted: true,
     },
     ReusedAddressCase {
-        name: "silent but not expired yet, then no longer listed",
+        name: "unresponsive but not expired yet, then no longer listed",
         apart: Duration::from_secs(2),
         has_expired: false,
         is_relisted: true,
     },
     ReusedAddressCase {
-        name: "both in one message, the first silent and expired",
+        name: "both in one message, the first unresponsive and expired",
         apart: Duration::ZERO,
         has_expired: true,
         is_relisted: false,
--- a/crates/core/tests/forward/roll.rs
+++ b/crates/core/tests/forward/roll.rs
@@ -1,4 +1,4 @@
-//! Selection of the other entries that an entry is told about.
+//! Selection of the other entries that an entry is notified of.
 
 use std::collections::BTreeMap;
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn an_entry_is_told_about_all_entries_of_its_domain_and_some_of_others() {
+fn an_entry_is_notified_of_all_entries_of_its_domain_and_some_of_others() {
     let all = all();
     for local in [&all[0], &all[300]] {
         let selected = select_known_peers(local, &all);
--- a/crates/core/tests/forward/shift.rs
+++ b/crates/core/tests/forward/shift.rs
@@ -7,9 +7,9 @@
 //! requests then spent the budget that it had earned from these callers, and the restarted
 //! entries spent the budget that the same callers earned there again.
 //!
-//! All repeats were counted (324 of 324), and each entry kept to its own budget. The sum of
-//! the budgets, however, was 359 to 364 where 336 to 341 are allowed, as the busiest entry
-//! had 620 requests in the ten seconds before and 510 in the ten seconds after.
+//! All extra sends were counted (324 of 324), and each entry kept to its own budget. The
+//! sum of the budgets, however, was 359 to 364 where 336 to 341 are allowed, as the busiest
+//! entry had 620 requests in the ten seconds before and 510 in the ten seconds after.
 
 use std::time::Duration;
 
@@ -123,9 +123,9 @@
     }
 }
 
-/// In this case the entry with the most requests spends the budget earned from its callers before
-/// they leave it, and no entry knows in advance that they will. All entries together made 405
-/// extra sends where 342 are allowed.
+/// In this case the entry with the most requests spends the budget earned from its callers
+/// before they leave, and no entry knows in advance that they will leave. All entries
+/// together made 405 extra sends where 342 are allowed.
 #[test]
 fn all_entries_keep_the_bound_when_callers_move_while_servers_reject() {
     check(&ShiftCase {
--- a/crates/core/tests/forward/source.rs
+++ b/crates/core/tests/forward/source.rs
@@ -1,5 +1,5 @@
-//! Selection of an entry's control connections and of its source: the control instance
-//! that sends the entry all state.
+//! Selection of the control instances that an entry connects to, and of its source: the
+//! one that sends the entry large state, such as route tables.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -38,7 +38,7 @@
         want: Some(1),
     },
     SourceCase {
-        name: "a far one with a settled quorum before a near one that is cut off",
+        name: "a far one with a quorum before a near one without",
         peers: &[(true, false, 1), (false, true, 16)],
         just_started: None,
         current: Some(0),
