--- a/crates/core/src/process/forward/bundle.rs
+++ b/crates/core/src/process/forward/bundle.rs
@@ -27,7 +27,7 @@
 /// Minimum number of far shards in a bundle.
 const MIN_BUNDLE_SHARDS: usize = 3;
 /// Maximum number of bundles for far shards per request, each to another failure domain.
-const MAX_BUNDLES: usize = 4;
+const MAX_FAR_BUNDLES: usize = 4;
 /// Number of near shards above which they are divided among the local domain's entries.
 pub(super) const MAX_UNDIVIDED_SHARDS: usize = 24;
 /// Number of consecutive shards of a route that are assigned to one entry as a group.
@@ -77,7 +77,7 @@
         if may_divide && near.len() > MAX_UNDIVIDED_SHARDS {
             plans.extend(self.plan_near_bundles(call, &near, now));
         }
-        for _ in 0..MAX_BUNDLES {
+        for _ in 0..MAX_FAR_BUNDLES {
             let plan = self
                 .plan_far_bundle(call, &far, now)
                 .filter(|_| !is_relayed);
--- a/crates/core/src/process/forward/reply.rs
+++ b/crates/core/src/process/forward/reply.rs
@@ -124,7 +124,7 @@
 /// Infers from the time of an answer whether the server stalled before it started the
 /// request, and records that. Ignores requests that waited in the server's queue, as
 /// their delay has another cause.
-fn learn_stall(
+fn infer_stall(
     server: &mut ServerState,
     attempt: &ForwardAttempt,
     end: &AttemptResult,
@@ -291,7 +291,7 @@
                 if attempt.expectation_basis.is_some()
                     && self.options.stalls == StallStrategy::Predictive
                 {
-                    learn_stall(server, attempt, end, &mut self.stall_intervals, now);
+                    infer_stall(server, attempt, end, &mut self.stall_intervals, now);
                 }
                 server.record_answer(service_time, attempt.typical, now);
                 server.record_outcome(false);
@@ -502,7 +502,7 @@
         let awaits_allowance =
             call.is_relayed && state.runs >= call.attempts && state.runs < rule.attempts;
         if is_last && may_repeat && has_time && awaits_allowance {
-            // The entry that relayed the request is about to grant this entry more attempts.
+            // The entry that relayed the request is about to raise the attempt allowance.
             return self.check_end(key, now, out);
         }
         if is_allowed && !state.attempts.is_full() {
--- a/crates/core/src/process/forward/suspect/crash_watch.rs
+++ b/crates/core/src/process/forward/suspect/crash_watch.rs
@@ -27,7 +27,7 @@
 /// without a lost entry, the served fraction of the load would fall by 0.04.
 const LOST_ENTRY_WINDOW: Duration = Duration::from_secs(20);
 /// Maximum number of crashes that are remembered.
-const MAX_CRASHES: usize = 8;
+const MAX_TRACKED_CRASHES: usize = 8;
 
 /// The servers that recently crashed or became unreachable, and the alert state.
 #[derive(Debug, Default)]
@@ -55,7 +55,7 @@
         }
         self.crashes
             .retain(|(other, at)| *other != server && now < *at + ALERT_WINDOW);
-        if self.crashes.len() < MAX_CRASHES {
+        if self.crashes.len() < MAX_TRACKED_CRASHES {
             self.crashes.push((server, now));
         }
         if self.crashes.len() >= CRASHES_TO_ALERT {
--- a/crates/core/src/process/forward/suspect/record.rs
+++ b/crates/core/src/process/forward/suspect/record.rs
@@ -17,7 +17,7 @@
 /// distinct requests that recur. With 2, none were, at the cost of one more crashed server.
 const CANARY_CRASHES_TO_QUARANTINE: usize = 2;
 /// Maximum number of crashes in a record: more would not change any decision.
-const MAX_CRASHES: usize = 4;
+const MAX_RECORDED_CRASHES: usize = 4;
 
 /// The crash of a server that was running a request: the server broke off the request's
 /// connection.
@@ -61,7 +61,7 @@
         SuspectRecord {
             mark,
             round: 0,
-            ends: Vec::with_capacity(MAX_CRASHES),
+            ends: Vec::with_capacity(MAX_RECORDED_CRASHES),
         }
     }
 
@@ -76,7 +76,7 @@
             known.during_canary |= crash.during_canary;
             return has_changed;
         }
-        if self.ends.len() < MAX_CRASHES {
+        if self.ends.len() < MAX_RECORDED_CRASHES {
             self.ends.push(crash);
             return true;
         }
