--- a/crates/core/src/process/forward/bundle.rs
+++ b/crates/core/src/process/forward/bundle.rs
@@ -7,9 +7,9 @@
 //!
 //! Many near shards: querying all of them would keep an entry on a small machine busy
 //! for most of the objective, so the shards are divided among the entries of the local
-//! failure domain. Rendezvous hashing assigns the same shards to the same entry each
-//! time; this entry has warm connections to their servers and notices early which
-//! servers are stalled.
+//! failure domain. Rendezvous hashing assigns a shard to the same entry each time. That
+//! entry has warm connections to the shard's servers and detects early which of them
+//! are stalled.
 //!
 //! If the other entry refuses a bundle, the shards are sent to servers directly.
 
@@ -27,18 +27,18 @@
 /// Minimum number of far shards in a bundle.
 const MIN_BUNDLE_SHARDS: usize = 3;
 /// Maximum number of bundles for far shards per request, each to another failure domain.
-const MAX_BUNDLES: usize = 4;
+const MAX_FAR_BUNDLES: usize = 4;
 /// Number of near shards above which they are divided among the local domain's entries.
 pub(super) const MAX_UNDIVIDED_SHARDS: usize = 24;
 /// Number of consecutive shards of a route that are assigned to one entry as a group.
 pub(super) const SHARD_GROUP_SIZE: usize = 12;
 /// Step to which round-trip times are rounded down before they are compared, as a
 /// fraction of the route's objective.
-const RTT_STEP_SHARE: f64 = 0.05;
+const RTT_STEP_FRACTION: f64 = 0.05;
 /// Maximum number of connections to another entry.
 pub(super) const MAX_RELAY_CONNECTIONS: usize = 64;
 
-/// A bundle that is to be sent: the chosen entry and the parts for it.
+/// A bundle that is to be sent: the chosen entry and the parts to send there.
 #[derive(Debug)]
 pub(super) struct BundlePlan {
     /// The entry that receives the bundle.
@@ -63,7 +63,7 @@
         };
         if !state.is_scatter_gather
             || self.peer_domains.is_empty()
-            || state.plan.soft_deadline <= now
+            || state.deadlines.soft_deadline <= now
         {
             return;
         }
@@ -77,7 +77,7 @@
         if may_divide && near.len() > MAX_UNDIVIDED_SHARDS {
             plans.extend(self.plan_near_bundles(call, &near, now));
         }
-        for _ in 0..MAX_BUNDLES {
+        for _ in 0..MAX_FAR_BUNDLES {
             let plan = self
                 .plan_far_bundle(call, &far, now)
                 .filter(|_| !is_relayed);
@@ -138,7 +138,7 @@
         let step = state
             .rule()
             .objective()
-            .mul_f64(RTT_STEP_SHARE)
+            .mul_f64(RTT_STEP_FRACTION)
             .as_secs_f64();
         let mut best: Option<((DomainProximity, u64, usize, Duration), BundlePlan)> = None;
         for (domain, entries) in &self.peer_domains {
@@ -162,7 +162,7 @@
                 continue;
             }
             let round_trip = (choice.expected.as_secs_f64() / step.max(1e-6)) as u64;
-            let proximity = self.place_of(domain);
+            let proximity = self.proximity_of(domain);
             let rank = (
                 proximity,
                 round_trip,
--- a/crates/core/src/process/forward/canary.rs
+++ b/crates/core/src/process/forward/canary.rs
@@ -1,4 +1,4 @@
-//! Limits how many servers a suspect request (one under which servers crash) can reach.
+//! Limits how many servers a suspect request (one under which servers crash) can crash.
 //!
 //! Once a server crashes, the request's shards are sent to no other servers until one
 //! server has completed the request. If more crash, the outstanding attempts are cancelled
@@ -28,9 +28,9 @@
     Never,
     /// Requests under which servers crashed before.
     Suspects,
-    /// These, and during an alert every scatter-gather request (one that is sent to several
-    /// shards). An alert is raised while servers crash and a lost entry may know which request
-    /// is the cause.
+    /// The same requests as `Suspects`, and during an alert every scatter-gather request
+    /// (one that is sent to several shards). An alert is raised while servers crash and a
+    /// lost entry may know which request is the cause.
     #[default]
     Alert,
     /// Every scatter-gather request.
@@ -53,7 +53,7 @@
     /// Returns whether the request may be sent to only one server at a time: a suspect
     /// scatter-gather request that no server has completed.
     pub(super) fn needs_canary(&self) -> bool {
-        let suspicion = &self.doubt;
+        let suspicion = &self.suspicion;
         self.is_scatter_gather
             && !suspicion.has_run
             && (suspicion.starts_with_canary || suspicion.crashes > 0)
@@ -76,12 +76,13 @@
         }
     }
 
-    /// Returns the suspicion with which a new request starts.
+    /// Returns the evidence against a request at its arrival, and whether the request must
+    /// start with a canary attempt.
     pub(super) fn initial_suspicion(&self, call: &ForwardCall, now: Duration) -> CallSuspicion {
         let strategy_requires = call.relayed.is_none()
             && match self.options.canary {
                 CanaryStrategy::Never | CanaryStrategy::Suspects => false,
-                CanaryStrategy::Alert => self.end_watch.is_alert(now),
+                CanaryStrategy::Alert => self.crash_watch.is_alert(now),
                 CanaryStrategy::All => true,
             };
         let is_suspect = self.suspects.status_of(call.mark, now) != SuspectStatus::Clear;
@@ -120,7 +121,7 @@
             return false;
         };
         let status = self.suspect_status(state, now);
-        if state.doubt.has_run {
+        if state.suspicion.has_run {
             return false;
         }
         if status == SuspectStatus::Quarantined {
@@ -130,7 +131,7 @@
         if !state.needs_canary() {
             return false;
         }
-        if state.doubt.crashes >= CRASHES_TO_QUARANTINE {
+        if state.suspicion.crashes >= CRASHES_TO_QUARANTINE {
             self.cancel_attempts(call, false, out);
         }
         let is_idle = self.calls.get(call).is_some_and(|state| {
@@ -189,16 +190,17 @@
         let Some(state) = self.calls.get(call) else {
             return false;
         };
-        if now >= state.plan.hard_deadline {
+        if now >= state.deadlines.hard_deadline {
             return false;
         }
         let candidates = (0..state.parts.len()).filter(|part| {
             let part = &state.parts[*part];
             part.is_open() && part.runs < state.attempts
         });
-        // Prefers the shard with the most servers that were not tried, as it loses the
-        // least capacity if its server crashes. Among equal shards the choice is random, as
-        // canaries of several requests would otherwise run on one server and crash together.
+        // Prefers the shard with the most servers that were not tried, because that shard
+        // loses the smallest part of its capacity if a server crashes. Among equal shards
+        // the choice is random, as canaries of several requests would otherwise run on one
+        // server and crash together.
         let mut candidates: Vec<usize> = candidates.collect();
         if !candidates.is_empty() {
             let first = self.rng.random_range(0..candidates.len());
@@ -247,7 +249,7 @@
             return false;
         };
         let is_quarantined = self.suspect_status(state, now) == SuspectStatus::Quarantined;
-        state.needs_canary() || (is_quarantined && !state.doubt.has_run)
+        state.needs_canary() || (is_quarantined && !state.suspicion.has_run)
     }
 
     /// Returns whether a part must wait for the outcome of another part's canary attempt.
@@ -259,7 +261,7 @@
         // hedged.
         let attempts = state.parts[part].attempts.iter();
         let mut attempts = attempts.filter_map(|attempt| self.attempts.get(*attempt));
-        state.doubt.crashes > 0 || !attempts.any(|attempt| attempt.is_canary)
+        state.suspicion.crashes > 0 || !attempts.any(|attempt| attempt.is_canary)
     }
 
     /// Sends all parts that were held back while the request needed a canary.
--- a/crates/core/src/process/forward/choose.rs
+++ b/crates/core/src/process/forward/choose.rs
@@ -20,10 +20,10 @@
 /// entries with the same information would all choose the same server.
 const MAX_JITTER: f64 = 0.15;
 /// Penalty for a server in another region, as a fraction of the objective. Traffic
-/// between regions is expensive, and a near server that answers in time is as good. In
-/// 15 simulated runs of a deployment whose round trip between regions is a sixth of the
-/// objective, penalties of 0.4, 0.3 and 0.2 earned 0.642, 0.652 and 0.656 of the
-/// value that the simulation assigns to requests answered in time.
+/// between regions is expensive, and a near server that answers in time is as good.
+/// Simulated runs give a score for each request that is answered in time. In 15 runs of
+/// a deployment whose round trip between regions is a sixth of the objective, penalties
+/// of 0.4, 0.3 and 0.2 reached 0.642, 0.652 and 0.656 of the maximum score.
 const OTHER_REGION_COST: f64 = 0.2;
 /// Penalty for a server in another failure domain of the same region, as a fraction of
 /// the objective. In a deployment of six domains in three regions, this traffic costs a
@@ -53,13 +53,13 @@
 /// Properties of a request that the choice of a server depends on.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SelectionCriteria {
-    /// Response time that is typical of an idle server.
+    /// Median service time on the request's route.
     pub(super) typical: Duration,
     /// Time within which the caller should get the whole answer.
     pub(super) objective: Duration,
-    /// Whether distance adds no penalty. Set for retries and hedges of a request that a
-    /// single server answers: such an answer is small, and a fault that slows one server
-    /// often slows the servers of the same failure domain too.
+    /// Whether distance adds no penalty. This is so for retries and hedges of a request
+    /// that a single server answers: such an answer is small, and a fault that slows one
+    /// server often slows the servers of the same failure domain too.
     pub(super) ignores_distance: bool,
     /// Whether the request may be repeated, as its route is idempotent.
     pub(super) is_repeatable: bool,
@@ -138,8 +138,9 @@
             let Some(permitted) = criteria.allowed_regions.permit(*server, state) else {
                 continue;
             };
-            // A cold server at its limit does not count as full: the part would be queued,
-            // but no event tells when the server has capacity again. The caller can retry.
+            // A cold server at its limit does not count as full: otherwise the part would
+            // be queued, but no event occurs when the server has capacity again. The
+            // caller can retry instead.
             if !self.has_cold_capacity(*server, now) {
                 continue;
             }
@@ -152,8 +153,11 @@
                 continue;
             }
             candidates += 1;
-            let expected =
-                state.expected_response_time(criteria.typical, self.pause_vote.interval(), now);
+            let expected = state.expected_response_time(
+                criteria.typical,
+                self.stall_intervals.interval(),
+                now,
+            );
             let jitter = 1.0 + MAX_JITTER * self.rng.random::<f64>();
             let failure_cost = retry_cost.map_or(FAILURE_COST, |cost| expected + cost);
             let penalty = selection_penalty(state, criteria, failure_cost, now);
@@ -186,13 +190,14 @@
             return None;
         }
         let budget = &self.upstreams[upstream].budget;
-        let spent = budget.spent_fraction(&self.options.extra, self.extra_view(upstream), now);
+        let spent = budget.spent_fraction(&self.options.extra, self.budget_sharing(upstream), now);
         let cost_share = MIN_RETRY_COST + (MAX_RETRY_COST - MIN_RETRY_COST) * spent * spent;
         Some(criteria.objective.mul_f64(cost_share))
     }
 
     /// Returns whether a server may get one more request under the limit for cold
-    /// servers. A server is cold just after its start or return, while its caches are empty.
+    /// servers. A server is cold just after its start or its return into use, while its
+    /// caches are empty.
     fn has_cold_capacity(&self, server: ServerKey, now: Duration) -> bool {
         let state = &self.servers[server];
         let per_s = self.upstreams[state.upstream].cold_per_s;
@@ -200,11 +205,11 @@
             return true;
         }
         let max_per_second = self.options.cold.max_per_second(per_s);
-        let view = ServerSharing {
-            entries: self.entries,
+        let sharing = ServerSharing {
+            entries: self.entry_count,
             is_owner: self.owns_server(state),
         };
-        let allowance = AdaptiveShare.allowance(max_per_second, view);
+        let allowance = AdaptiveShare.allowance(max_per_second, sharing);
         state.cold.has_capacity(allowance, now)
     }
 
@@ -212,7 +217,7 @@
     /// of the server's failure domain. False until this entry has received the list of
     /// entries.
     fn owns_server(&self, state: &ServerState) -> bool {
-        state.place == DomainProximity::Domain && self.is_owner_of(&state.id)
+        state.proximity == DomainProximity::Domain && self.is_owner_of(&state.id)
     }
 
     /// Returns the maximum number of connections from this entry to a server: this
@@ -228,8 +233,8 @@
             return MAX_RELAY_CONNECTIONS;
         }
         let used = f64::from(upstream.connections) * SHARED_CONNECTION_USE;
-        let equal_share = (used / f64::from(self.entries.max(1))) as usize;
-        if state.place != DomainProximity::Domain {
+        let equal_share = (used / f64::from(self.entry_count.max(1))) as usize;
+        if state.proximity != DomainProximity::Domain {
             return equal_share.max(1);
         }
         let domain_share = (used / f64::from(self.domain_entry_count)) as usize;
@@ -255,9 +260,9 @@
     failure_cost: Duration,
     now: Duration,
 ) -> Duration {
-    let mut penalty = failure_cost.mul_f64(state.failing);
+    let mut penalty = failure_cost.mul_f64(state.failure_rate);
     if !criteria.ignores_distance {
-        penalty += criteria.objective.mul_f64(distance_cost(state.place));
+        penalty += criteria.objective.mul_f64(distance_cost(state.proximity));
     }
     if state.idle == 0 {
         penalty += CONNECT_COST;
--- a/crates/core/src/process/forward/directory.rs
+++ b/crates/core/src/process/forward/directory.rs
@@ -19,10 +19,11 @@
 /// Number of buckets that server ids are hashed into when directories are compared.
 const DIGEST_BUCKETS: usize = 64;
 /// Fraction of a lease granted to a server that was loaded from disk after a
-/// restart and has not been heard from since.
-const REMEMBERED_LEASE_SHARE: f64 = 0.5;
+/// restart and has not announced itself or been reported alive since.
+const REMEMBERED_LEASE_FRACTION: f64 = 0.5;
 /// Consecutive announcements that a server may miss before its lease expires. This
-/// applies to long announcement intervals; `MIN_LEASE` governs short ones.
+/// determines the lease for long announcement intervals; for short ones the lease is
+/// `MIN_LEASE`.
 const MAX_MISSED_ANNOUNCEMENTS: u32 = 1;
 /// Maximum expected delay of an announcement.
 const MAX_ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(1500);
@@ -36,7 +37,8 @@
 }
 
 /// Returns the lease of a server that announces itself once per `interval`: the
-/// time without an announcement after which the server is considered unresponsive.
+/// time without an announcement after which the server is no longer considered
+/// alive.
 pub fn lease_for(interval: Duration) -> Duration {
     let missed = interval * (MAX_MISSED_ANNOUNCEMENTS + 1) + MAX_ANNOUNCEMENT_DELAY;
     missed.max(MIN_LEASE)
@@ -76,8 +78,8 @@
     pub born: u64,
     /// Sequence number, which increases with each announcement of the incarnation.
     pub sequence: u64,
-    /// Remaining time for which the server is still cold (slow after its start), in
-    /// milliseconds.
+    /// Remaining time for which the server is cold (just started, with empty caches),
+    /// in milliseconds.
     pub cold_ms: u64,
 }
 
@@ -106,7 +108,7 @@
         ServerAnnouncement::without_details(self.id.clone(), self.standing, self.position())
     }
 
-    /// Returns an announcement that says nothing but the lifecycle state.
+    /// Returns an announcement with no details except the lifecycle state.
     fn without_details(
         id: Box<str>,
         standing: ServerLifecycle,
@@ -126,9 +128,10 @@
         }
     }
 
-    /// Returns whether the two announcements cannot come from the same incarnation.
-    /// Its service, address and failure domain never change, so a difference
-    /// means that another process announced itself under the same id.
+    /// Returns whether this announcement cannot come from the same incarnation as
+    /// `known`. The service, address and failure domain of an incarnation never
+    /// change, so a difference means that another process announced itself under the
+    /// same id.
     pub fn conflicts_with(&self, known: &ServerAnnouncement) -> bool {
         let are_complete = self.address.is_some() && known.address.is_some();
         are_complete
@@ -163,8 +166,8 @@
     Changed,
 }
 
-/// The control instance that a server announces itself to. Only the observer
-/// tells the other control instances when the server's lease expires.
+/// The control instance that a server announces itself to. Only this observer
+/// reports to the other control instances that the server's lease has expired.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerObserver {
     /// This control instance.
@@ -179,16 +182,17 @@
 /// Record of one server in the directory.
 #[derive(Debug, Clone)]
 pub struct DirectoryRecord {
-    /// Newest announcement of the server, with the lifecycle state in force.
-    pub notice: ServerAnnouncement,
+    /// Newest announcement of the server, with the server's current lifecycle state.
+    pub announcement: ServerAnnouncement,
     /// When the server last announced itself or was reported alive.
     pub last_seen_at: Duration,
-    /// When the server was granted a full lease, regardless of `last_seen_at`.
+    /// When the server was granted a full lease: when this record was created, or when
+    /// the server's observer stopped observing it.
     lease_granted_at: Duration,
     /// Whether the server's lease has expired.
     pub expired: bool,
     /// Whether the record was loaded from disk after a restart and the server has
-    /// not been heard from since.
+    /// not announced itself or been reported alive since.
     pub is_remembered: bool,
     /// Control instance that the server announces itself to.
     pub observer: ServerObserver,
@@ -197,10 +201,10 @@
 }
 
 impl DirectoryRecord {
-    fn new(notice: ServerAnnouncement, now: Duration, arrival: u64) -> DirectoryRecord {
+    fn new(announcement: ServerAnnouncement, now: Duration, arrival: u64) -> DirectoryRecord {
         DirectoryRecord {
             arrival,
-            notice,
+            announcement,
             last_seen_at: now,
             lease_granted_at: now,
             expired: false,
@@ -211,7 +215,7 @@
 
     /// Returns whether the server accepts requests and its lease has not expired.
     fn is_alive(&self) -> bool {
-        self.notice.standing == ServerLifecycle::Ready && !self.expired
+        self.announcement.standing == ServerLifecycle::Ready && !self.expired
     }
 }
 
@@ -234,7 +238,7 @@
             self.records.insert(id, record);
             return AnnouncementEffect::Changed;
         };
-        let known = &mut record.notice;
+        let known = &mut record.announcement;
         if announcement.born > known.born {
             // The server restarted under the same id, so the old record is void.
             *record = DirectoryRecord::new(announcement, now, arrival);
@@ -271,7 +275,7 @@
     }
 
     /// Adds a server that was loaded from disk after a restart, unless the server is
-    /// already known. Its first lease is shortened by `REMEMBERED_LEASE_SHARE`,
+    /// already known. Its first lease is shortened by `REMEMBERED_LEASE_FRACTION`,
     /// because it may have left in the meantime.
     pub fn remember(&mut self, announcement: ServerAnnouncement, now: Duration) {
         self.arrivals += 1;
@@ -282,12 +286,13 @@
         });
     }
 
-    /// Iterates over the announcements of the live servers that were heard from since
-    /// the last restart. These are the servers to save for the next restart.
+    /// Iterates over the announcements of the live servers that announced themselves
+    /// or were reported alive since this instance restarted. These servers are saved
+    /// for the next restart.
     pub fn confirmed_alive(&self) -> impl Iterator<Item = &ServerAnnouncement> {
         let records = self.records.values();
         let alive = records.filter(|record| record.is_alive() && !record.is_remembered);
-        alive.map(|record| &record.notice)
+        alive.map(|record| &record.announcement)
     }
 
     /// Renews a server's lease after a peer reported that the server announced itself
@@ -297,9 +302,10 @@
         let Some(record) = self.records.get_mut(id) else {
             return;
         };
-        let is_newer = position.born == record.notice.born && position > record.notice.position();
-        if is_newer && record.notice.standing != ServerLifecycle::Gone {
-            record.notice.sequence = position.sequence;
+        let is_newer =
+            position.born == record.announcement.born && position > record.announcement.position();
+        if is_newer && record.announcement.standing != ServerLifecycle::Gone {
+            record.announcement.sequence = position.sequence;
             record.last_seen_at = now;
             record.expired = false;
             record.is_remembered = false;
@@ -310,7 +316,7 @@
     /// known.
     pub fn knows_incarnation(&self, id: &str, position: AnnouncementPosition) -> bool {
         let record = self.records.get(id);
-        record.is_some_and(|record| record.notice.born >= position.born)
+        record.is_some_and(|record| record.announcement.born >= position.born)
     }
 
     /// Records that this instance observes a server. Returns whether the observer
@@ -353,7 +359,7 @@
         let local = self.records.iter();
         let local = local
             .filter(|(_, record)| record.observer == ServerObserver::Local && record.is_alive());
-        local.map(|(id, record)| (&**id, record.notice.position()))
+        local.map(|(id, record)| (&**id, record.announcement.position()))
     }
 
     /// Returns a digest of the ids of the live servers with the given observer. The
@@ -379,10 +385,10 @@
             return false;
         };
         let is_observer = record.observer == ServerObserver::Peer(peer);
-        if !is_observer || record.notice.born != position.born || !record.is_alive() {
+        if !is_observer || record.announcement.born != position.born || !record.is_alive() {
             return false;
         }
-        record.notice.sequence = record.notice.sequence.max(position.sequence);
+        record.announcement.sequence = record.announcement.sequence.max(position.sequence);
         record.expired = true;
         true
     }
@@ -401,13 +407,14 @@
         peer_last_seen: impl Fn(&SocketAddr) -> Option<Duration>,
     ) -> Vec<Box<str>> {
         self.records.retain(|_, record| {
-            let is_alive = record.notice.standing == ServerLifecycle::Ready && !record.expired;
+            let is_alive =
+                record.announcement.standing == ServerLifecycle::Ready && !record.expired;
             is_alive || now < record.last_seen_at + TOMBSTONE_RETENTION
         });
         let mut expired = Vec::new();
         for (id, record) in &mut self.records {
             let lease = if record.is_remembered {
-                lease.mul_f64(REMEMBERED_LEASE_SHARE)
+                lease.mul_f64(REMEMBERED_LEASE_FRACTION)
             } else {
                 lease
             };
@@ -420,7 +427,8 @@
                 .max(record.lease_granted_at)
                 .max(observer_seen_at);
             let is_late = now > renewed_at + lease;
-            if is_late && !record.expired && record.notice.standing == ServerLifecycle::Ready {
+            if is_late && !record.expired && record.announcement.standing == ServerLifecycle::Ready
+            {
                 record.expired = true;
                 expired.push(id.clone());
             }
@@ -434,8 +442,8 @@
     pub fn bucket_digests(&self) -> Vec<u64> {
         let mut digests = vec![0_u64; DIGEST_BUCKETS];
         for (id, record) in &self.records {
-            if record.notice.standing == ServerLifecycle::Ready {
-                let digest = xxh3_64_with_seed(id.as_bytes(), record.notice.born);
+            if record.announcement.standing == ServerLifecycle::Ready {
+                let digest = xxh3_64_with_seed(id.as_bytes(), record.announcement.born);
                 let bucket = &mut digests[bucket_of(id)];
                 *bucket = bucket.wrapping_add(digest);
             }
--- a/crates/core/src/process/forward/end.rs
+++ b/crates/core/src/process/forward/end.rs
@@ -29,13 +29,12 @@
 /// Range of the random time added to [`NO_TABLE_RETRY_AFTER`].
 const NO_TABLE_RETRY_SPREAD: Duration = Duration::from_millis(250);
 /// Minimum time after which a caller should retry while another entry runs the
-/// canary attempt of the same request: the work time of one request and two round
+/// canary attempt of the same request: the service time of one request and two round
 /// trips to a control instance.
 const CANARY_RETRY_AFTER: Duration = Duration::from_millis(100);
-/// Time after which an outstanding attempt is cancelled when its request
-/// ended.
+/// Time from the end of a request until its outstanding attempts are cancelled.
 const ORPHAN_GRACE: Duration = Duration::from_millis(400);
-/// Time after which an outstanding attempt is cancelled when its caller left.
+/// Like [`ORPHAN_GRACE`], for a request that ended because its caller left.
 const CALLER_LEFT_GRACE: Duration = Duration::from_millis(250);
 
 impl ForwardMachine {
@@ -48,13 +47,13 @@
             return;
         };
         if !state.is_scatter_gather {
-            if state.open() == 0 {
+            if state.count_open_parts() == 0 {
                 self.end_unanswered(call, now, out);
             }
             return;
         }
-        let is_past_soft_deadline = now >= state.plan.soft_deadline;
-        if state.open() == 0 {
+        let is_past_soft_deadline = now >= state.deadlines.soft_deadline;
+        if state.count_open_parts() == 0 {
             if state.has_required_coverage() {
                 return self.end_gathered(call, now, out);
             }
@@ -73,9 +72,9 @@
         }
     }
 
-    /// Handles the soft deadline of a request: ends the request if what is answered
-    /// suffices.
-    pub(super) fn soft_deadline_due(
+    /// Handles the soft deadline of a request: ends the request if the answered parts
+    /// reach the required coverage.
+    pub(super) fn handle_soft_deadline(
         &mut self,
         call: SlotKey,
         now: Duration,
@@ -87,12 +86,12 @@
     /// Returns whether a request has passed its hard deadline.
     pub(super) fn is_past_hard_deadline(&self, call: SlotKey, now: Duration) -> bool {
         let state = self.calls.get(call);
-        state.is_some_and(|state| now >= state.plan.hard_deadline)
+        state.is_some_and(|state| now >= state.deadlines.hard_deadline)
     }
 
-    /// Handles the hard deadline of a request: answers with the parts that came, if
-    /// they suffice, or else fails the request as timed out.
-    pub(super) fn hard_deadline_due(
+    /// Handles the hard deadline of a request: answers with the answered parts if
+    /// they reach the required coverage, or else fails the request as timed out.
+    pub(super) fn handle_hard_deadline(
         &mut self,
         call: SlotKey,
         now: Duration,
@@ -150,8 +149,8 @@
         });
     }
 
-    /// Returns the services of the answered parts, or of the others if `is_answered`
-    /// is false.
+    /// Returns the services of the answered parts, or of the unanswered ones if
+    /// `is_answered` is false.
     fn shard_names(&self, state: &CallState, is_answered: bool) -> Vec<Arc<str>> {
         let selected = state
             .parts
@@ -267,7 +266,7 @@
     }
 
     /// Ends a request whose caller closed the connection before the answer.
-    pub(super) fn caller_left(
+    pub(super) fn handle_caller_left(
         &mut self,
         tag: CallTag,
         now: Duration,
@@ -302,7 +301,7 @@
                 // The attempt has several parts and was handled with an earlier one.
                 continue;
             }
-            orphan.has_run = state.doubt.has_run;
+            orphan.has_run = state.suspicion.has_run;
             // A relay is cancelled at once, because the other entry applies the grace
             // period to its own attempts. A request that may crash servers is also
             // cancelled at once, before further servers start to process it.
@@ -315,7 +314,7 @@
             self.timers
                 .set(now + closes_in, ForwardTimer::Orphan(*attempt));
             self.record_decision(state.tag, out, || {
-                let (service, instance) = self.names(server);
+                let (service, instance) = self.server_names(server);
                 ForwardDecision::Abandon {
                     service,
                     instance,
@@ -328,7 +327,7 @@
     }
 
     /// Cancels an orphan attempt whose grace period is over.
-    pub(super) fn orphan_due(&mut self, attempt: SlotKey, out: &mut Vec<ForwardAction>) {
+    pub(super) fn cancel_orphan(&mut self, attempt: SlotKey, out: &mut Vec<ForwardAction>) {
         let Some(state) = self.attempts.get_mut(attempt) else {
             return;
         };
@@ -375,7 +374,7 @@
             missing: state.parts.len() - state.answered,
             after: now - state.arrived_at,
             sends: state.sends,
-            late: now > state.plan.objective,
+            late: now > state.deadlines.objective,
         });
     }
 }
--- a/crates/core/src/process/forward/hedge.rs
+++ b/crates/core/src/process/forward/hedge.rs
@@ -25,7 +25,7 @@
 /// answer.
 const EAGER_HEDGE_SHARDS: f64 = 20.0;
 /// Fraction of recent requests that a shard had no capacity for, above which no
-/// hedges are sent to the shard, because they would take capacity from requests
+/// hedges are sent to the shard, because hedges would take capacity from requests
 /// that were admitted.
 const MAX_HEDGE_SHORTAGE: f64 = 0.1;
 /// Factor on the expected response time of a hedge to another region, when the
@@ -50,7 +50,7 @@
             .into_iter()
             .chain(self.find_relay_deadline(state))
             .min();
-        let Some(next) = next.filter(|next| *next < state.plan.hard_deadline) else {
+        let Some(next) = next.filter(|next| *next < state.deadlines.hard_deadline) else {
             return;
         };
         let at = next.max(now + Duration::from_millis(1));
@@ -73,8 +73,9 @@
         self.check_end(call, now, out);
     }
 
-    /// Sends another attempt for a part if the part is due for a hedge and the
-    /// hedge is allowed and worthwhile. Otherwise sets when to check again.
+    /// Sends another attempt for a part if the part is due for a hedge, the hedge
+    /// is likely to answer first and the budget for extra load allows it. Otherwise
+    /// sets when to check the part again.
     fn hedge_if_slow(
         &mut self,
         call: SlotKey,
@@ -168,7 +169,7 @@
             return now;
         };
         if !state.is_scatter_gather
-            || self.servers[choice.server.key()].place < DomainProximity::Elsewhere
+            || self.servers[choice.server.key()].proximity < DomainProximity::Elsewhere
         {
             return now;
         }
@@ -181,7 +182,7 @@
         let shard_count = state.gathered_services().len() as f64;
         let delay_fraction = (1.0 - EAGER_HEDGE_SHARDS / shard_count).max(0.0);
         let time_needed = choice.expected.mul_f64(HEDGE_TIME_FACTOR) + HEDGE_TIME_MARGIN;
-        let latest = state.plan.soft_deadline.saturating_sub(time_needed);
+        let latest = state.deadlines.soft_deadline.saturating_sub(time_needed);
         let hedge_at = first_sent_at + self.timings[state.timing].hedge_delay(state.rule());
         hedge_at + latest.saturating_sub(hedge_at).mul_f64(delay_fraction)
     }
@@ -238,14 +239,14 @@
             return true;
         }
         let (tag, upstream) = (state.tag, state.parts[part].upstream);
-        let (bound, view) = (self.options.extra, self.extra_view(upstream));
+        let (bound, sharing) = (self.options.extra, self.budget_sharing(upstream));
         let budget = &mut self.upstreams[upstream].budget;
-        let pace = if now < self.load_shifts_until {
+        let rate = if now < self.load_shifts_until {
             SpendRate::Halved
         } else {
             SpendRate::Unlimited
         };
-        if budget.try_spend(&bound, view, pace, now) {
+        if budget.try_spend(&bound, sharing, rate, now) {
             return true;
         }
         self.counters.denied_repeats += 1;
--- a/crates/core/src/process/forward/machine.rs
+++ b/crates/core/src/process/forward/machine.rs
@@ -23,11 +23,11 @@
 use crate::process::forward::expectation::ExpectationStats;
 use crate::process::forward::extra::{ExtraBound, ExtraBudget};
 use crate::process::forward::input::ForwardInput;
-use crate::process::forward::pace::SlownessStrategy;
-use crate::process::forward::pause::{IntervalHistogram, StallStrategy};
 use crate::process::forward::place::RegionMap;
 use crate::process::forward::server::ServerState;
+use crate::process::forward::slowness::SlownessStrategy;
 use crate::process::forward::split::SplitScheduler;
+use crate::process::forward::stall::{IntervalHistogram, StallStrategy};
 use crate::process::forward::suspect::crash_watch::CrashWatch;
 use crate::process::forward::suspect::registry::SuspectRegistry;
 use crate::process::forward::timing::RouteTiming;
@@ -37,7 +37,7 @@
 use crate::process::timer::TimerHeap;
 use crate::version::route_table::{RouteTable, RouteTarget, WeightedService};
 
-/// Connection limit per server for a service that no route table names.
+/// Connections allowed to each server of a service that no route table names.
 const DEFAULT_CONNECTIONS: u32 = 8;
 /// Number of entries assumed to share the servers until the real number is known.
 const ASSUMED_ENTRIES: u32 = 8;
@@ -49,8 +49,8 @@
     SoftDeadline(SlotKey),
     /// Last time at which an answer can still reach the caller.
     HardDeadline(SlotKey),
-    /// Check of a request's outstanding attempts for hedges, retries and entries
-    /// that did not acknowledge.
+    /// Check whether a request needs a hedge or a retry, and whether the entries
+    /// that it was relayed to have acknowledged.
     Sweep(SlotKey),
     /// Time to cancel an attempt that is still outstanding after its request
     /// ended.
@@ -62,7 +62,7 @@
 pub struct ForwardOptions {
     /// Failure domain (zone) of this instance.
     pub domain: Box<str>,
-    /// Map from failure domains to regions, where configured.
+    /// Map from failure domains to regions; empty if not configured.
     pub regions: RegionMap,
     /// Identity of this instance's current incarnation among the entries.
     pub local_id: Box<str>,
@@ -78,11 +78,11 @@
     pub seed: u64,
     /// Whether to emit [`ForwardAction::RecordDecision`] for each decision.
     pub records_decisions: bool,
-    /// Strategy for estimating the relative speed of servers.
-    pub pace: SlownessStrategy,
-    /// Strategy for servers that stall: short periods without any answer, for
-    /// example in garbage collection.
-    pub pauses: StallStrategy,
+    /// How the slowness of servers relative to their peers is estimated.
+    pub slowness: SlownessStrategy,
+    /// How stalls of servers are anticipated. A stall is a short period without any
+    /// answer, for example during a garbage collection.
+    pub stalls: StallStrategy,
     /// Which requests are first sent to a single server as a canary.
     pub canary: CanaryStrategy,
 }
@@ -99,8 +99,8 @@
             max_in_flight: 512,
             seed: 1,
             records_decisions: true,
-            pace: SlownessStrategy::default(),
-            pauses: StallStrategy::default(),
+            slowness: SlownessStrategy::default(),
+            stalls: StallStrategy::default(),
             canary: CanaryStrategy::default(),
         }
     }
@@ -126,25 +126,27 @@
     pub(super) waiting: VecDeque<(SlotKey, usize)>,
     /// Fraction of recent requests for which the service had no capacity.
     pub(super) shortage_rate: DecayingRate,
-    /// Fraction of recent bundles that should have included this shard and came
-    /// without it.
+    /// Fraction of the recent bundles that were requested with this shard and were
+    /// answered without it. A bundle is several shards of one request, sent to
+    /// another entry in one message.
     pub(super) bundle_miss_rate: DecayingRate,
     /// Counters since the process started.
     pub(super) counts: UpstreamCounts,
-    /// Rendezvous hashing key that selects the owner of this shard among the
-    /// entries of a failure domain; `None` if the service is no such shard.
-    pub(super) share_key: Option<Box<str>>,
-    /// Whether this entry owns the shard in its failure domain.
+    /// Key of the shard's group, which selects the owner of the shard among the
+    /// entries of a failure domain by rendezvous hashing; `None` if the service is
+    /// not a shard of a route that is divided among the entries.
+    pub(super) group_key: Option<Box<str>>,
+    /// Whether this entry owns the shard within its failure domain.
     pub(super) owns_shard: bool,
-    /// Latest roll-out of the service.
+    /// Latest roll-out of the service, if there was one.
     pub(super) rollout: Option<UpstreamRollout>,
 }
 
 /// State machine for all requests forwarded by one entry instance.
 ///
-/// Keys index the arenas: `calls` holds the requests in flight, `attempts` the
+/// Four arenas hold the state: `calls` the requests in flight, `attempts` the
 /// messages without a result, `servers` the servers and the other entries, and
-/// `upstreams` the services.
+/// `upstreams` the services. They refer to each other by key.
 #[derive(Debug)]
 pub struct ForwardMachine {
     pub(super) options: ForwardOptions,
@@ -152,7 +154,7 @@
     /// Current route table; `None` until the first one arrives.
     pub(super) table: Option<Arc<RouteTable>>,
     /// Number of entries that share the servers.
-    pub(super) entries: u32,
+    pub(super) entry_count: u32,
     /// Number of entries in this failure domain, including this one.
     pub(super) domain_entry_count: u32,
     /// Whether a list of the entries has been received.
@@ -182,16 +184,17 @@
     pub(super) counters: ForwardCounters,
     /// Statistics of expected against actual answer times.
     pub(super) expectations: ExpectationStats,
-    /// Suspect requests: those under which servers crashed.
+    /// Suspect requests: those under which servers crashed, by their fingerprint.
     pub(super) suspects: SuspectRegistry,
     /// Recent server crashes.
-    pub(super) end_watch: CrashWatch,
-    /// Estimate of the interval between stalls, from the stalls of all servers.
-    pub(super) pause_vote: IntervalHistogram,
-    /// Earliest time at which to admit another request that depends on shards
-    /// that were recently unavailable.
+    pub(super) crash_watch: CrashWatch,
+    /// Histogram of the intervals between stalls, over all servers.
+    pub(super) stall_intervals: IntervalHistogram,
+    /// Earliest time of the next probe: a request that is admitted to find out
+    /// whether shards that were missing from recent bundles answer again.
     pub(super) next_probe_at: Duration,
-    /// Time until which callers are assumed to move between entries.
+    /// Time until which callers are assumed to move to an entry that has just
+    /// joined. Until then the budgets for extra load are spent more slowly.
     pub(super) load_shifts_until: Duration,
     /// Time of the last contact with the control group.
     pub(super) control_seen_at: Duration,
@@ -206,7 +209,7 @@
             rng: SmallRng::seed_from_u64(options.seed),
             options,
             table: None,
-            entries: ASSUMED_ENTRIES,
+            entry_count: ASSUMED_ENTRIES,
             domain_entry_count: ASSUMED_ENTRIES,
             knows_peers: false,
             directory: ServerDirectory::default(),
@@ -227,8 +230,8 @@
             counters: ForwardCounters::default(),
             expectations: ExpectationStats::default(),
             suspects: SuspectRegistry::default(),
-            end_watch: CrashWatch::default(),
-            pause_vote: IntervalHistogram::default(),
+            crash_watch: CrashWatch::default(),
+            stall_intervals: IntervalHistogram::default(),
             next_probe_at: Duration::ZERO,
             load_shifts_until: Duration::ZERO,
             control_seen_at: Duration::ZERO,
@@ -242,12 +245,14 @@
         self.step_time = now;
         match input {
             ForwardInput::Table(table) => self.set_table(table, now, out),
-            ForwardInput::Announcement(notice) => self.notice(notice, now, out),
-            ForwardInput::Silent(id, silent) => self.set_expired(&id, silent, now),
+            ForwardInput::Announcement(announcement) => {
+                self.handle_announcement(announcement, now, out)
+            }
+            ForwardInput::LeaseExpiry(id, expired) => self.set_expired(&id, expired, now),
             ForwardInput::EvacuatedDomains(domains) => self.set_evacuated(domains, now, out),
             ForwardInput::Rollouts(views) => self.set_rollouts(views, out),
             ForwardInput::ControlContact => self.control_seen_at = now,
-            ForwardInput::EntryCount(entries) => self.entries = entries.max(1),
+            ForwardInput::EntryCount(entries) => self.entry_count = entries.max(1),
             ForwardInput::Peers(peers) => self.set_peers(peers, now, out),
             ForwardInput::Suspects(records) => self.merge_suspects(&records, now, out),
             ForwardInput::Call(call) => self.begin_request(call, now, out),
@@ -257,7 +262,7 @@
             ForwardInput::AllowanceRaised(tag, attempts) => {
                 self.handle_raised_allowance(tag, attempts, now, out)
             }
-            ForwardInput::CallerLeft(tag) => self.caller_left(tag, now, out),
+            ForwardInput::CallerLeft(tag) => self.handle_caller_left(tag, now, out),
             ForwardInput::AttemptEnded { attempt, end } => {
                 self.handle_attempt_end(attempt, end, now, out)
             }
@@ -317,7 +322,9 @@
     ) -> impl Iterator<Item = (&str, UpstreamCounts, usize, f64)> {
         let bound = self.options.extra;
         self.upstreams.iter().map(move |(key, upstream)| {
-            let budget_left = upstream.budget.room(&bound, self.extra_view(key), now);
+            let budget_left = upstream
+                .budget
+                .remaining(&bound, self.budget_sharing(key), now);
             (
                 &*upstream.name,
                 upstream.counts,
@@ -356,10 +363,10 @@
     fn run_timers(&mut self, now: Duration, out: &mut Vec<ForwardAction>) {
         while let Some(timer) = self.timers.take_due(now) {
             match timer {
-                ForwardTimer::SoftDeadline(call) => self.soft_deadline_due(call, now, out),
-                ForwardTimer::HardDeadline(call) => self.hard_deadline_due(call, now, out),
+                ForwardTimer::SoftDeadline(call) => self.handle_soft_deadline(call, now, out),
+                ForwardTimer::HardDeadline(call) => self.handle_hard_deadline(call, now, out),
                 ForwardTimer::Sweep(call) => self.sweep(call, now, out),
-                ForwardTimer::Orphan(attempt) => self.orphan_due(attempt, out),
+                ForwardTimer::Orphan(attempt) => self.cancel_orphan(attempt, out),
             }
         }
     }
@@ -371,7 +378,7 @@
             return;
         }
         for service in table.services() {
-            let upstream = self.upstream(&service.name);
+            let upstream = self.find_or_add_upstream(&service.name);
             self.upstreams[upstream].connections = service.connections.max(1);
             self.upstreams[upstream].cold_per_s = service.cold_per_s;
         }
@@ -381,7 +388,7 @@
     }
 
     /// Returns the key of a service, and registers the service if it is new.
-    pub(super) fn upstream(&mut self, name: &str) -> UpstreamKey {
+    pub(super) fn find_or_add_upstream(&mut self, name: &str) -> UpstreamKey {
         if let Some(upstream) = self.upstreams_by_name.get(name) {
             return *upstream;
         }
@@ -396,7 +403,7 @@
 
     /// Returns the index of a route's timing, and creates the timing if the route
     /// is new.
-    pub(super) fn timing(&mut self, route: &str) -> usize {
+    pub(super) fn find_or_add_timing(&mut self, route: &str) -> usize {
         if let Some(timing) = self.timings_by_route.get(route) {
             return *timing;
         }
@@ -424,7 +431,7 @@
     }
 
     /// Returns the name of a server's service and the server's id.
-    pub(super) fn names(&self, server: ServerKey) -> (Arc<str>, Arc<str>) {
+    pub(super) fn server_names(&self, server: ServerKey) -> (Arc<str>, Arc<str>) {
         let state = &self.servers[server];
         let service = self.upstreams[state.upstream].name.clone();
         (service, state.id.clone())
--- a/crates/core/src/process/forward/relay.rs
+++ b/crates/core/src/process/forward/relay.rs
@@ -1,5 +1,5 @@
 //! Tracks the other entries, sends relays to them and accepts their merged answers. A
-//! relay is a request, or some of its shards, that is sent to another entry.
+//! relay is a request, or some of the request's shards, that is sent to another entry.
 //!
 //! [`crate::process::forward::bundle`] plans which parts are relayed;
 //! [`crate::process::forward::reroute`] handles entries that do not acknowledge a relay.
@@ -19,12 +19,12 @@
 use crate::process::forward::server::ServerState;
 
 /// Minimum time for which an unresponsive entry gets no relays. Each request relayed to
-/// an unresponsive entry loses the relayed shards; by the end of this time the control group
-/// removes the entry if it has failed.
+/// an unresponsive entry loses the relayed shards; by the end of this time the control
+/// group has removed the entry if it has failed.
 pub(super) const UNRESPONSIVE_BACKOFF: Duration = Duration::from_secs(3);
 /// Time reserved for the merge of a bundle and for returning the answer, in addition to
 /// the round-trip time.
-const RETURN_MARGIN: Duration = Duration::from_millis(5);
+const BUNDLE_RETURN_MARGIN: Duration = Duration::from_millis(5);
 
 impl ForwardMachine {
     /// Replaces the set of known entries: adds new ones, marks missing ones as gone and
@@ -63,7 +63,7 @@
                 let id = self.servers[server].id.clone();
                 if !current_ids.contains(&*id) {
                     self.servers_by_id.remove(&*id);
-                    self.end_watch.record_lost_entry(now);
+                    self.crash_watch.record_lost_entry(now);
                     self.advance_lifecycle(server, ServerLifecycle::Gone, out);
                 }
             }
@@ -76,7 +76,7 @@
         let upstream = self.find_or_add_peer_domain(&peer.domain);
         let mut state = ServerState::new(id.clone().into(), upstream, peer.address);
         state.domain = peer.domain.clone();
-        state.place = self.place_of(&peer.domain);
+        state.proximity = self.proximity_of(&peer.domain);
         state.region = self.options.regions.region_of(&peer.domain);
         state.slots = 1024;
         let server = self.servers.push(state);
@@ -91,7 +91,7 @@
         if let Some((_, upstream)) = found {
             return *upstream;
         }
-        let upstream = self.upstream(&format!("entries of {domain}"));
+        let upstream = self.find_or_add_upstream(&format!("entries of {domain}"));
         self.upstreams[upstream].is_entry = true;
         self.peer_domains.push((domain.into(), upstream));
         upstream
@@ -116,9 +116,9 @@
         } = plan;
         let entry = &self.servers[choice.server.key()];
         let round_trip = entry.round_trip();
-        // Within a failure domain the round trip is short, so the default time is used
-        // if none was measured.
-        let is_near = entry.place == DomainProximity::Domain;
+        // Within a failure domain the round trip is short, so the assumed round-trip time
+        // is good enough if none was measured.
+        let is_near = entry.proximity == DomainProximity::Domain;
         let known_rtt = entry
             .measured_round_trip()
             .or(is_near.then_some(round_trip));
@@ -130,9 +130,9 @@
         let order = RelayOrder {
             version: state.table.version(),
             answer_by: state
-                .plan
+                .deadlines
                 .soft_deadline
-                .saturating_sub(round_trip + RETURN_MARGIN),
+                .saturating_sub(round_trip + BUNDLE_RETURN_MARGIN),
             attempts: allowance.attempts,
             credits_budget: state.credits_budget
                 && parts.iter().all(|part| state.parts[*part].arrivals == 0),
--- a/crates/core/src/process/forward/reply.rs
+++ b/crates/core/src/process/forward/reply.rs
@@ -12,10 +12,10 @@
 use crate::process::forward::choose::SelectionFailure;
 use crate::process::forward::input::{AttemptResult, ServerAnswer};
 use crate::process::forward::machine::ForwardMachine;
-use crate::process::forward::pace::SlownessEstimate;
-use crate::process::forward::pause::{IntervalHistogram, StallStrategy, MIN_STALL};
 use crate::process::forward::relay::UNRESPONSIVE_BACKOFF;
 use crate::process::forward::server::ServerState;
+use crate::process::forward::slowness::SlownessEstimate;
+use crate::process::forward::stall::{IntervalHistogram, StallStrategy, MIN_STALL};
 use crate::process::forward::version::AttemptVerdict;
 use crate::process::input::CallTag;
 
@@ -30,11 +30,11 @@
 /// after a longer time, that entry was unreachable.
 const RELAY_REFUSAL_TIME: Duration = Duration::from_millis(300);
 /// Fraction of failures among a server's recent answers above which one more broken attempt
-/// makes the server rest, so that it gets no requests for a while. Two or three failures
-/// in a row reach this fraction.
+/// makes the entry back off from the server, so that it gets no requests for a while. Two
+/// or three failures in a row reach this fraction.
 const FAILURE_FRACTION_LIMIT: f64 = 0.3;
-/// An answer is recorded as slow if it takes this many times the typical time.
-const SLOW_FACTOR: u32 = 3;
+/// An answer is logged as slow if it takes this many times the typical response time.
+const SLOW_DECISION_FACTOR: u32 = 3;
 
 /// The outcome of an attempt, as far as its request is concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -47,8 +47,8 @@
     NotRun,
     /// The attempt did not reach the server, or another entry refused to take it.
     Unsent,
-    /// This entry dropped the attempt before writing it to a connection, as its time was
-    /// over or its request had ended.
+    /// This entry dropped the attempt before writing it to a connection, because the
+    /// request had timed out or had ended.
     Withdrawn,
     /// Another entry refused the relayed request, as servers crashed under it.
     RefusedAsSuspect,
@@ -101,7 +101,8 @@
 }
 
 /// Returns the factor by which queueing at the server prolonged an answer, relative to the
-/// work alone. Assumes that the request found as long a queue as its answer reports.
+/// service time alone. Assumes that the request found as long a queue as its answer
+/// reports.
 fn queue_factor(end: &AttemptResult) -> f64 {
     match end {
         AttemptResult::Answer(answer) => answer.load.map_or(1.0, |load| {
@@ -111,7 +112,8 @@
     }
 }
 
-/// Returns the current slowness that the server reports with its answer, relative to its peers.
+/// Returns the current slowness that the server reports with its answer, in percent of its
+/// usual service time.
 fn reported_slowness(end: &AttemptResult) -> Option<u32> {
     match end {
         AttemptResult::Answer(answer) => answer.load?.pace,
@@ -122,27 +124,29 @@
 /// Infers from the time of an answer whether the server stalled before it started the
 /// request, and records that. Ignores requests that waited in the server's queue, as
 /// their delay has another cause.
-fn learn_stall(
+fn infer_stall(
     server: &mut ServerState,
     attempt: &ForwardAttempt,
     end: &AttemptResult,
-    vote: &mut IntervalHistogram,
+    histogram: &mut IntervalHistogram,
     now: Duration,
 ) {
     if queue_factor(end) > 1.0 {
         return;
     }
     let arrived_at = attempt.sent_at + server.round_trip() / 2;
-    let work = server.work(attempt.typical, now);
+    let service_time = server.expected_service_time(attempt.typical, now);
     let started_at = now
-        .saturating_sub(server.round_trip() / 2 + work)
+        .saturating_sub(server.round_trip() / 2 + service_time)
         .max(arrived_at);
-    if started_at < arrived_at + MIN_STALL + work * 2 {
+    if started_at < arrived_at + MIN_STALL + service_time * 2 {
         server
-            .pauses
-            .record_prompt_start(started_at, vote.interval());
+            .stall_predictor
+            .record_prompt_start(started_at, histogram.interval());
     } else {
-        server.pauses.record_stall(arrived_at, started_at, vote);
+        server
+            .stall_predictor
+            .record_stall(arrived_at, started_at, histogram);
     }
 }
 
@@ -209,18 +213,27 @@
             return;
         }
         let round_trip = self.servers[attempt.server].round_trip();
-        let work = (now - attempt.sent_at).saturating_sub(round_trip);
+        let server_time = (now - attempt.sent_at).saturating_sub(round_trip);
         let verdict = match outcome {
-            AttemptOutcome::Final => AttemptVerdict::Answered(work.div_f64(queue_factor(end))),
+            AttemptOutcome::Final => {
+                AttemptVerdict::Answered(server_time.div_f64(queue_factor(end)))
+            }
             AttemptOutcome::Failure => AttemptVerdict::Failed,
-            AttemptOutcome::Broken if attempt.is_cancelled => AttemptVerdict::Abandoned(work),
+            AttemptOutcome::Broken if attempt.is_cancelled => {
+                AttemptVerdict::Abandoned(server_time)
+            }
             AttemptOutcome::Broken => AttemptVerdict::Failed,
             AttemptOutcome::NotRun
             | AttemptOutcome::Unsent
             | AttemptOutcome::Withdrawn
             | AttemptOutcome::RefusedAsSuspect => return,
         };
-        self.record_version_outcome(attempt.server, attempt.timing, attempt.slow_after, verdict);
+        self.record_version_outcome(
+            attempt.server,
+            attempt.timing,
+            attempt.slow_threshold,
+            verdict,
+        );
     }
 
     /// Counts and records that a server broke off an attempt.
@@ -234,7 +247,7 @@
         let call = attempt.call.and_then(|call| self.calls.get(call));
         let tag = call.map_or(NO_CALL, |call| call.tag);
         self.record_decision(tag, out, || {
-            let (service, instance) = self.names(attempt.server);
+            let (service, instance) = self.server_names(attempt.server);
             ForwardDecision::ServerBrokeOff {
                 mark: attempt.mark,
                 service,
@@ -248,8 +261,8 @@
         });
     }
 
-    /// Updates the statistics of a server with the outcome of an attempt: its speed, its
-    /// failures, its load, and whether it rests.
+    /// Updates the statistics of a server with the outcome of an attempt: the server's
+    /// slowness, failure rate, load and back-off.
     fn update_server_stats(
         &mut self,
         attempt_key: SlotKey,
@@ -260,46 +273,49 @@
         out: &mut Vec<ForwardAction>,
     ) {
         let server = &mut self.servers[attempt.server];
-        server.settle(attempt_key);
+        server.remove_attempt(attempt_key);
         if ![AttemptOutcome::Final, AttemptOutcome::Withdrawn].contains(&outcome) {
             self.upstreams[attempt.upstream].counts.losses += 1;
         }
-        let work = (now - attempt.sent_at).saturating_sub(server.round_trip());
+        let server_time = (now - attempt.sent_at).saturating_sub(server.round_trip());
         match outcome {
             AttemptOutcome::Final => {
-                if let Some(basis) = &attempt.basis {
-                    self.expectations.add(basis, now - attempt.sent_at);
+                if let Some(expectation_basis) = &attempt.expectation_basis {
+                    self.expectations
+                        .add(expectation_basis, now - attempt.sent_at);
                 }
-                let unqueued = work.div_f64(queue_factor(end));
-                if let Some(pace) = reported_slowness(end) {
-                    server.pace.record_report(pace, now);
+                let service_time = server_time.div_f64(queue_factor(end));
+                if let Some(report) = reported_slowness(end) {
+                    server.slowness_estimate.record_report(report, now);
                 }
-                if attempt.basis.is_some() && self.options.pauses == StallStrategy::Predictive {
-                    learn_stall(server, attempt, end, &mut self.pause_vote, now);
+                if attempt.expectation_basis.is_some()
+                    && self.options.stalls == StallStrategy::Predictive
+                {
+                    infer_stall(server, attempt, end, &mut self.stall_intervals, now);
                 }
-                server.answered(unqueued, attempt.typical, now);
+                server.record_answer(service_time, attempt.typical, now);
                 server.record_outcome(false);
-                self.timings[attempt.timing].add(work);
+                self.timings[attempt.timing].add(server_time);
             }
             AttemptOutcome::Failure | AttemptOutcome::NotRun => {
                 server.answered_at = now;
-                if let Some(pace) = reported_slowness(end) {
-                    server.pace.record_report(pace, now);
+                if let Some(report) = reported_slowness(end) {
+                    server.slowness_estimate.record_report(report, now);
                 }
                 server.record_outcome(true);
             }
             AttemptOutcome::RefusedAsSuspect => server.answered_at = now,
             AttemptOutcome::Withdrawn => {}
             AttemptOutcome::Broken if attempt.call.is_none() => {}
-            AttemptOutcome::Unsent if attempt.is_relay() && work > RELAY_REFUSAL_TIME => {
+            AttemptOutcome::Unsent if attempt.is_relay() && server_time > RELAY_REFUSAL_TIME => {
                 server.back_off_at_least(UNRESPONSIVE_BACKOFF, now);
             }
             AttemptOutcome::Unsent => server.back_off(now),
             AttemptOutcome::Broken => {
                 server.record_outcome(true);
-                // A single broken attempt is no reason to rest: servers that lose one
-                // attempt in ten would each rest for a quarter of the time.
-                if attempt.is_relay() || server.failing > FAILURE_FRACTION_LIMIT {
+                // A single broken attempt is no reason to back off: a server that loses
+                // one attempt in ten would get no requests for a quarter of the time.
+                if attempt.is_relay() || server.failure_rate > FAILURE_FRACTION_LIMIT {
                     server.back_off(now);
                 }
             }
@@ -310,18 +326,18 @@
         let server = &mut self.servers[attempt.server];
         if let Some(load) = answer.load {
             server.record_load(load, now);
-            let work = server.work(attempt.typical, now);
+            let service_time = server.expected_service_time(attempt.typical, now);
             server
                 .backlog
-                .record_report(load.waiting, work, server.slots, now);
+                .record_report(load.waiting, service_time, server.slots, now);
         }
         if answer.status == MISDIRECTED {
             self.mark_replaced(attempt.server, out);
         }
     }
 
-    /// Applies the outcome of an attempt to its request: accepts the answer, or retries or
-    /// gives up the parts that the attempt was sent for.
+    /// Applies the outcome of an attempt to its request: accepts the answer, or else
+    /// retries the attempt's parts or gives them up.
     fn apply_to_request(
         &mut self,
         attempt_key: SlotKey,
@@ -353,7 +369,7 @@
             }
         }
         if has_open_part && outcome != AttemptOutcome::Final {
-            let (service, instance) = self.names(attempt.server);
+            let (service, instance) = self.server_names(attempt.server);
             self.record_decision(tag, out, || ForwardDecision::Lost {
                 service,
                 instance,
@@ -383,7 +399,7 @@
                 }
             }
             AttemptResult::Withdrawn if self.is_past_hard_deadline(key, now) => {
-                return self.hard_deadline_due(key, now, out);
+                return self.handle_hard_deadline(key, now, out);
             }
             _ => {}
         }
@@ -392,7 +408,7 @@
         }
     }
 
-    /// Records an answer that took much longer than is typical.
+    /// Records an answer for the log if it took much longer than is typical.
     fn record_slow_answer(
         &self,
         attempt: &ForwardAttempt,
@@ -402,7 +418,9 @@
         out: &mut Vec<ForwardAction>,
     ) {
         let after = now - attempt.sent_at;
-        if after < (attempt.typical + self.servers[attempt.server].round_trip()) * SLOW_FACTOR {
+        if after
+            < (attempt.typical + self.servers[attempt.server].round_trip()) * SLOW_DECISION_FACTOR
+        {
             return;
         }
         let load = match end {
@@ -410,7 +428,7 @@
             _ => None,
         };
         self.record_decision(tag, out, || {
-            let (service, instance) = self.names(attempt.server);
+            let (service, instance) = self.server_names(attempt.server);
             ForwardDecision::Slow {
                 service,
                 instance,
@@ -476,7 +494,7 @@
             return;
         }
         let may_repeat = rule.idempotent || state.runs == 0;
-        let has_time = now < call.plan.hard_deadline;
+        let has_time = now < call.deadlines.hard_deadline;
         let is_allowed = may_repeat && has_time && state.runs < call.attempts;
         let is_last = state.attempts.is_empty();
         // A part that is not idempotent is not scheduled for a later retry.
@@ -484,7 +502,7 @@
         let awaits_allowance =
             call.is_relayed && state.runs >= call.attempts && state.runs < rule.attempts;
         if is_last && may_repeat && has_time && awaits_allowance {
-            // The entry that relayed the request is about to grant this entry more attempts.
+            // The entry that relayed the request is about to raise the attempt allowance.
             return self.check_end(key, now, out);
         }
         if is_allowed && !state.attempts.is_full() {
--- a/crates/core/src/process/forward/split.rs
+++ b/crates/core/src/process/forward/split.rs
@@ -22,12 +22,12 @@
 }
 
 impl SplitScheduler {
-    /// Creates a scheduler at a random position of its sequence.
+    /// Creates a scheduler that starts at a random position in its sequence of choices.
     ///
     /// With many entries, each may receive only one or two requests of a route. If all
     /// entries started at the same position, the service with the largest weight would
     /// get nearly all of these requests.
-    pub fn begin<R: Rng>(parts: &[WeightedService], rng: &mut R) -> SplitScheduler {
+    pub fn with_random_start<R: Rng>(parts: &[WeightedService], rng: &mut R) -> SplitScheduler {
         let mut scheduler = SplitScheduler::default();
         for _ in 0..rng.random_range(0..START_POSITIONS) {
             scheduler.next(parts);
--- a/crates/core/tests/forward/admit.rs
+++ b/crates/core/tests/forward/admit.rs
@@ -87,7 +87,7 @@
         if let Some(ForwardAnswer::Failure { retry_after, .. }) = harness.answer_to(call) {
             assert!(
                 retry_after.is_some(),
-                "{}: the refusal says when to come back",
+                "{}: the refusal says when to retry",
                 case.name
             );
         }
@@ -195,11 +195,11 @@
         },
     ];
     for case in cases {
-        let (now, work) = (ms(1000), ms(20));
+        let (now, service_time) = (ms(1000), ms(20));
         let mut backlog = ServerBacklog::default();
-        backlog.record_report(case.waiting, work, 2, now);
+        backlog.record_report(case.waiting, service_time, 2, now);
         for _ in 0..case.sends {
-            backlog.record_send(work, 2, 8, now);
+            backlog.record_send(service_time, 2, 8, now);
         }
         assert_eq!(
             backlog.expected_wait(now),
--- a/crates/core/tests/forward/evacuate.rs
+++ b/crates/core/tests/forward/evacuate.rs
@@ -4,7 +4,7 @@
 use wheelmast_core::process::forward::input::{AttemptResult, ForwardInput};
 use wheelmast_core::version::route_table::RouteTarget;
 
-use crate::harness::{notice, route, shards, table, Harness, LOCAL_DOMAIN};
+use crate::harness::{route, server_announcement, shards, table, Harness, LOCAL_DOMAIN};
 
 const OTHER_DOMAIN: &str = "other";
 
@@ -58,7 +58,7 @@
     harness
 }
 
-/// Tells the machine the complete list of evacuated domains.
+/// Gives the machine the complete list of evacuated domains.
 fn evacuate(harness: &mut Harness, domains: &[&str]) {
     let domains = domains.iter().map(|domain| (*domain).into()).collect();
     harness.step(ForwardInput::EvacuatedDomains(domains));
@@ -85,7 +85,7 @@
                     .expected_domains
                     .iter()
                     .any(|domain| order.instance.ends_with(domain));
-                assert!(is_expected, "{}: asked {}", case.name, order.instance);
+                assert!(is_expected, "{}: sent to {}", case.name, order.instance);
             }
             assert_eq!(
                 harness.sends.is_empty(),
@@ -124,7 +124,7 @@
 fn a_server_that_starts_in_an_evacuated_domain_gets_no_requests() {
     let mut harness = evacuation_harness(RouteTarget::Service("desk".into()));
     evacuate(&mut harness, &[LOCAL_DOMAIN]);
-    let new_server = notice("late", "desk", LOCAL_DOMAIN, 5000);
+    let new_server = server_announcement("late", "desk", LOCAL_DOMAIN, 5000);
     harness.step(ForwardInput::Announcement(new_server));
     for _ in 0..10 {
         harness.call("q");
--- a/crates/core/tests/forward/reborn.rs
+++ b/crates/core/tests/forward/reborn.rs
@@ -10,7 +10,7 @@
 use wheelmast_core::process::forward::input::{AttemptResult, ForwardInput};
 use wheelmast_core::version::route_table::RouteTarget;
 
-use crate::harness::{answer, notice, route, table, Harness, LOCAL_DOMAIN};
+use crate::harness::{answer, route, server_announcement, table, Harness, LOCAL_DOMAIN};
 
 const START: Duration = Duration::from_secs(1);
 const LEASE: Duration = Duration::from_secs(5);
@@ -20,7 +20,7 @@
     ServerAnnouncement {
         born,
         sequence,
-        ..notice("desk-0", "desk", LOCAL_DOMAIN, 1)
+        ..server_announcement("desk-0", "desk", LOCAL_DOMAIN, 1)
     }
 }
 
@@ -109,7 +109,7 @@
             effect = directory.apply(announcement, START);
         }
         assert_eq!(effect, case.effect, "{}", case.name);
-        let record = &directory.get("desk-0").expect("known").notice;
+        let record = &directory.get("desk-0").expect("known").announcement;
         let found = (record.born, record.sequence, record.standing);
         assert_eq!(found, case.recorded, "{}", case.name);
     }
@@ -169,7 +169,10 @@
     }
     let old = harness.sends[0].server;
     harness.step(ForwardInput::Announcement(incarnation(20, 1)));
-    assert!(harness.idle_closes > 0, "its idle connections are closed");
+    assert!(
+        harness.idle_closes > 0,
+        "idle connections to the old incarnation are closed"
+    );
     assert_eq!(harness.machine.server_count(), 1);
     let first = harness.sends.len();
     harness.call("q");
@@ -188,8 +191,8 @@
 
 /// Guards against an entry that permanently has no server for a shard. A server
 /// stopped and another one started at its address under another id. An entry that
-/// starts afterwards is told about both in either order; it must not assume that the
-/// one announced last is alive and the other one gone.
+/// starts afterwards receives both announcements in either order; it must not assume
+/// that the server announced last is alive and the other one gone.
 #[test]
 fn of_two_servers_at_an_address_the_one_that_answers_is_used() {
     for order in [["desk-old", "desk-new"], ["desk-new", "desk-old"]] {
@@ -197,7 +200,7 @@
         let target = RouteTarget::Service("desk".into());
         harness.set_table(table(3, vec![route("q", target)]));
         for id in order {
-            harness.step(ForwardInput::Announcement(notice(
+            harness.step(ForwardInput::Announcement(server_announcement(
                 id,
                 "desk",
                 LOCAL_DOMAIN,
@@ -217,7 +220,7 @@
                 }
             }
             let is_served = matches!(harness.answer_to(call), Some(ForwardAnswer::Server(_)));
-            assert!(is_served, "told about them in the order {order:?}");
+            assert!(is_served, "announced in the order {order:?}");
         }
     }
 }
--- a/crates/node/src/process/forward/feed.rs
+++ b/crates/node/src/process/forward/feed.rs
@@ -120,7 +120,8 @@
         if *domain == *self.peer.domain {
             return DomainProximity::Domain;
         }
-        self.entry.with_machine(|machine| machine.place_of(domain))
+        self.entry
+            .with_machine(|machine| machine.proximity_of(domain))
     }
 
     /// Chooses the control instances to be connected to, and starts a task for each new
@@ -252,9 +253,9 @@
                     self.entry.step(ForwardInput::Announcement(announcement));
                 }
             }
-            GroupMessage::Silent(servers) => {
+            GroupMessage::LeaseExpiry(servers) => {
                 for (id, is_expired) in servers {
-                    self.entry.step(ForwardInput::Silent(id, is_expired));
+                    self.entry.step(ForwardInput::LeaseExpiry(id, is_expired));
                 }
             }
             GroupMessage::Suspects(records) => self.handle_suspects(records),
--- a/crates/node/src/process/forward/run.rs
+++ b/crates/node/src/process/forward/run.rs
@@ -64,8 +64,8 @@
         extra: settings.extra.with_reserve(),
         cold: settings.cold,
         canary_bound: settings.canary,
-        pace: settings.pace,
-        pauses: settings.pauses,
+        slowness: settings.slowness,
+        stalls: settings.stalls,
         seed: rand::random(),
         ..ForwardOptions::default()
     };
--- a/crates/node/src/process/forward/story.rs
+++ b/crates/node/src/process/forward/story.rs
@@ -333,7 +333,7 @@
             outstanding,
         } => {
             let expected_ms = millis(*expected);
-            let (cause, place) = (cause_label(*cause), place.word());
+            let (cause, place) = (cause_label(*cause), place.label());
             tracing::info!(target: "entry", request, at_ms, %service, server = %instance, cause, place, expected_ms, candidates, outstanding, "route: sent");
         }
         ForwardDecision::Lost {
--- a/crates/node/src/process/group/inbound.rs
+++ b/crates/node/src/process/group/inbound.rs
@@ -137,8 +137,8 @@
                 node.apply_announcement(announcement);
             }
         }
-        GroupMessage::Keep { tag, notice } => {
-            node.apply_announcement(*notice);
+        GroupMessage::Keep { tag, announcement } => {
+            node.apply_announcement(*announcement);
             send_to_peer(node, peer, GroupMessage::Kept(tag));
         }
         GroupMessage::Suspects(records) => {
@@ -388,8 +388,8 @@
     messages.extend(state.build_initial_members(key));
     messages.push(GroupMessage::Notices(announcements));
     let expired = state.directory.iter().filter(|record| record.expired);
-    let expired = expired.map(|record| (record.notice.id.clone(), true));
-    messages.push(GroupMessage::Silent(expired.collect()));
+    let expired = expired.map(|record| (record.announcement.id.clone(), true));
+    messages.push(GroupMessage::LeaseExpiry(expired.collect()));
     messages
 }
 
--- a/crates/node/src/process/group/servers.rs
+++ b/crates/node/src/process/group/servers.rs
@@ -35,7 +35,7 @@
     pub fn list_missing_announcements(&self, digests: &[u64]) -> Vec<ServerAnnouncement> {
         let state = self.state.borrow();
         let records = state.directory.records_to_sync(digests).into_iter();
-        records.map(|record| record.notice.clone()).collect()
+        records.map(|record| record.announcement.clone()).collect()
     }
 
     /// Returns, in short form, the servers that announced within the last `time` that
@@ -44,10 +44,11 @@
         let now = self.now();
         let state = self.state.borrow();
         let recent_leavers = state.directory.iter().filter(|record| {
-            record.notice.standing != ServerLifecycle::Ready && now < record.last_seen_at + time
+            record.announcement.standing != ServerLifecycle::Ready
+                && now < record.last_seen_at + time
         });
         recent_leavers
-            .map(|record| record.notice.lifecycle_only())
+            .map(|record| record.announcement.lifecycle_only())
             .collect()
     }
 
@@ -69,7 +70,7 @@
         let Some(record) = state.directory.get(&id) else {
             return effect;
         };
-        let announcement = record.notice.clone();
+        let announcement = record.announcement.clone();
         tracing::info!(target: "group", server = %id, service = %announcement.service, standing = ?announcement.standing, sequence = announcement.sequence, "server: changed");
         if announcement.standing != ServerLifecycle::Ready {
             state.send_to_urgent_subscribers(GroupMessage::Notices(vec![
@@ -78,7 +79,7 @@
         }
         state.send_to_full_subscribers(GroupMessage::Notices(vec![announcement]));
         if was_expired {
-            state.send_to_full_subscribers(GroupMessage::Silent(vec![(id, false)]));
+            state.send_to_full_subscribers(GroupMessage::LeaseExpiry(vec![(id, false)]));
         }
         effect
     }
@@ -98,7 +99,7 @@
     /// that its id names, or `None` if there is no conflict.
     pub fn find_conflict(&self, announcement: &ServerAnnouncement) -> Option<&'static str> {
         let state = self.state.borrow();
-        let known = &state.directory.get(&announcement.id)?.notice;
+        let known = &state.directory.get(&announcement.id)?.announcement;
         if announcement.address.is_some() && announcement.born == 0 && known.born != 0 {
             return Some("it does not say when the server started");
         }
@@ -168,8 +169,8 @@
                     completed,
                 },
             );
-            let notice = Box::new(announcement);
-            state.send_to_control(&GroupMessage::Keep { tag, notice });
+            let announcement = Box::new(announcement);
+            state.send_to_control(&GroupMessage::Keep { tag, announcement });
         }
         let replicated = tokio::time::timeout(REPLICATION_TIMEOUT, receiver).await;
         self.state.borrow_mut().pending_replications.remove(&tag);
@@ -255,7 +256,7 @@
     pub fn find_ready_announcements(&self, ids: &[Box<str>]) -> Vec<ServerAnnouncement> {
         let state = self.state.borrow();
         let records = ids.iter().filter_map(|id| state.directory.get(id));
-        let announcements = records.map(|record| &record.notice);
+        let announcements = records.map(|record| &record.announcement);
         let announcements =
             announcements.filter(|announcement| announcement.standing == ServerLifecycle::Ready);
         announcements.cloned().collect()
@@ -274,7 +275,7 @@
             return;
         }
         state.servers_changed = true;
-        state.send_to_full_subscribers(GroupMessage::Silent(lapsed));
+        state.send_to_full_subscribers(GroupMessage::LeaseExpiry(lapsed));
     }
 
     /// Writes the live servers to disk if servers came or went since the last write.
@@ -332,11 +333,11 @@
         let locally_observed = expired.iter().filter_map(|id| {
             let record = state.directory.get(id)?;
             (record.observer == ServerObserver::Local)
-                .then(|| (id.clone(), record.notice.position()))
+                .then(|| (id.clone(), record.announcement.position()))
         });
         let lapsed = GroupMessage::Lapsed(locally_observed.collect());
         state.send_to_control(&lapsed);
         let expired = expired.into_iter().map(|id| (id, true)).collect();
-        state.send_to_full_subscribers(GroupMessage::Silent(expired));
+        state.send_to_full_subscribers(GroupMessage::LeaseExpiry(expired));
     }
 }
--- a/crates/node/src/settings/role.rs
+++ b/crates/node/src/settings/role.rs
@@ -11,9 +11,9 @@
 use wheelmast_core::process::forward::cold::ColdBound;
 use wheelmast_core::process::forward::directory::lease_for;
 use wheelmast_core::process::forward::extra::ExtraBound;
-use wheelmast_core::process::forward::pace::SlownessStrategy;
-use wheelmast_core::process::forward::pause::StallStrategy;
 use wheelmast_core::process::forward::place::RegionMap;
+use wheelmast_core::process::forward::slowness::SlownessStrategy;
+use wheelmast_core::process::forward::stall::StallStrategy;
 use wheelmast_core::process::rollout::share::CanaryBound;
 
 use crate::settings::reader::ObjectReader;
@@ -91,10 +91,10 @@
     /// Limit on how far usage caps may be exceeded.
     pub caps: CapBound,
     /// How an entry estimates the speed of a server.
-    pub pace: SlownessStrategy,
+    pub slowness: SlownessStrategy,
     /// How an entry handles stalls: short periods in which a server answers
     /// nothing.
-    pub pauses: StallStrategy,
+    pub stalls: StallStrategy,
     /// Time without an announcement after which a server's lease expires.
     pub lease: Duration,
     /// Time for a graceful shutdown.
@@ -154,8 +154,8 @@
     let announce_interval = reader.read_integer("announce_ms", 100, 600_000, findings);
     let grace = reader.read_integer("grace_ms", 100, 600_000, findings);
     let log_plain_every = reader.read_integer("log_plain_every", 1, 1_000_000, findings);
-    let pace = reader.read_choice("server_pace", &SlownessStrategy::NAMES, findings);
-    let pauses = reader.read_choice("server_pauses", &StallStrategy::NAMES, findings);
+    let slowness = reader.read_choice("server_pace", &SlownessStrategy::NAMES, findings);
+    let stalls = reader.read_choice("server_pauses", &StallStrategy::NAMES, findings);
     let log_level = reader.read_choice("log_level", &LOG_LEVELS, findings);
     let extra = reader.read_object("extra_load", findings);
     let extra = extra.map(|extra| read_extra(extra, findings));
@@ -192,8 +192,10 @@
         cold: cold.unwrap_or_default(),
         caps: caps.unwrap_or_default(),
         canary: canary.unwrap_or_default(),
-        pace: pace.map(SlownessStrategy::from_name).unwrap_or_default(),
-        pauses: pauses.map(StallStrategy::from_name).unwrap_or_default(),
+        slowness: slowness
+            .map(SlownessStrategy::from_name)
+            .unwrap_or_default(),
+        stalls: stalls.map(StallStrategy::from_name).unwrap_or_default(),
         lease: lease.map_or_else(|| lease_for(announce_interval), to_duration),
         grace: grace.map_or(DEFAULT_GRACE_PERIOD, to_duration),
         log_level: log_level.unwrap_or("info").to_string(),
