--- a/crates/cli/src/cmd/table.rs
+++ b/crates/cli/src/cmd/table.rs
@@ -8,7 +8,9 @@
 use clap::{Arg, ArgMatches, Command};
 use wheelmast_core::prelude::ServiceTable;
 use wheelmast_core::version::table::CellChange;
-use wheelmast_wire::prelude::{ApplyBody, ProblemBody, TableChange, TableStatus, VersionLine};
+use wheelmast_wire::prelude::{
+    ProblemBody, TableChange, TableChangeResult, TableHistoryEntry, TableStatus,
+};
 
 use crate::client::{HttpClient, WholeResponse};
 use crate::cmd::common::{block_on, first_instance, instance_arg, instances, json_arg};
@@ -258,12 +260,12 @@
             let detail = problem.detail.unwrap_or_default();
             bail!("could not apply: {}, {detail}", problem.title);
         }
-        let body: ApplyBody = response.json()?;
+        let body: TableChangeResult = response.json()?;
         if !self.json {
             print_apply(&body);
         }
         Ok(match body {
-            ApplyBody::Accepted { .. } => ExitCode::SUCCESS,
+            TableChangeResult::Accepted { .. } => ExitCode::SUCCESS,
             _ => ExitCode::FAILURE,
         })
     }
@@ -312,7 +314,7 @@
     fn history(&self, instance: SocketAddr) -> anyhow::Result<ExitCode> {
         let client = HttpClient::default();
         let response = block_on(client.get(instance, "/v1/table/history"))?;
-        let versions: Vec<VersionLine> = read_body(&response)?;
+        let versions: Vec<TableHistoryEntry> = read_body(&response)?;
         for line in versions {
             if self.json {
                 println!("{}", serde_json::to_string(&line)?);
@@ -372,13 +374,13 @@
     );
 }
 
-fn print_apply(body: &ApplyBody) {
+fn print_apply(body: &TableChangeResult) {
     match body {
-        ApplyBody::Accepted { version } => println!("accepted as version {version}"),
-        ApplyBody::Conflict { version, csv } => {
+        TableChangeResult::Accepted { version } => println!("accepted as version {version}"),
+        TableChangeResult::Conflict { version, csv } => {
             println!("conflict: version {version} stands\n{csv}");
         }
-        ApplyBody::Rejected { findings } => {
+        TableChangeResult::Rejected { findings } => {
             for finding in findings {
                 println!("{finding}");
             }
--- a/crates/cli/src/measure/capacity.rs
+++ b/crates/cli/src/measure/capacity.rs
@@ -12,8 +12,8 @@
 use wheelmast_core::process::gossip::machine::{GossipInput, GossipMachine};
 use wheelmast_core::process::gossip::member::{MemberLifecycle, MemberState};
 use wheelmast_wire::peer::{encode, PeerRequest};
-use wheelmast_wire::prelude::{AnnouncementBody, HeldBody};
-use wheelmast_wire::upstream::encode_search;
+use wheelmast_wire::prelude::{AnnouncementBody, HeldSnapshotBody};
+use wheelmast_wire::upstream::encode_search_request;
 
 use crate::measure::cpu::resident_bytes;
 use crate::measure::fit::{fit_line, LineFit, SizePoint};
@@ -119,7 +119,10 @@
             "question for a newer table",
             encode(&PeerRequest::AskTable { have: 1000 })?.len(),
         ),
-        ("subquery", encode_search(&order, Duration::ZERO)?.len()),
+        (
+            "subquery",
+            encode_search_request(&order, Duration::ZERO)?.len(),
+        ),
         ("announcement", serde_json::to_vec(&announcement())?.len()),
     ])
 }
@@ -165,7 +168,7 @@
         sequence: 100_000,
         phase: "serving".into(),
         held: vec![
-            HeldBody {
+            HeldSnapshotBody {
                 epoch: 1,
                 version: 100,
                 shard: 17,
--- a/crates/cli/src/measure/control.rs
+++ b/crates/cli/src/measure/control.rs
@@ -17,7 +17,7 @@
 };
 use wheelmast_node::process::clock::ProcessClock;
 use wheelmast_node::process::member::{initialize, open_replica};
-use wheelmast_wire::prelude::{ApplyBody, TableChange, TableStatus};
+use wheelmast_wire::prelude::{TableChange, TableChangeResult, TableStatus};
 
 use crate::client::{HttpClient, ServiceCall};
 
@@ -140,9 +140,9 @@
         }
     }
 
-    fn take_outcome(&mut self, body: ApplyBody) -> anyhow::Result<()> {
+    fn take_outcome(&mut self, body: TableChangeResult) -> anyhow::Result<()> {
         match body {
-            ApplyBody::Accepted { version } => {
+            TableChangeResult::Accepted { version } => {
                 self.version = version;
                 Ok(())
             }
--- a/crates/fake/src/search.rs
+++ b/crates/fake/src/search.rs
@@ -12,7 +12,9 @@
 use rand::Rng;
 use serde_json::value::RawValue;
 use wheelmast_core::prelude::{HeldSnapshot, SnapshotId};
-use wheelmast_wire::prelude::{HeldBody, NotRunBody, SearchReply, SearchRequest, UpstreamHit};
+use wheelmast_wire::prelude::{
+    HeldSnapshotBody, NotRunBody, SearchReply, SearchRequest, UpstreamHit,
+};
 
 use crate::ledger::SearchedShard;
 use crate::server::{FakeBehaviour, FakeServer};
@@ -243,7 +245,10 @@
     let body = NotRunBody {
         ran: false,
         retry_after_ms: (status == StatusCode::SERVICE_UNAVAILABLE).then_some(SHED_RETRY_MS),
-        held: held.iter().map(|held| HeldBody::from(*held)).collect(),
+        held: held
+            .iter()
+            .map(|held| HeldSnapshotBody::from(*held))
+            .collect(),
     };
     json(status, &body)
 }
--- a/crates/fake/src/server.rs
+++ b/crates/fake/src/server.rs
@@ -11,7 +11,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
 use wheelmast_core::prelude::{HeldSnapshot, ServerPhase};
-use wheelmast_wire::prelude::{AnnouncementBody, HeldBody, SearchReply};
+use wheelmast_wire::prelude::{AnnouncementBody, HeldSnapshotBody, SearchReply};
 
 use crate::ledger::FakeLedger;
 use crate::network::FakeNetwork;
@@ -211,7 +211,7 @@
             held: state
                 .held
                 .iter()
-                .map(|held| HeldBody::from(*held))
+                .map(|held| HeldSnapshotBody::from(*held))
                 .collect(),
             slots: self.shape.slots,
             connections: self.shape.connections,
--- a/crates/node/src/connection/attempt.rs
+++ b/crates/node/src/connection/attempt.rs
@@ -8,7 +8,7 @@
 use hyper::{Request, Response};
 use wheelmast_core::connection::reply_check::reply_matches_order;
 use wheelmast_core::prelude::{AttemptReply, ReplyStatus, SendOrder};
-use wheelmast_wire::upstream::{decode_reply, encode_search, SEARCH_PATH};
+use wheelmast_wire::upstream::{decode_reply, encode_search_request, SEARCH_PATH};
 
 use crate::connection::pool::{ConnectionPool, UpstreamConnection};
 use crate::process::clock::ProcessClock;
@@ -92,7 +92,7 @@
     if now >= order.deadline {
         return SendEnd::NeverSent;
     }
-    let Ok(body) = encode_search(order, now) else {
+    let Ok(body) = encode_search_request(order, now) else {
         return SendEnd::NeverSent;
     };
     let request = Request::post(SEARCH_PATH)
--- a/crates/node/src/connection/frame.rs
+++ b/crates/node/src/connection/frame.rs
@@ -8,7 +8,7 @@
 use socket2::SockRef;
 use tokio::io::{AsyncRead, AsyncReadExt};
 use tokio::net::TcpStream;
-use wheelmast_wire::group::{GroupMessage, FRAME_BYTES};
+use wheelmast_wire::group::{GroupMessage, MAX_FRAME_BYTES};
 use wheelmast_wire::peer::{decode, encode};
 
 /// Number of the first tries to connect.
@@ -65,7 +65,7 @@
 /// Fails if the message cannot be encoded or is too large.
 pub fn write_frame(message: &GroupMessage, bytes: &mut Vec<u8>) -> anyhow::Result<()> {
     let body = encode(message)?;
-    if body.len() > FRAME_BYTES {
+    if body.len() > MAX_FRAME_BYTES {
         bail!("could not send a message of {} bytes", body.len());
     }
     bytes.extend_from_slice(&(body.len() as u32).to_be_bytes());
@@ -111,7 +111,7 @@
             return Ok(None);
         };
         let length = u32::from_be_bytes(*head) as usize;
-        if length > FRAME_BYTES {
+        if length > MAX_FRAME_BYTES {
             bail!("could not take a message of {length} bytes");
         }
         if self.buffer.len() < LENGTH_BYTES + length {
--- a/crates/node/src/connection/peer.rs
+++ b/crates/node/src/connection/peer.rs
@@ -14,7 +14,7 @@
 use tokio::sync::Mutex;
 use wheelmast_core::process::control::log::ReplicaId;
 use wheelmast_wire::peer::{
-    decode, encode, PeerReply, PeerRequest, KEY_HEADER, PEER_BYTES, PEER_PATH,
+    decode, encode, PeerReply, PeerRequest, KEY_HEADER, MAX_PEER_MESSAGE_BYTES, PEER_PATH,
 };
 
 use crate::ring::{bounded_ring, RingReceiver, RingSender};
@@ -137,7 +137,7 @@
                 response.status()
             );
         }
-        let body = Limited::new(response.into_body(), PEER_BYTES);
+        let body = Limited::new(response.into_body(), MAX_PEER_MESSAGE_BYTES);
         let body = body.collect().await.map_err(anyhow::Error::from_boxed)?;
         Ok(decode(&body.to_bytes())?)
     }
--- a/crates/node/src/process/announce.rs
+++ b/crates/node/src/process/announce.rs
@@ -54,7 +54,8 @@
             StatusCode::NO_CONTENT.into_response()
         }
         Err(error) => {
-            let problem = ProblemBody::early(400, "malformed-announcement", error.to_string());
+            let problem =
+                ProblemBody::before_admission(400, "malformed-announcement", error.to_string());
             respond_problem(&problem)
         }
     }
--- a/crates/node/src/process/callers.rs
+++ b/crates/node/src/process/callers.rs
@@ -92,7 +92,7 @@
 }
 
 async fn unknown_path() -> Response {
-    respond_problem(&ProblemBody::early(
+    respond_problem(&ProblemBody::before_admission(
         404,
         "unknown-path",
         "see POST /v1/query/{service}, GET /v1/fetch/{service}/{key}, POST /v1/submit/{service}",
@@ -190,7 +190,7 @@
 }
 
 fn respond_busy() -> Response {
-    let mut problem = ProblemBody::early(503, "busy", "the instance has too much to do");
+    let mut problem = ProblemBody::before_admission(503, "busy", "the instance has too much to do");
     problem.retry_after_ms = Some(1000);
     respond_problem(&problem)
 }
@@ -199,7 +199,7 @@
     match error {
         CallError::Busy => respond_busy(),
         CallError::Ended => {
-            let mut problem = ProblemBody::early(502, "ended", "the instance ended");
+            let mut problem = ProblemBody::before_admission(502, "ended", "the instance ended");
             problem.outcome = wheelmast_wire::caller::OUTCOME_UNKNOWN.to_string();
             respond_problem(&problem).into_response()
         }
@@ -228,10 +228,14 @@
 async fn read_json(body: Body) -> Result<Box<[u8]>, Box<ProblemBody>> {
     let read = tokio::time::timeout(BODY_TIME, to_bytes(body, REQUEST_BYTES)).await;
     let Ok(read) = read else {
-        return Err(early(408, "slow-body", "the body did not come within 5 s"));
+        return Err(before_admission(
+            408,
+            "slow-body",
+            "the body did not come within 5 s",
+        ));
     };
     let bytes = read.map_err(|_| {
-        early(
+        before_admission(
             413,
             "body-unreadable",
             format!("the body broke off or is over {REQUEST_BYTES} bytes"),
@@ -239,7 +243,7 @@
     })?;
     if let Err(error) = serde_json::from_slice::<&RawValue>(&bytes) {
         let detail = format!("the body is not JSON: {error}");
-        return Err(early(400, "malformed-json", detail));
+        return Err(before_admission(400, "malformed-json", detail));
     }
     Ok(bytes.to_vec().into_boxed_slice())
 }
@@ -254,11 +258,11 @@
         .and_then(|text| text.parse::<i64>().ok());
     let Some(millis) = millis else {
         let detail = format!("{DEADLINE_HEADER} is the time left in whole milliseconds");
-        return Err(early(400, "malformed-deadline", detail));
+        return Err(before_admission(400, "malformed-deadline", detail));
     };
     if millis <= 0 {
         let detail = "the deadline had passed on arrival";
-        return Err(early(504, "deadline-passed", detail));
+        return Err(before_admission(504, "deadline-passed", detail));
     }
     let millis = (millis as u64).min(LONGEST_DEADLINE_MS);
     Ok(Some(Duration::from_millis(millis)))
@@ -273,14 +277,14 @@
     Ok(Some(key))
 }
 
-fn early(status: u16, word: &str, detail: impl Into<String>) -> Box<ProblemBody> {
-    Box::new(ProblemBody::early(status, word, detail))
+fn before_admission(status: u16, word: &str, detail: impl Into<String>) -> Box<ProblemBody> {
+    Box::new(ProblemBody::before_admission(status, word, detail))
 }
 
 fn check_key(key: &str) -> Result<(), Box<ProblemBody>> {
     if key.is_empty() || key.len() > KEY_LENGTH {
         let detail = format!("a key is 1 to {KEY_LENGTH} visible characters");
-        return Err(early(400, "malformed-key", detail));
+        return Err(before_admission(400, "malformed-key", detail));
     }
     Ok(())
 }
--- a/crates/node/src/process/change.rs
+++ b/crates/node/src/process/change.rs
@@ -7,7 +7,7 @@
 use wheelmast_core::process::control::state::{
     ChangeOutcome, CommandOutcome, ControlCommand, TableVersion,
 };
-use wheelmast_wire::operator::{ApplyBody, TableChange};
+use wheelmast_wire::operator::{TableChange, TableChangeResult};
 use wheelmast_wire::peer::{CommandReply, PeerReply, PeerRequest};
 
 use crate::connection::peer::PeerLink;
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeResult {
     /// It is decided.
-    Decided(ApplyBody),
+    Decided(TableChangeResult),
     /// No leader was reached: nothing was proposed.
     NoLeader,
     /// It was proposed, and its end was not learned.
@@ -45,7 +45,7 @@
     pub async fn apply(&self, change: TableChange) -> ChangeResult {
         if let Err(findings) = ServiceTable::parse(&change.csv, 1) {
             let findings = findings.items().iter().map(ToString::to_string);
-            return ChangeResult::Decided(ApplyBody::Rejected {
+            return ChangeResult::Decided(TableChangeResult::Rejected {
                 findings: findings.collect(),
             });
         }
@@ -124,11 +124,11 @@
 
     async fn decided(&self, outcome: ChangeOutcome) -> ChangeResult {
         ChangeResult::Decided(match outcome {
-            ChangeOutcome::Accepted(version) => ApplyBody::Accepted { version },
+            ChangeOutcome::Accepted(version) => TableChangeResult::Accepted { version },
             ChangeOutcome::Conflict(version) => {
                 let history = self.history().await;
                 let stands = history.iter().find(|table| table.version == version);
-                ApplyBody::Conflict {
+                TableChangeResult::Conflict {
                     version,
                     csv: stands.map(|table| table.csv.clone()).unwrap_or_default(),
                 }
--- a/crates/node/src/process/fence.rs
+++ b/crates/node/src/process/fence.rs
@@ -42,7 +42,9 @@
 }
 
 fn stop(status: u16, word: &str, detail: &str) -> FenceStop {
-    FenceStop::Problem(Box::new(ProblemBody::early(status, word, detail)))
+    FenceStop::Problem(Box::new(ProblemBody::before_admission(
+        status, word, detail,
+    )))
 }
 
 impl FenceDesk {
@@ -110,7 +112,7 @@
         let desk = self.clone();
         tokio::spawn(async move { desk.end(claim, None).await });
         let detail = "no quorum of the control group is in reach to claim the key";
-        let mut problem = ProblemBody::early(503, "no-quorum", detail);
+        let mut problem = ProblemBody::before_admission(503, "no-quorum", detail);
         problem.retry_after_ms = Some(1000);
         Err(FenceStop::Problem(Box::new(problem)))
     }
@@ -161,7 +163,7 @@
 
 /// Returns a stop whose outcome is not "not run".
 fn ran(status: u16, word: &str, detail: &str) -> FenceStop {
-    let mut problem = ProblemBody::early(status, word, detail);
+    let mut problem = ProblemBody::before_admission(status, word, detail);
     problem.outcome = OUTCOME_UNKNOWN.to_string();
     FenceStop::Problem(Box::new(problem))
 }
--- a/crates/node/src/process/group/answer.rs
+++ b/crates/node/src/process/group/answer.rs
@@ -14,7 +14,7 @@
 use wheelmast_core::process::forward::directory::ServerAnnouncement;
 use wheelmast_core::version::route_table::RouteTable;
 use wheelmast_wire::dialect::{ControlCall, ForwardDialect};
-use wheelmast_wire::group::GroupTell;
+use wheelmast_wire::group::LeaderReply;
 use wheelmast_wire::pack::{pack, unpack};
 
 use crate::connection::accept::next_stream;
@@ -64,7 +64,7 @@
         Err(error) => return text_response(StatusCode::BAD_REQUEST, error.to_string()),
     };
     match call {
-        ControlCall::Announce(id) => match D::read_notice(&id, &body) {
+        ControlCall::Announce(id) => match D::read_announcement(&id, &body) {
             Ok(notice) => announce::<D>(&node, notice).await,
             Err(findings) => refuse(&node, &id, findings.to_string()),
         },
@@ -103,7 +103,7 @@
     typed_response(
         StatusCode::OK,
         JSON_TYPE,
-        D::announced(node.next_place(&domain)),
+        D::write_announce_reply(node.next_place(&domain)),
     )
 }
 
@@ -126,16 +126,16 @@
     let told = node.propose(command).await;
     tracing::info!(target: "group", table_version = table.version(), ?told, "table: change asked for");
     match told {
-        GroupTell::Done(CommandOutcome::Route(RouteOutcome::Conflict(version))) => {
+        LeaderReply::Done(CommandOutcome::Route(RouteOutcome::Conflict(version))) => {
             text_response(StatusCode::CONFLICT, format!("version {version} stands"))
         }
-        GroupTell::Done(_) => taken(),
+        LeaderReply::Done(_) => taken(),
         _ => unavailable("no quorum answered"),
     }
 }
 
 async fn get_table(node: &Rc<GroupNode>) -> FullResponse {
-    let GroupTell::Mark(mark) = node.read().await else {
+    let LeaderReply::Mark(mark) = node.read().await else {
         return unavailable("no quorum answered");
     };
     if mark.version == 0 || !node.wait_published(mark).await {
@@ -232,7 +232,7 @@
 /// Waits until what a quorum has confirmed is in force here. Returns the refusal
 /// of a question about it, if that can't be had now.
 async fn refuse_unconfirmed(node: &Rc<GroupNode>) -> Option<FullResponse> {
-    let GroupTell::Mark(mark) = node.read().await else {
+    let LeaderReply::Mark(mark) = node.read().await else {
         return Some(unavailable("no quorum answered"));
     };
     let is_here = node.wait_published(mark).await;
--- a/crates/node/src/process/group/caps.rs
+++ b/crates/node/src/process/group/caps.rs
@@ -6,7 +6,7 @@
 
 use wheelmast_core::process::cap::{TokenGrant, TokenRequest};
 use wheelmast_core::version::workspace::UsageCap;
-use wheelmast_wire::group::{GroupAsk, GroupTell};
+use wheelmast_wire::group::{LeaderReply, LeaderRequest};
 
 use crate::process::group::node::GroupNode;
 
@@ -90,22 +90,22 @@
     }
 
     async fn ask_owner(self: &Rc<Self>, asks: Vec<TokenRequest>) -> Option<Vec<TokenGrant>> {
-        let asked = self.ask_leader(GroupAsk::Caps(asks));
+        let asked = self.ask_leader(LeaderRequest::Caps(asks));
         match tokio::time::timeout(LEADER_TIME, asked).await {
-            Ok(GroupTell::Caps(grants)) => Some(grants),
+            Ok(LeaderReply::Caps(grants)) => Some(grants),
             _ => None,
         }
     }
 
     /// Grants tokens, if this instance leads.
-    pub fn grant_here(&self, asks: &[TokenRequest]) -> GroupTell {
+    pub fn grant_here(&self, asks: &[TokenRequest]) -> LeaderReply {
         if !self.leads() {
-            return GroupTell::Unknown;
+            return LeaderReply::Unknown;
         }
         let now = self.now();
         let owner = &mut self.state.borrow_mut().cap_owner;
         let grants = asks.iter().map(|ask| owner.grant(ask, now));
-        GroupTell::Caps(grants.collect())
+        LeaderReply::Caps(grants.collect())
     }
 
     /// Keeps tokens of the workspaces that are asked for in stock, until the
--- a/crates/node/src/process/group/evacuate.rs
+++ b/crates/node/src/process/group/evacuate.rs
@@ -4,7 +4,7 @@
 
 use wheelmast_core::process::control::evacuation::{EvacuationChange, EvacuationOutcome};
 use wheelmast_core::process::control::state::{CommandOutcome, ControlCommand};
-use wheelmast_wire::group::GroupTell;
+use wheelmast_wire::group::LeaderReply;
 
 use crate::process::group::node::{GroupNode, ORDER_TIME};
 
@@ -34,7 +34,7 @@
                 evacuated,
                 base,
             });
-            let GroupTell::Done(CommandOutcome::Evacuate(outcome)) = self.propose(command).await
+            let LeaderReply::Done(CommandOutcome::Evacuate(outcome)) = self.propose(command).await
             else {
                 return None;
             };
--- a/crates/node/src/process/group/inbound.rs
+++ b/crates/node/src/process/group/inbound.rs
@@ -11,7 +11,7 @@
 use wheelmast_core::process::control::state::MemberRecord;
 use wheelmast_core::process::forward::directory::ServerObserver;
 use wheelmast_core::process::forward::input::EntryPeer;
-use wheelmast_wire::group::{GroupAsk, GroupMessage, GroupTell};
+use wheelmast_wire::group::{GroupMessage, LeaderReply, LeaderRequest};
 
 use crate::connection::accept::next_stream;
 use crate::connection::frame::{end_when_silent, FrameReader};
@@ -175,9 +175,9 @@
             let node = node.clone();
             tokio::task::spawn_local(async move {
                 let tell = match ask {
-                    GroupAsk::Propose(command) => node.propose_here(command).await,
-                    GroupAsk::Read => node.read_here().await,
-                    GroupAsk::Caps(asks) => node.grant_here(&asks),
+                    LeaderRequest::Propose(command) => node.propose_here(command).await,
+                    LeaderRequest::Read => node.read_here().await,
+                    LeaderRequest::Caps(asks) => node.grant_here(&asks),
                 };
                 answer(&node, peer, GroupMessage::Told { tag, tell });
             });
@@ -378,7 +378,7 @@
 /// Confirms the table to an entry, as soon as a quorum says so.
 async fn confirm(node: Rc<GroupNode>, key: u64) {
     loop {
-        if let GroupTell::Mark(mark) = node.read().await {
+        if let LeaderReply::Mark(mark) = node.read().await {
             if node.wait_published(mark).await {
                 let mut state = node.state.borrow_mut();
                 let state = &mut *state;
--- a/crates/node/src/process/group/replica.rs
+++ b/crates/node/src/process/group/replica.rs
@@ -10,7 +10,7 @@
 };
 use wheelmast_core::process::control::replica::{ReplicaMachine, ReplicaStart, SafetyChecks};
 use wheelmast_core::process::control::state::ControlCommand;
-use wheelmast_wire::group::{ControlMark, GroupAsk, GroupMessage, GroupTell};
+use wheelmast_wire::group::{ControlRevisions, GroupMessage, LeaderReply, LeaderRequest};
 use wheelmast_wire::pack::unpack;
 
 use crate::process::group::disk::{DiskNote, DiskOrder};
@@ -146,10 +146,10 @@
         }
     }
 
-    fn tell(&self, result: ProposalResult) -> GroupTell {
+    fn tell(&self, result: ProposalResult) -> LeaderReply {
         match result {
-            ProposalResult::Done(outcome) => GroupTell::Done(outcome),
-            ProposalResult::NotLeader(_) | ProposalResult::Unknown => GroupTell::Unknown,
+            ProposalResult::Done(outcome) => LeaderReply::Done(outcome),
+            ProposalResult::NotLeader(_) | ProposalResult::Unknown => LeaderReply::Unknown,
         }
     }
 
@@ -233,7 +233,7 @@
 
     /// Waits until what is in force here has come as far as `mark`, for a short
     /// while.
-    pub async fn wait_published(&self, mark: ControlMark) -> bool {
+    pub async fn wait_published(&self, mark: ControlRevisions) -> bool {
         let wait = async {
             loop {
                 let changed = self.published.notified();
@@ -247,33 +247,33 @@
     }
 
     /// Makes a change, wherever the leader is.
-    pub async fn propose(self: &Rc<Self>, command: ControlCommand) -> GroupTell {
-        self.ask_leader(GroupAsk::Propose(command)).await
+    pub async fn propose(self: &Rc<Self>, command: ControlCommand) -> LeaderReply {
+        self.ask_leader(LeaderRequest::Propose(command)).await
     }
 
     /// Asks what is in force for sure, wherever the leader is.
-    pub async fn read(self: &Rc<Self>) -> GroupTell {
-        self.ask_leader(GroupAsk::Read).await
+    pub async fn read(self: &Rc<Self>) -> LeaderReply {
+        self.ask_leader(LeaderRequest::Read).await
     }
 
-    pub(super) async fn ask_leader(self: &Rc<Self>, ask: GroupAsk) -> GroupTell {
+    pub(super) async fn ask_leader(self: &Rc<Self>, ask: LeaderRequest) -> LeaderReply {
         let wait = async {
             loop {
                 if self.leads() {
                     return match ask {
-                        GroupAsk::Propose(command) => self.propose_here(command).await,
-                        GroupAsk::Read => self.read_here().await,
-                        GroupAsk::Caps(asks) => self.grant_here(&asks),
+                        LeaderRequest::Propose(command) => self.propose_here(command).await,
+                        LeaderRequest::Read => self.read_here().await,
+                        LeaderRequest::Caps(asks) => self.grant_here(&asks),
                     };
                 }
                 if let Some(answer) = self.ask_over_link(&ask) {
-                    return answer.await.unwrap_or(GroupTell::Unknown);
+                    return answer.await.unwrap_or(LeaderReply::Unknown);
                 }
                 tokio::time::sleep(LEADER_PAUSE).await;
             }
         };
         let told = tokio::time::timeout(ASK_TIME, wait).await;
-        told.unwrap_or(GroupTell::Unknown)
+        told.unwrap_or(LeaderReply::Unknown)
     }
 
     pub(super) fn leads(&self) -> bool {
@@ -282,7 +282,7 @@
         replica.is_some_and(ReplicaMachine::is_leader)
     }
 
-    fn ask_over_link(&self, ask: &GroupAsk) -> Option<oneshot::Receiver<GroupTell>> {
+    fn ask_over_link(&self, ask: &LeaderRequest) -> Option<oneshot::Receiver<LeaderReply>> {
         let tag = self.next_tag();
         let mut state = self.state.borrow_mut();
         let leader = state.replica.as_ref()?.leader()?;
@@ -302,28 +302,31 @@
     ///
     /// Nothing is taken before the group has the size it needs: what is
     /// acknowledged must outlast the losses that are to be borne.
-    pub async fn propose_here(self: &Rc<Self>, command: ControlCommand) -> GroupTell {
+    pub async fn propose_here(self: &Rc<Self>, command: ControlCommand) -> LeaderReply {
         let is_founded = {
             let state = self.state.borrow();
             let replica = state.replica.as_ref();
             replica.is_some_and(|replica| replica.state().is_founded())
         };
         if !is_founded {
-            return GroupTell::Unknown;
+            return LeaderReply::Unknown;
         }
         self.step_and_wait(|tag| ReplicaInput::Propose { tag, command })
             .await
     }
 
     /// Asks what is in force for sure, if this instance leads.
-    pub async fn read_here(self: &Rc<Self>) -> GroupTell {
+    pub async fn read_here(self: &Rc<Self>) -> LeaderReply {
         match self.step_and_wait(|tag| ReplicaInput::Read { tag }).await {
-            GroupTell::Done(_) => GroupTell::Mark(self.state.borrow().mark()),
-            _ => GroupTell::Unknown,
+            LeaderReply::Done(_) => LeaderReply::Mark(self.state.borrow().mark()),
+            _ => LeaderReply::Unknown,
         }
     }
 
-    async fn step_and_wait(self: &Rc<Self>, input: impl FnOnce(u64) -> ReplicaInput) -> GroupTell {
+    async fn step_and_wait(
+        self: &Rc<Self>,
+        input: impl FnOnce(u64) -> ReplicaInput,
+    ) -> LeaderReply {
         let tag = self.next_tag();
         let (sender, receiver) = oneshot::channel();
         self.state.borrow_mut().asks.insert(tag, sender);
@@ -332,7 +335,7 @@
         self.state.borrow_mut().asks.remove(&tag);
         match told {
             Ok(Ok(tell)) => tell,
-            _ => GroupTell::Unknown,
+            _ => LeaderReply::Unknown,
         }
     }
 
--- a/crates/node/src/process/group/rollouts.rs
+++ b/crates/node/src/process/group/rollouts.rs
@@ -12,7 +12,7 @@
 use wheelmast_core::process::rollout::judge::{RolloutAge, RolloutEvaluator};
 use wheelmast_core::process::rollout::{RolloutView, VersionOutcomes};
 use wheelmast_wire::dialect::RolloutOrder;
-use wheelmast_wire::group::{GroupMessage, GroupTell};
+use wheelmast_wire::group::{GroupMessage, LeaderReply};
 
 use crate::process::group::node::{GroupNode, FRESH_TIME, ORDER_TIME};
 
@@ -104,7 +104,7 @@
         });
         let told = tokio::time::timeout(ORDER_TIME, self.propose(command)).await;
         match told {
-            Ok(GroupTell::Done(CommandOutcome::Rollout(outcome))) => Some(outcome),
+            Ok(LeaderReply::Done(CommandOutcome::Rollout(outcome))) => Some(outcome),
             _ => None,
         }
     }
--- a/crates/node/src/process/group/state.rs
+++ b/crates/node/src/process/group/state.rs
@@ -17,7 +17,7 @@
 use wheelmast_core::process::forward::source::ControlSite;
 use wheelmast_core::process::forward::suspect::registry::SuspectRegistry;
 use wheelmast_core::request::mark::RequestFingerprint;
-use wheelmast_wire::group::{ControlMark, GroupMessage, GroupTell};
+use wheelmast_wire::group::{ControlRevisions, GroupMessage, LeaderReply};
 
 use crate::connection::frame::write_frame;
 use crate::process::group::disk::DiskOrder;
@@ -219,7 +219,7 @@
     /// What the entries were told last of the control instances.
     pub told_control: Vec<ControlSite>,
     /// Questions that wait for their answer.
-    pub asks: HashMap<u64, oneshot::Sender<GroupTell>>,
+    pub asks: HashMap<u64, oneshot::Sender<LeaderReply>>,
     /// Answers that came to no question.
     pub stray_answers: u64,
     /// Servers that other instances said to hear and that were not known here.
@@ -254,8 +254,8 @@
     }
 
     /// Returns how far what is in force here has come.
-    pub fn mark(&self) -> ControlMark {
-        ControlMark {
+    pub fn mark(&self) -> ControlRevisions {
+        ControlRevisions {
             version: self.published.version,
             evacuations: self.evacuations.revision,
             rollouts: self.rollouts.revision,
@@ -263,7 +263,7 @@
     }
 
     /// Tells whether what is in force here has come as far as `mark`.
-    pub fn has_reached(&self, mark: ControlMark) -> bool {
+    pub fn has_reached(&self, mark: ControlRevisions) -> bool {
         let here = self.mark();
         here.version >= mark.version
             && here.evacuations >= mark.evacuations
--- a/crates/node/src/process/operators.rs
+++ b/crates/node/src/process/operators.rs
@@ -17,7 +17,7 @@
 use wheelmast_core::prelude::RequestId;
 use wheelmast_wire::caller::OUTCOME_UNKNOWN;
 use wheelmast_wire::prelude::{
-    DecisionLine, InstanceStatus, ProblemBody, TableChange, TableStatus, VersionLine,
+    DecisionLine, InstanceStatus, ProblemBody, TableChange, TableHistoryEntry, TableStatus,
 };
 
 use crate::process::change::{ChangeDesk, ChangeResult};
@@ -84,7 +84,11 @@
 
 fn alone() -> Response {
     let detail = "the instance is alone: its table comes from its settings";
-    respond_problem(&ProblemBody::early(404, "no-control-group", detail))
+    respond_problem(&ProblemBody::before_admission(
+        404,
+        "no-control-group",
+        detail,
+    ))
 }
 
 async fn table(State(state): State<OperatorState>) -> Response {
@@ -115,11 +119,15 @@
     let Some(desk) = &state.desk else {
         return alone();
     };
-    let versions = desk.history().await.into_iter().map(|table| VersionLine {
-        version: table.version,
-        change: table.change,
-        note: table.note,
-    });
+    let versions = desk
+        .history()
+        .await
+        .into_iter()
+        .map(|table| TableHistoryEntry {
+            version: table.version,
+            change: table.change,
+            note: table.note,
+        });
     Json(versions.collect::<Vec<_>>()).into_response()
 }
 
@@ -132,7 +140,7 @@
         if !has_key(&headers, TOKEN_HEADER, token) {
             tracing::warn!("table: a change with a wrong token was turned away");
             let detail = format!("{TOKEN_HEADER} does not hold the operators' token");
-            return respond_problem(&ProblemBody::early(403, "wrong-token", detail));
+            return respond_problem(&ProblemBody::before_admission(403, "wrong-token", detail));
         }
     }
     let Some(desk) = &state.desk else {
@@ -142,13 +150,13 @@
         ChangeResult::Decided(body) => Json(body).into_response(),
         ChangeResult::NoLeader => {
             let detail = "no leader of the control group is in reach; nothing was changed";
-            let mut problem = ProblemBody::early(503, "no-leader", detail);
+            let mut problem = ProblemBody::before_admission(503, "no-leader", detail);
             problem.retry_after_ms = Some(1000);
             respond_problem(&problem)
         }
         ChangeResult::Unknown => {
             let detail = "not known whether it is accepted; resend it with the same change id";
-            let mut problem = ProblemBody::early(504, "outcome-unknown", detail);
+            let mut problem = ProblemBody::before_admission(504, "outcome-unknown", detail);
             problem.outcome = OUTCOME_UNKNOWN.to_string();
             problem.retry_after_ms = Some(1000);
             respond_problem(&problem)
@@ -194,7 +202,7 @@
 
 async fn explain(State(state): State<OperatorState>, Path(request): Path<String>) -> Response {
     let Ok(request) = request.parse::<RequestId>() else {
-        let problem = ProblemBody::early(
+        let problem = ProblemBody::before_admission(
             400,
             "malformed-request-id",
             "a request's identity is two hexadecimal numbers with a hyphen between",
@@ -203,7 +211,7 @@
     };
     let lines = state.book.explain(request);
     if lines.is_empty() {
-        let problem = ProblemBody::early(
+        let problem = ProblemBody::before_admission(
             404,
             "unknown-request",
             "not a request of this instance, not sampled, or no longer kept",
--- a/crates/node/src/process/peers.rs
+++ b/crates/node/src/process/peers.rs
@@ -12,7 +12,7 @@
 use tokio::sync::oneshot;
 use wheelmast_core::process::gossip::machine::GossipInput;
 use wheelmast_wire::peer::{
-    decode, encode, PeerReply, PeerRequest, KEY_HEADER, PEER_BYTES, PEER_PATH,
+    decode, encode, PeerReply, PeerRequest, KEY_HEADER, MAX_PEER_MESSAGE_BYTES, PEER_PATH,
 };
 
 use crate::process::control::ControlMessage;
@@ -34,7 +34,7 @@
 pub fn peer_router(state: PeerState) -> Router {
     Router::new()
         .route(PEER_PATH, post(take))
-        .layer(DefaultBodyLimit::max(PEER_BYTES))
+        .layer(DefaultBodyLimit::max(MAX_PEER_MESSAGE_BYTES))
         .with_state(state)
 }
 
--- a/crates/node/src/process/status.rs
+++ b/crates/node/src/process/status.rs
@@ -5,7 +5,7 @@
 use wheelmast_core::prelude::{EntryMachine, RoutePolicy};
 use wheelmast_core::process::counters::EntryCounters;
 use wheelmast_core::process::roster::ServerRecord;
-use wheelmast_wire::prelude::{GateStatus, InstanceStatus, ServerStatus};
+use wheelmast_wire::prelude::{InstanceStatus, ServerStatus, ServiceStatus};
 
 /// The entry machine's state at one moment.
 #[derive(Debug)]
@@ -20,12 +20,12 @@
 
 /// Describes a machine at time `now`.
 pub fn describe<P: RoutePolicy>(machine: &EntryMachine<P>, now: Duration) -> EntryReport {
-    let services = machine.gates().iter().map(|(service, gate)| GateStatus {
+    let services = machine.gates().iter().map(|(service, gate)| ServiceStatus {
         service: service.to_string(),
         running: gate.running,
         queued: gate.queue.len() as u32,
     });
-    let mut services: Vec<GateStatus> = services.collect();
+    let mut services: Vec<ServiceStatus> = services.collect();
     services.sort_by(|a, b| a.service.cmp(&b.service));
     let servers = machine.roster().servers();
     EntryReport {
--- a/crates/node/tests/cluster.rs
+++ b/crates/node/tests/cluster.rs
@@ -13,7 +13,9 @@
 use wheelmast_fake::announcer::AnnounceTarget;
 use wheelmast_fake::deployment::kivela;
 use wheelmast_fake::world::FakeWorld;
-use wheelmast_wire::prelude::{ApplyBody, InstanceStatus, MemberStatus, TableStatus, VersionLine};
+use wheelmast_wire::prelude::{
+    InstanceStatus, MemberStatus, TableChangeResult, TableHistoryEntry, TableStatus,
+};
 
 const REPLICAS: usize = 3;
 /// Instances: the replicas, and one without a disk.
@@ -145,12 +147,18 @@
     }
 
     /// Applies a change at an instance until it is decided.
-    async fn apply(&self, node: usize, base: u64, change: &str) -> ApplyBody {
+    async fn apply(&self, node: usize, base: u64, change: &str) -> TableChangeResult {
         let csv = format!("service,kind,weight\nsearch,query,{}\n", base % 1000 + 1);
         self.apply_csv(node, base, change, &csv).await
     }
 
-    async fn apply_csv(&self, node: usize, base: u64, change: &str, csv: &str) -> ApplyBody {
+    async fn apply_csv(
+        &self,
+        node: usize,
+        base: u64,
+        change: &str,
+        csv: &str,
+    ) -> TableChangeResult {
         let body = serde_json::json!({
             "base": base, "change": change, "note": "test", "csv": csv,
         });
@@ -222,7 +230,7 @@
             .await;
         assert_eq!(
             outcome,
-            ApplyBody::Accepted {
+            TableChangeResult::Accepted {
                 version: number + 1
             }
         );
@@ -242,12 +250,12 @@
         let outcome = cluster.apply(3, number, &format!("c{number}")).await;
         assert_eq!(
             outcome,
-            ApplyBody::Accepted {
+            TableChangeResult::Accepted {
                 version: number + 1
             }
         );
     }
-    let history: Option<Vec<VersionLine>> = cluster.get(3, "/v1/table/history").await;
+    let history: Option<Vec<TableHistoryEntry>> = cluster.get(3, "/v1/table/history").await;
     let history = history.expect("it answers");
     for line in &history {
         assert_eq!(line.change, format!("c{}", line.version - 1));
@@ -266,15 +274,15 @@
         let mut won = 0;
         for outcome in [one, other] {
             match outcome {
-                ApplyBody::Accepted { version } => {
+                TableChangeResult::Accepted { version } => {
                     assert_eq!(version, base + 1);
                     won += 1;
                 }
-                ApplyBody::Conflict { version, csv } => {
+                TableChangeResult::Conflict { version, csv } => {
                     assert_eq!(version, base + 1);
                     assert!(csv.contains("search"), "it shows what stands");
                 }
-                ApplyBody::Rejected { findings } => panic!("{findings:?}"),
+                TableChangeResult::Rejected { findings } => panic!("{findings:?}"),
             }
         }
         assert_eq!(won, 1, "base {base}");
@@ -303,7 +311,7 @@
     let status = cluster.command(1).status().expect("wheelmastd starts");
     assert_eq!(status.code(), Some(1));
     let outcome = cluster.apply(3, 5, "c5").await;
-    assert_eq!(outcome, ApplyBody::Accepted { version: 6 });
+    assert_eq!(outcome, TableChangeResult::Accepted { version: 6 });
     // Without a quorum nothing is accepted, and what is in force stays.
     cluster.kill(2);
     let body = r#"{"base":6,"change":"c6","csv":"service,kind\nsearch,query\n"}"#;
@@ -314,7 +322,7 @@
     cluster.wait_version(3, 6).await;
     cluster.start(2);
     let outcome = cluster.apply(3, 6, "c6").await;
-    assert_eq!(outcome, ApplyBody::Accepted { version: 7 });
+    assert_eq!(outcome, TableChangeResult::Accepted { version: 7 });
     cluster.wait_version(3, 7).await;
 }
 
--- a/crates/node/tests/process.rs
+++ b/crates/node/tests/process.rs
@@ -14,7 +14,7 @@
 use wheelmast_fake::announcer::AnnounceTarget;
 use wheelmast_fake::deployment::kivela;
 use wheelmast_fake::world::FakeWorld;
-use wheelmast_wire::prelude::{AnnouncementBody, AnswerBody, HeldBody, ProblemBody};
+use wheelmast_wire::prelude::{AnnouncementBody, AnswerBody, HeldSnapshotBody, ProblemBody};
 
 /// A running `wheelmastd`; killed if the test ends early.
 struct Daemon {
@@ -308,7 +308,7 @@
             incarnation: 1,
             sequence: 1,
             phase: "serving".into(),
-            held: vec![HeldBody {
+            held: vec![HeldSnapshotBody {
                 epoch: 1,
                 version: 1,
                 shard: 0,
--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -35,7 +35,7 @@
 
 /// A shard that is not in an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MissingBody {
+pub struct MissingShardBody {
     /// Number of the shard.
     pub shard: u32,
     /// Why: `no-server`, `too-late`, `failed` or `snapshot-retired`.
@@ -50,12 +50,12 @@
     /// Shards in the answer.
     pub answered: u32,
     /// The shards that are not.
-    pub missing: Vec<MissingBody>,
+    pub missing: Vec<MissingShardBody>,
 }
 
 impl From<&CoverageReport> for CoverageBody {
     fn from(report: &CoverageReport) -> CoverageBody {
-        let missing = report.missing.iter().map(|missing| MissingBody {
+        let missing = report.missing.iter().map(|missing| MissingShardBody {
             shard: missing.shard,
             reason: missing.reason.label().to_string(),
         });
@@ -156,9 +156,9 @@
 
 impl ProblemBody {
     /// Returns the problem of a request that was never let in.
-    pub fn early(status: u16, label: &str, detail: impl Into<String>) -> ProblemBody {
+    pub fn before_admission(status: u16, label: &str, detail: impl Into<String>) -> ProblemBody {
         ProblemBody {
-            kind: problem_kind(label),
+            kind: problem_type_uri(label),
             title: label.replace('-', " "),
             status,
             detail: Some(detail.into()),
@@ -176,16 +176,16 @@
             RunState::NotRun => OUTCOME_NOT_RUN,
             RunState::Unknown => OUTCOME_UNKNOWN,
         };
-        let is_sent = refusal.coverage.asked > 0;
+        let was_sent = refusal.coverage.asked > 0;
         ProblemBody {
-            kind: problem_kind(label),
+            kind: problem_type_uri(label),
             title: label.replace('-', " "),
             status: refusal_status(refusal.reason),
             detail: None,
             request: Some(refusal.request.to_string()),
             outcome: outcome.to_string(),
             retry_after_ms: refusal.retry_after.map(|wait| wait.as_millis() as u64),
-            coverage: is_sent.then(|| (&refusal.coverage).into()),
+            coverage: was_sent.then(|| (&refusal.coverage).into()),
         }
     }
 
@@ -196,7 +196,7 @@
     }
 }
 
-fn problem_kind(label: &str) -> String {
+fn problem_type_uri(label: &str) -> String {
     format!("urn:wheelmast:problem:{label}")
 }
 
--- a/crates/wire/src/dialect.rs
+++ b/crates/wire/src/dialect.rs
@@ -100,14 +100,14 @@
 
     /// Writes the answer to an announcement: where the server should make its
     /// next ones, if that is elsewhere.
-    fn announced(next: Option<SocketAddr>) -> String;
+    fn write_announce_reply(next: Option<SocketAddr>) -> String;
 
     /// Reads the announcement of a server.
     ///
     /// # Errors
     ///
     /// Returns all findings at once.
-    fn read_notice(id: &str, text: &[u8]) -> Result<ServerAnnouncement, FindingList>;
+    fn read_announcement(id: &str, text: &[u8]) -> Result<ServerAnnouncement, FindingList>;
 
     /// Reads what a server says when it leaves; it need not say anything.
     ///
@@ -118,7 +118,7 @@
 }
 
 /// Returns the one finding that a text is not what was expected.
-pub fn unreadable(error: &serde_json::Error) -> FindingList {
+pub fn parse_error_findings(error: &serde_json::Error) -> FindingList {
     let mut findings = FindingList::default();
     let place = wheelmast_core::finding::FindingPlace::Text {
         line: error.line(),
--- a/crates/wire/src/group.rs
+++ b/crates/wire/src/group.rs
@@ -16,7 +16,7 @@
 use wheelmast_core::process::rollout::{RolloutView, VersionOutcomes};
 
 /// Largest frame, in bytes.
-pub const FRAME_BYTES: usize = 8 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
 /// One message.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -77,14 +77,14 @@
         /// The sender's name for it.
         tag: u64,
         /// The question.
-        ask: GroupAsk,
+        ask: LeaderRequest,
     },
     /// The answer to [`GroupMessage::Ask`].
     Told {
         /// The asker's name for it.
         tag: u64,
         /// The answer.
-        tell: GroupTell,
+        tell: LeaderReply,
     },
     /// An entry asks for what is urgent: servers that leave, versions of the
     /// route table, control instances.
@@ -242,7 +242,7 @@
 
 /// How far the state that the control group agreed on has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct ControlMark {
+pub struct ControlRevisions {
     /// Version of the route table; 0 for none.
     pub version: u64,
     /// Revision of the failure domains out of use; 0 for none yet.
@@ -253,7 +253,7 @@
 
 /// A question to the leader.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum GroupAsk {
+pub enum LeaderRequest {
     /// Make this change.
     Propose(ControlCommand),
     /// What is in force for sure?
@@ -264,11 +264,11 @@
 
 /// The leader's answer.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum GroupTell {
+pub enum LeaderReply {
     /// The change is made, with this outcome.
     Done(CommandOutcome),
     /// This is in force.
-    Mark(ControlMark),
+    Mark(ControlRevisions),
     /// It cannot be said now.
     Unknown,
     /// What is granted, in the order of the questions.
--- a/crates/wire/src/native.rs
+++ b/crates/wire/src/native.rs
@@ -9,10 +9,12 @@
 use wheelmast_core::process::forward::directory::{ServerAnnouncement, ServerLifecycle};
 use wheelmast_core::version::route_table::RouteDraft;
 
-use crate::dialect::{unreadable, ControlCall, ForwardDialect, HeaderNames, RolloutOrder};
+use crate::dialect::{
+    parse_error_findings, ControlCall, ForwardDialect, HeaderNames, RolloutOrder,
+};
 
 /// Path of a server's announcement, before its id.
-const UPSTREAM_PATH: &str = "/v1/servers/";
+const SERVERS_PATH: &str = "/v1/servers/";
 /// Path of the route table.
 pub const ROUTES_PATH: &str = "/v1/routes";
 /// Path of the failure domains that are out of use.
@@ -28,7 +30,7 @@
 
 /// An announcement as JSON.
 #[derive(Debug, Deserialize)]
-struct NoticeBody {
+struct ServerAnnouncementBody {
     service: Box<str>,
     address: SocketAddr,
     failure_domain: Box<str>,
@@ -81,13 +83,13 @@
             ("GET", EVACUATIONS_PATH) => return Some(ControlCall::ListEvacuations),
             _ => {}
         }
-        if let Some(call) = evacuation_call(method, path) {
+        if let Some(call) = parse_evacuation_call(method, path) {
             return Some(call);
         }
-        if let Some(call) = rollout_call(method, path) {
+        if let Some(call) = parse_rollout_call(method, path) {
             return Some(call);
         }
-        let id = path.strip_prefix(UPSTREAM_PATH)?;
+        let id = path.strip_prefix(SERVERS_PATH)?;
         match method {
             "PUT" => Some(ControlCall::Announce(id.to_string())),
             "DELETE" => Some(ControlCall::Withdraw(id.to_string())),
@@ -96,7 +98,8 @@
     }
 
     fn read_rollout(text: &[u8]) -> Result<RolloutOrder, FindingList> {
-        let body: RolloutBody = serde_json::from_slice(text).map_err(|error| unreadable(&error))?;
+        let body: RolloutBody =
+            serde_json::from_slice(text).map_err(|error| parse_error_findings(&error))?;
         Ok(RolloutOrder {
             service: body.service,
             target: body.version,
@@ -114,17 +117,18 @@
         serde_json::json!({ "version": target, "state": state }).to_string()
     }
 
-    fn announced(next: Option<SocketAddr>) -> String {
+    fn write_announce_reply(next: Option<SocketAddr>) -> String {
         let next = next.map(|next| next.to_string());
         serde_json::json!({ "next": next }).to_string()
     }
 
     fn read_table(text: &[u8]) -> Result<RouteDraft, FindingList> {
-        serde_json::from_slice(text).map_err(|error| unreadable(&error))
+        serde_json::from_slice(text).map_err(|error| parse_error_findings(&error))
     }
 
-    fn read_notice(id: &str, text: &[u8]) -> Result<ServerAnnouncement, FindingList> {
-        let body: NoticeBody = serde_json::from_slice(text).map_err(|error| unreadable(&error))?;
+    fn read_announcement(id: &str, text: &[u8]) -> Result<ServerAnnouncement, FindingList> {
+        let body: ServerAnnouncementBody =
+            serde_json::from_slice(text).map_err(|error| parse_error_findings(&error))?;
         let standing = if body.draining {
             ServerLifecycle::Draining
         } else {
@@ -149,19 +153,19 @@
             return Ok(ServerAnnouncement::gone(id, 0));
         }
         let body: WithdrawalBody =
-            serde_json::from_slice(text).map_err(|error| unreadable(&error))?;
+            serde_json::from_slice(text).map_err(|error| parse_error_findings(&error))?;
         Ok(ServerAnnouncement::gone(id, body.born))
     }
 }
 
 /// Tells whether a method and a path ask for a roll-out.
-fn rollout_call(method: &str, path: &str) -> Option<ControlCall> {
+fn parse_rollout_call(method: &str, path: &str) -> Option<ControlCall> {
     let service = path.strip_prefix(ROLLOUTS_PATH)?.strip_prefix('/')?;
     (method == "GET" && !service.is_empty()).then(|| ControlCall::GetRollout(service.to_string()))
 }
 
 /// Tells which call concerning a failure domain a method and a path are.
-fn evacuation_call(method: &str, path: &str) -> Option<ControlCall> {
+fn parse_evacuation_call(method: &str, path: &str) -> Option<ControlCall> {
     let domain = path.strip_prefix(EVACUATIONS_PATH)?.strip_prefix('/')?;
     if domain.is_empty() {
         return None;
--- a/crates/wire/src/operator.rs
+++ b/crates/wire/src/operator.rs
@@ -38,7 +38,7 @@
 
 /// A service as an instance treats it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct GateStatus {
+pub struct ServiceStatus {
     /// Name of the service.
     pub service: String,
     /// Requests at work.
@@ -61,7 +61,7 @@
     /// Decisions that found the ring full and were not recorded.
     pub decisions_dropped: u64,
     /// Its services.
-    pub services: Vec<GateStatus>,
+    pub services: Vec<ServiceStatus>,
     /// The upstream servers it knows.
     pub servers: Vec<ServerStatus>,
 }
@@ -98,7 +98,7 @@
 /// What came of a change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "kebab-case")]
-pub enum ApplyBody {
+pub enum TableChangeResult {
     /// It is accepted as this version.
     Accepted {
         /// The version.
@@ -120,7 +120,7 @@
 
 /// One version of the table in its history.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct VersionLine {
+pub struct TableHistoryEntry {
     /// Its number.
     pub version: u64,
     /// The change that made it.
--- a/crates/wire/src/pack.rs
+++ b/crates/wire/src/pack.rs
@@ -10,7 +10,7 @@
 use crate::upstream::MessageError;
 
 /// Largest document that is unpacked, in bytes.
-pub const UNPACKED_BYTES: u64 = 32 * 1024 * 1024;
+pub const MAX_UNPACKED_BYTES: u64 = 32 * 1024 * 1024;
 
 /// Packs a document.
 ///
@@ -19,8 +19,8 @@
 /// Fails if the library does.
 pub fn pack(text: &[u8]) -> Result<Vec<u8>, MessageError> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
-    encoder.write_all(text).map_err(failure)?;
-    encoder.finish().map_err(failure)
+    encoder.write_all(text).map_err(pack_error)?;
+    encoder.finish().map_err(pack_error)
 }
 
 /// Unpacks what [`pack`] returned.
@@ -30,15 +30,15 @@
 /// Fails on what was not packed, and on what would become too large.
 pub fn unpack(packed: &[u8]) -> Result<Vec<u8>, MessageError> {
     let mut text = Vec::new();
-    let mut decoder = DeflateDecoder::new(packed).take(UNPACKED_BYTES + 1);
-    decoder.read_to_end(&mut text).map_err(failure)?;
-    if text.len() as u64 > UNPACKED_BYTES {
-        let message = format!("a document of over {UNPACKED_BYTES} bytes");
+    let mut decoder = DeflateDecoder::new(packed).take(MAX_UNPACKED_BYTES + 1);
+    decoder.read_to_end(&mut text).map_err(pack_error)?;
+    if text.len() as u64 > MAX_UNPACKED_BYTES {
+        let message = format!("a document of over {MAX_UNPACKED_BYTES} bytes");
         return Err(MessageError(message));
     }
     Ok(text)
 }
 
-fn failure(error: std::io::Error) -> MessageError {
+fn pack_error(error: std::io::Error) -> MessageError {
     MessageError(format!("could not pack or unpack: {error}"))
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -14,7 +14,7 @@
 /// Header with the key of the cluster.
 pub const KEY_HEADER: &str = "wheelmast-key";
 /// Largest message, in bytes.
-pub const PEER_BYTES: usize = 32 * 1024 * 1024;
+pub const MAX_PEER_MESSAGE_BYTES: usize = 32 * 1024 * 1024;
 
 /// A message to another instance.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -81,7 +81,7 @@
 ///
 /// Fails if they are no such value, or if it would take too much memory.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, MessageError> {
-    let config = bincode::config::standard().with_limit::<PEER_BYTES>();
+    let config = bincode::config::standard().with_limit::<MAX_PEER_MESSAGE_BYTES>();
     let (value, used) = bincode::serde::decode_from_slice(bytes, config)
         .map_err(|error| MessageError(error.to_string()))?;
     if used != bytes.len() {
--- a/crates/wire/src/prelude.rs
+++ b/crates/wire/src/prelude.rs
@@ -1,12 +1,12 @@
 //! The common messages, for a single `use`.
 
 pub use crate::caller::{
-    AnswerBody, CoverageBody, HitBody, MissingBody, ProblemBody, SnapshotBody,
+    AnswerBody, CoverageBody, HitBody, MissingShardBody, ProblemBody, SnapshotBody,
 };
 pub use crate::operator::{
-    ApplyBody, DecisionLine, GateStatus, InstanceStatus, MemberStatus, ServerStatus, TableChange,
-    TableStatus, VersionLine,
+    DecisionLine, InstanceStatus, MemberStatus, ServerStatus, ServiceStatus, TableChange,
+    TableChangeResult, TableHistoryEntry, TableStatus,
 };
 pub use crate::upstream::{
-    AnnouncementBody, HeldBody, NotRunBody, SearchReply, SearchRequest, UpstreamHit,
+    AnnouncementBody, HeldSnapshotBody, NotRunBody, SearchReply, SearchRequest, UpstreamHit,
 };
--- a/crates/wire/src/upstream.rs
+++ b/crates/wire/src/upstream.rs
@@ -15,9 +15,9 @@
 /// Path of an announcement at an instance.
 pub const ANNOUNCE_PATH: &str = "/v1/announce";
 /// Most hits taken from one reply.
-pub const REPLY_HITS: usize = 10_000;
+pub const MAX_REPLY_HITS: usize = 10_000;
 /// Longest lease an announcement may ask for, in milliseconds.
-pub const LONGEST_LEASE_MS: u64 = 60_000;
+pub const MAX_LEASE_MS: u64 = 60_000;
 
 /// A subquery.
 #[derive(Debug, Serialize, Deserialize)]
@@ -80,12 +80,12 @@
     pub retry_after_ms: Option<u64>,
     /// With status 410: the snapshots held now.
     #[serde(default)]
-    pub held: Vec<HeldBody>,
+    pub held: Vec<HeldSnapshotBody>,
 }
 
 /// A snapshot that a server holds.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub struct HeldBody {
+pub struct HeldSnapshotBody {
     /// Partitioning epoch.
     pub epoch: u32,
     /// Index version.
@@ -114,7 +114,7 @@
     /// `starting`, `serving`, `draining` or `left`.
     pub phase: String,
     /// Snapshots it holds.
-    pub held: Vec<HeldBody>,
+    pub held: Vec<HeldSnapshotBody>,
     /// Subqueries it works on at a time.
     pub slots: u32,
     /// Connections it accepts.
@@ -139,7 +139,7 @@
 impl std::error::Error for MessageError {}
 
 /// Returns the word for a kind of request.
-pub fn kind_word(kind: RequestKind) -> &'static str {
+pub fn request_kind_label(kind: RequestKind) -> &'static str {
     match kind {
         RequestKind::Query => "query",
         RequestKind::Fetch => "fetch",
@@ -152,13 +152,13 @@
 /// # Errors
 ///
 /// Fails if the caller's payload is not JSON.
-pub fn encode_search(order: &SendOrder, now: Duration) -> Result<Vec<u8>, MessageError> {
+pub fn encode_search_request(order: &SendOrder, now: Duration) -> Result<Vec<u8>, MessageError> {
     let payload: &RawValue = serde_json::from_slice(&order.body.payload)
         .map_err(|error| MessageError(error.to_string()))?;
     let request = SearchRequest {
         attempt: order.id.to_string(),
         request: order.request.to_string(),
-        kind: kind_word(order.body.kind).to_string(),
+        kind: request_kind_label(order.body.kind).to_string(),
         shard: order.shard,
         epoch: order.snapshot.epoch,
         version: order.snapshot.version,
@@ -181,7 +181,7 @@
 
 fn decode_hits(body: &[u8]) -> Option<ReplyBody> {
     let reply: SearchReply = serde_json::from_slice(body).ok()?;
-    if reply.hits.len() > REPLY_HITS {
+    if reply.hits.len() > MAX_REPLY_HITS {
         return None;
     }
     let attempt: AttemptId = reply.attempt.parse().ok()?;
@@ -219,8 +219,8 @@
     }
 }
 
-impl From<HeldBody> for HeldSnapshot {
-    fn from(held: HeldBody) -> HeldSnapshot {
+impl From<HeldSnapshotBody> for HeldSnapshot {
+    fn from(held: HeldSnapshotBody) -> HeldSnapshot {
         HeldSnapshot {
             snapshot: SnapshotId {
                 epoch: held.epoch,
@@ -232,9 +232,9 @@
     }
 }
 
-impl From<HeldSnapshot> for HeldBody {
-    fn from(held: HeldSnapshot) -> HeldBody {
-        HeldBody {
+impl From<HeldSnapshot> for HeldSnapshotBody {
+    fn from(held: HeldSnapshot) -> HeldSnapshotBody {
+        HeldSnapshotBody {
             epoch: held.snapshot.epoch,
             version: held.snapshot.version,
             shard: held.shard,
@@ -249,22 +249,22 @@
 ///
 /// Names what cannot be taken.
 pub fn read_announcement(body: AnnouncementBody) -> Result<UpstreamAnnouncement, MessageError> {
-    let problem = |text: &str| Err(MessageError(text.to_string()));
+    let invalid = |text: &str| Err(MessageError(text.to_string()));
     if body.server.is_empty() || body.upstream.is_empty() {
-        return problem("server and upstream must be named");
+        return invalid("server and upstream must be named");
     }
     if body.slots == 0 || body.connections == 0 {
-        return problem("slots and connections must be 1 or more");
+        return invalid("slots and connections must be 1 or more");
     }
-    if body.lease_ms == 0 || body.lease_ms > LONGEST_LEASE_MS {
-        return problem("lease_ms must be from 1 to 60000");
+    if body.lease_ms == 0 || body.lease_ms > MAX_LEASE_MS {
+        return invalid("lease_ms must be from 1 to 60000");
     }
     let phase = match body.phase.as_str() {
         "starting" => ServerPhase::Starting,
         "serving" => ServerPhase::Serving,
         "draining" => ServerPhase::Draining,
         "left" => ServerPhase::Left,
-        _ => return problem("phase must be starting, serving, draining or left"),
+        _ => return invalid("phase must be starting, serving, draining or left"),
     };
     Ok(UpstreamAnnouncement {
         name: body.server.into(),
--- a/crates/wire/tests/decode.rs
+++ b/crates/wire/tests/decode.rs
@@ -5,7 +5,7 @@
 use proptest::test_runner::{Config, RngSeed};
 use wheelmast_core::prelude::ReplyStatus;
 use wheelmast_wire::prelude::AnnouncementBody;
-use wheelmast_wire::upstream::{decode_reply, read_announcement, REPLY_HITS};
+use wheelmast_wire::upstream::{decode_reply, read_announcement, MAX_REPLY_HITS};
 
 struct ReplyCase {
     name: &'static str,
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn only_a_clear_word_counts_as_not_run() {
+fn only_an_explicit_refusal_counts_as_not_run() {
     let cases = [
         ReplyCase {
             name: "answer",
@@ -86,7 +86,7 @@
 
 #[test]
 fn a_reply_of_too_many_hits_is_refused() {
-    let hits = vec!["{\"document\":1}"; REPLY_HITS + 1].join(",");
+    let hits = vec!["{\"document\":1}"; MAX_REPLY_HITS + 1].join(",");
     let body = format!(
         "{{\"attempt\":\"1-2\",\"request\":\"1-1\",\"shard\":0,\"epoch\":1,\"version\":1,\
          \"hits\":[{hits}]}}"
@@ -103,12 +103,12 @@
     })]
 
     #[test]
-    fn any_reply_is_read_or_refused(status in 100u16..600, body in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn decoding_any_reply_does_not_panic(status in 100u16..600, body in prop::collection::vec(any::<u8>(), 0..200)) {
         decode_reply(status, &body);
     }
 
     #[test]
-    fn any_announcement_is_read_or_refused(
+    fn an_announcement_is_accepted_only_if_valid(
         slots in 0u32..4,
         connections in 0u32..4,
         lease_ms in 0u64..100_000,
@@ -129,17 +129,17 @@
             load,
             lease_ms,
         };
-        let is_good = slots > 0
+        let is_valid = slots > 0
             && connections > 0
             && (1..=60_000).contains(&lease_ms)
             && !phase.is_empty()
             && phase != "gone";
-        prop_assert_eq!(read_announcement(body).is_ok(), is_good);
+        prop_assert_eq!(read_announcement(body).is_ok(), is_valid);
     }
 }
 
 #[test]
-fn a_packed_table_is_small_and_comes_back_whole() {
+fn packing_a_route_table_is_lossless_and_saves_95_percent() {
     let route = |number: usize| {
         let shards: Vec<String> = (0..90).map(|shard| format!("\"shard{shard}\"")).collect();
         format!(
@@ -161,7 +161,7 @@
 
 #[test]
 fn a_document_that_grows_too_large_is_refused() {
-    let text = vec![b' '; wheelmast_wire::pack::UNPACKED_BYTES as usize + 1];
+    let text = vec![b' '; wheelmast_wire::pack::MAX_UNPACKED_BYTES as usize + 1];
     let packed = wheelmast_wire::pack::pack(&text).expect("packed");
     let error = wheelmast_wire::pack::unpack(&packed).expect_err("too large");
     assert!(error.to_string().contains("over 33554432 bytes"));
@@ -171,7 +171,7 @@
     #![proptest_config(Config { cases: 256, rng_seed: RngSeed::Fixed(9), ..Config::default() })]
 
     #[test]
-    fn what_was_not_packed_is_refused_or_read(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn any_bytes_are_unpacked_or_refused_and_packing_is_lossless(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = wheelmast_wire::pack::unpack(&bytes);
         let packed = wheelmast_wire::pack::pack(&bytes).expect("packed");
         let unpacked = wheelmast_wire::pack::unpack(&packed).expect("unpacked");
--- a/crates/wire/tests/routes_page.rs
+++ b/crates/wire/tests/routes_page.rs
@@ -7,7 +7,7 @@
 const PAGE: &str = include_str!("../../../docs/ROUTES.md");
 
 #[test]
-fn the_example_of_the_page_is_a_route_table() {
+fn the_documented_example_is_a_valid_route_table() {
     let (_, rest) = PAGE.split_once("```json\n").expect("an example");
     let (text, _) = rest.split_once("```").expect("its end");
     let draft = NativeDialect::read_table(text.as_bytes()).expect("it is read");
