--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -1,4 +1,5 @@
-//! Messages between a caller and an instance, as JSON.
+//! JSON bodies and headers exchanged between a caller and an instance: answers, and
+//! refusals as problem details (RFC 9457).
 
 use std::time::Duration;
 
@@ -8,19 +9,20 @@
     CoverageReport, QueryAnswer, QueryRefusal, RefusalReason, RunState, SnapshotId,
 };
 
-/// Header with the time a caller gives a request, in milliseconds.
+/// Header in which a caller states how long it waits for the answer to a request, in
+/// milliseconds.
 pub const DEADLINE_HEADER: &str = "wheelmast-deadline-ms";
-/// Header with a caller's idempotency key.
+/// Header with the idempotency key that a caller chose for a request.
 pub const IDEMPOTENCY_HEADER: &str = "idempotency-key";
-/// Media type of a problem (RFC 9457).
+/// Media type of a [`ProblemBody`], defined by RFC 9457.
 pub const PROBLEM_TYPE: &str = "application/problem+json";
 
-/// A snapshot.
+/// Identity of an index snapshot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotBody {
-    /// Partitioning epoch.
+    /// Partitioning epoch: changes when the index is divided into shards anew.
     pub epoch: u32,
-    /// Index version.
+    /// Index version within the epoch.
     pub version: u64,
 }
 
@@ -33,23 +35,24 @@
     }
 }
 
-/// A shard that is not in an answer.
+/// Shard whose hits are missing from an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MissingShardBody {
-    /// Number of the shard.
+    /// Shard number.
     pub shard: u32,
-    /// Why: `no-server`, `too-late`, `failed` or `snapshot-retired`.
+    /// Why the shard is missing: `no-server`, `too-late`, `failed` or
+    /// `snapshot-retired`.
     pub reason: String,
 }
 
-/// Coverage of an answer.
+/// Coverage of an answer: which of the request's shards the answer contains.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CoverageBody {
-    /// Shards asked.
+    /// Number of all shards of the snapshot; 0 if the request was not sent.
     pub asked: u32,
-    /// Shards in the answer.
+    /// Number of shards whose hits are in the answer.
     pub answered: u32,
-    /// The shards that are not.
+    /// Shards whose hits are not in the answer.
     pub missing: Vec<MissingShardBody>,
 }
 
@@ -70,37 +73,38 @@
 /// One hit of an answer.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HitBody {
-    /// Score; `null` where the upstream gave none that is a number.
+    /// Score; `null` if the upstream's score is not a finite number.
     pub score: Option<f64>,
-    /// The hit itself.
+    /// JSON document of the hit, unchanged from the upstream.
     pub document: Box<RawValue>,
 }
 
-/// An answer.
+/// Answer to a query, fetch or submission.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct AnswerBody {
-    /// Identity of the request.
+    /// Request id.
     pub request: String,
-    /// Service that answered.
+    /// Name of the service that the request was for.
     pub service: String,
-    /// Version of the table that steered it.
+    /// Version of the service table by which the request was routed.
     pub table_version: u64,
-    /// Snapshot all hits come from.
+    /// Snapshot that all hits come from.
     pub snapshot: SnapshotBody,
-    /// Which shards are included.
+    /// Shards that the answer contains and lacks.
     pub coverage: CoverageBody,
-    /// Whether a hedge was sent.
+    /// Whether a hedge (a second attempt at a slow subquery) was sent.
     pub hedged: bool,
-    /// Whether it was restarted on another snapshot.
+    /// Whether the request was restarted on another snapshot.
     pub restarted: bool,
-    /// Time left until the deadline, in milliseconds.
+    /// Time left until the caller's deadline, in milliseconds.
     pub time_left_ms: u64,
-    /// The hits.
+    /// Hits of all shards in the answer, merged.
     pub hits: Vec<HitBody>,
 }
 
 impl AnswerBody {
-    /// Returns the body of an answer.
+    /// Converts an answer of a service to its JSON body. Omits hits whose document is
+    /// not JSON.
     pub fn new(service: &str, answer: QueryAnswer) -> AnswerBody {
         let hits = answer.hits.into_iter().filter_map(|hit| {
             let document = RawValue::from_string(hit.document.into()).ok()?;
@@ -123,39 +127,41 @@
     }
 }
 
-/// A refusal or an error, as problem details (RFC 9457).
+/// Refusal or error, in the problem details format of RFC 9457.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ProblemBody {
-    /// Names the kind of problem.
+    /// URN that identifies the type of problem.
     #[serde(rename = "type")]
     pub kind: String,
-    /// The kind of problem in words.
+    /// Type of problem, in words.
     pub title: String,
-    /// HTTP status.
+    /// HTTP status of the response.
     pub status: u16,
-    /// What happened to this request.
+    /// Explanation for this occurrence of the problem.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub detail: Option<String>,
-    /// Identity of the request, if it got one.
+    /// Request id; `None` if the request was refused before it got one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<String>,
-    /// `not-run` if that is known, else `unknown`.
+    /// `not-run` if it is certain that no server ran the request, else `unknown`.
     pub outcome: String,
-    /// When to come back, in milliseconds, where that helps.
+    /// Time after which the caller may retry, in milliseconds; `None` if no time can be
+    /// advised.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// Coverage reached, if it was sent.
+    /// Coverage reached; `None` if the request was not sent to any server.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub coverage: Option<CoverageBody>,
 }
 
-/// Word of an outcome known not to have run.
+/// Value of [`ProblemBody::outcome`] if it is certain that no server ran the request.
 pub const OUTCOME_NOT_RUN: &str = "not-run";
-/// Word of an outcome that is not known.
+/// Value of [`ProblemBody::outcome`] if a server may have run the request.
 pub const OUTCOME_UNKNOWN: &str = "unknown";
 
 impl ProblemBody {
-    /// Returns the problem of a request that was never let in.
+    /// Creates the problem body for a request that was rejected before admission, with
+    /// the outcome `not-run`. `label` is the last part of the type URN.
     pub fn before_admission(status: u16, label: &str, detail: impl Into<String>) -> ProblemBody {
         ProblemBody {
             kind: problem_type_uri(label),
@@ -169,7 +175,7 @@
         }
     }
 
-    /// Returns the problem of a refusal.
+    /// Creates the problem body for a refusal by the entry machine.
     pub fn refusal(refusal: &QueryRefusal) -> ProblemBody {
         let label = refusal.reason.label();
         let outcome = match refusal.run {
@@ -189,18 +195,20 @@
         }
     }
 
-    /// Returns the value of `Retry-After`: whole seconds, rounded up.
+    /// Returns the value of the `Retry-After` header, in whole seconds, rounded up;
+    /// `None` if no retry time is set.
     pub fn retry_after(&self) -> Option<u64> {
         let wait = Duration::from_millis(self.retry_after_ms?);
         Some(wait.as_secs() + u64::from(wait.subsec_nanos() > 0))
     }
 }
 
+/// Returns the URN for a type of problem.
 fn problem_type_uri(label: &str) -> String {
     format!("urn:wheelmast:problem:{label}")
 }
 
-/// Returns the HTTP status of a refusal.
+/// Returns the HTTP status for a refusal reason.
 pub fn refusal_status(reason: RefusalReason) -> u16 {
     match reason {
         RefusalReason::UnknownService => 404,
--- a/crates/wire/src/dialect.rs
+++ b/crates/wire/src/dialect.rs
@@ -1,8 +1,8 @@
-//! The seam towards a platform: names, formats and calls of the forwarded
-//! conversations, and nothing that decides.
+//! Interface to a platform: the trait [`ForwardDialect`] defines header names, paths and
+//! JSON formats that differ between platforms, and makes no decisions.
 //!
-//! The product's own is [`crate::native::NativeDialect`]; an adapter fills in
-//! another platform's.
+//! [`crate::native::NativeDialect`] is the built-in implementation; an adapter crate
+//! implements the trait for another platform.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,112 +12,115 @@
 use wheelmast_core::process::forward::directory::ServerAnnouncement;
 use wheelmast_core::version::route_table::RouteDraft;
 
-/// Names of the headers that the conversations use, in lower case.
+/// Names of the HTTP headers that callers, entries and servers exchange, in lower
+/// case.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeaderNames {
-    /// Identity of a request.
+    /// Request id, sent to the server and returned with its answer.
     pub request: &'static str,
-    /// Time a request has left, in milliseconds.
+    /// Time left until the request's deadline, in milliseconds.
     pub time_left: &'static str,
-    /// Proof of a server that it made an answer.
+    /// Stamp by which a server proves that the answer is its own.
     pub stamp: &'static str,
-    /// The server that is meant.
+    /// Id of the server, or incarnation of the entry, that the request is meant for.
     pub expect: &'static str,
-    /// A server's load: running, waiting and slots.
+    /// Load of a server: its running requests, its waiting requests and its slots.
     pub load: &'static str,
-    /// A server's word that it did not run a request.
+    /// Present if the server states that it did not run the request.
     pub not_run: &'static str,
-    /// Stamps of the parts in an answer.
+    /// Server stamps of the answered parts. A part is one shard's subquery of a request,
+    /// or the whole of an unsharded request.
     pub parts: &'static str,
-    /// Number of the shards left out of an answer.
+    /// Number of shards omitted from an answer.
     pub missing: &'static str,
-    /// A caller's key. It is passed on to nobody.
+    /// API key of a caller. It is not forwarded to servers or other entries.
     pub key: &'static str,
-    /// The workspace that asks, as servers are told it.
+    /// Name of the caller's workspace, sent to servers and other entries.
     pub workspace: &'static str,
 }
 
-/// A call to the control group or to an entry's listener for its balancer.
+/// HTTP call to a control instance, or to an entry's listener for the health checks of
+/// its load balancer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ControlCall {
-    /// A server announces itself under this id.
+    /// The server with this id announces itself.
     Announce(String),
-    /// The server of this id leaves.
+    /// The server with this id announces that it leaves.
     Withdraw(String),
-    /// An operator changes the route table.
+    /// An operator replaces the route table.
     PutTable,
     /// An operator reads the route table.
     GetTable,
-    /// An operator takes a failure domain out of use.
+    /// An operator evacuates this failure domain: takes it out of use.
     Evacuate(String),
-    /// An operator takes a failure domain back into use.
+    /// An operator ends the evacuation of this failure domain.
     EndEvacuation(String),
-    /// An operator asks which failure domains are out of use.
+    /// An operator lists the evacuated failure domains.
     ListEvacuations,
-    /// An operator rolls a service out to a new version.
+    /// An operator starts a roll-out of a service to a new version.
     StartRollout,
-    /// An operator asks how far the last roll-out of this service is.
+    /// An operator reads the state of the last roll-out of this service.
     GetRollout(String),
-    /// The balancer asks whether the instance takes requests.
+    /// The load balancer checks whether the instance accepts requests.
     Ready,
 }
 
-/// An operator's order to roll a service out.
+/// Order of an operator to roll a service out to a new version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutOrder {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The version that its requests are to go to.
+    /// Version that the service's requests go to after the roll-out.
     pub target: String,
-    /// Time that it may take.
+    /// Longest time that the roll-out may take.
     pub duration: Duration,
 }
 
-/// Names, formats and calls.
+/// Header names, paths and JSON formats of one platform.
 pub trait ForwardDialect: std::fmt::Debug + Copy + Default + Send + Sync + 'static {
-    /// Names of the headers.
+    /// Header names of the platform.
     const HEADERS: HeaderNames;
 
-    /// Tells which call a method and a path are.
+    /// Recognises a call by its HTTP method and path. Returns `None` if it is unknown.
     fn call(method: &str, path: &str) -> Option<ControlCall>;
 
-    /// Reads a route table.
+    /// Parses a route table, without checking its rules.
     ///
     /// # Errors
     ///
-    /// Returns all findings at once.
+    /// Returns the findings if the text does not have the expected format.
     fn read_table(text: &[u8]) -> Result<RouteDraft, FindingList>;
 
-    /// Reads the order of a roll-out.
+    /// Parses the order for a roll-out.
     ///
     /// # Errors
     ///
-    /// Returns all findings at once.
+    /// Returns the findings if the text does not have the expected format.
     fn read_rollout(text: &[u8]) -> Result<RolloutOrder, FindingList>;
 
-    /// Writes how far a roll-out is.
+    /// Encodes the state of a roll-out to the version `target`.
     fn rollout(target: &str, state: RolloutState) -> String;
 
-    /// Writes the answer to an announcement: where the server should make its
-    /// next ones, if that is elsewhere.
+    /// Encodes the reply to an announcement. `next` is the address for the server's next
+    /// announcements, if they should go to another control instance.
     fn write_announce_reply(next: Option<SocketAddr>) -> String;
 
-    /// Reads the announcement of a server.
+    /// Parses the announcement of the server `id`.
     ///
     /// # Errors
     ///
-    /// Returns all findings at once.
+    /// Returns the findings if the text does not have the expected format.
     fn read_announcement(id: &str, text: &[u8]) -> Result<ServerAnnouncement, FindingList>;
 
-    /// Reads what a server says when it leaves; it need not say anything.
+    /// Parses the announcement that the server `id` leaves. The text may be empty.
     ///
     /// # Errors
     ///
-    /// Returns all findings at once.
+    /// Returns the findings if the text does not have the expected format.
     fn read_withdrawal(id: &str, text: &[u8]) -> Result<ServerAnnouncement, FindingList>;
 }
 
-/// Returns the one finding that a text is not what was expected.
+/// Converts a JSON error to a list of one finding with the line and column.
 pub fn parse_error_findings(error: &serde_json::Error) -> FindingList {
     let mut findings = FindingList::default();
     let place = wheelmast_core::finding::FindingPlace::Text {
--- a/crates/wire/src/group.rs
+++ b/crates/wire/src/group.rs
@@ -1,6 +1,8 @@
-//! Messages between the control group and the entries, as bincode in frames.
+//! Messages between control instances, and between a control instance and the entries
+//! connected to it.
 //!
-//! A frame is the length of the message (u32, big-endian) and the message.
+//! Each message is encoded as bincode and sent in a frame: the message's length in
+//! bytes (u32, big-endian), then the message.
 
 use std::net::SocketAddr;
 
@@ -15,194 +17,213 @@
 use wheelmast_core::process::forward::suspect::record::SuspectRecord;
 use wheelmast_core::process::rollout::{RolloutView, VersionOutcomes};
 
-/// Largest frame, in bytes.
+/// Maximum length of the message in a frame, in bytes.
 pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
-/// One message.
+/// Message of a connection between instances. An entry connects to several control
+/// instances and subscribes to each; it takes the full state from only one of them,
+/// its source.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum GroupMessage {
-    /// A control instance says who it is, and which others it knows.
+    /// From a control instance to another: describes the sender and lists the control
+    /// instances that it knows. The digests let the receiver detect that it missed
+    /// updates, and request them.
     Hello {
-        /// The sender.
+        /// Replica id and address of the sender.
         from: MemberRecord,
-        /// Its failure domain.
+        /// Failure domain of the sender.
         domain: Box<str>,
-        /// Where it takes the calls of servers and operators.
+        /// Address where the sender accepts the calls of servers and operators.
         calls: SocketAddr,
-        /// Whether it asks to be kept up to date.
+        /// Whether the sender asks to join the replicated log as a learner.
         learns: bool,
-        /// Addresses of the control instances that it knows.
+        /// Addresses of the control instances that the sender knows.
         known: Vec<SocketAddr>,
-        /// Digest of the entries that follow it.
+        /// Digest of the entries that are subscribed to the sender.
         followers: u64,
-        /// Digest of the servers that it hears.
+        /// Digest of the servers that the sender observes: those that announce themselves
+        /// to it.
         servers: u64,
     },
-    /// A message between replicas.
+    /// Message of the replicated log, from one replica to another.
     Replica {
-        /// The sender.
+        /// Id of the replica that sends the message.
         from: ReplicaId,
-        /// The receiver; another identity at its address takes no notice.
+        /// Id of the replica that is to receive the message; a replica with another id
+        /// at the same address ignores it.
         to: ReplicaId,
-        /// The message.
+        /// Message for the receiver's replica.
         message: ReplicaMessage,
     },
-    /// News of servers.
+    /// Announcements of servers, to other control instances and to entries.
     Notices(Vec<ServerAnnouncement>),
-    /// News of a server that the sender will acknowledge once others hold it.
+    /// Announcement of a server that drains or leaves, from the control instance that
+    /// received it to the others. The sender confirms it to the server only after
+    /// enough of them have replied with [`GroupMessage::Kept`].
     Keep {
-        /// The sender's name for it.
+        /// Number that identifies this message in the reply.
         tag: u64,
-        /// The news.
+        /// Announcement of the server.
         notice: Box<ServerAnnouncement>,
     },
-    /// The news of this tag are held.
+    /// Acknowledges the [`GroupMessage::Keep`] with this tag: the sender has recorded the
+    /// announcement.
     Kept(u64),
-    /// Servers that the sender hears from now on, with how new that is: all of
-    /// them when a connection is made, then what changes.
+    /// From a control instance to the others: the servers that the sender observes, each
+    /// with the position of its latest announcement. The sender lists all of them when
+    /// a connection is made, then those newly observed.
     Renewals {
-        /// Whether it names all.
+        /// Whether the message lists all servers that the sender observes.
         whole: bool,
-        /// The servers.
+        /// Server ids and the positions of their latest announcements.
         servers: Vec<(Box<str>, AnnouncementPosition)>,
     },
-    /// A control instance asks another one for all the servers that it hears.
+    /// From a control instance to another: requests a complete
+    /// [`GroupMessage::Renewals`].
     AskRenewals,
-    /// Servers that the sender heard and does not hear any more.
+    /// From a control instance to the others: servers that the sender observed and whose
+    /// leases have expired, each with the position of its latest announcement.
     Lapsed(Vec<(Box<str>, AnnouncementPosition)>),
-    /// Servers that are silent, or no longer.
+    /// To entries: servers whose leases have expired (`true`) or have been renewed after
+    /// that (`false`).
     Silent(Vec<(Box<str>, bool)>),
-    /// A question to the leader.
+    /// From a control instance to the leader of the control group: a request.
     Ask {
-        /// The sender's name for it.
+        /// Number that identifies the request in the reply.
         tag: u64,
-        /// The question.
+        /// Request to the leader.
         ask: LeaderRequest,
     },
-    /// The answer to [`GroupMessage::Ask`].
+    /// Reply to [`GroupMessage::Ask`].
     Told {
-        /// The asker's name for it.
+        /// Tag of the request.
         tag: u64,
-        /// The answer.
+        /// Reply of the leader.
         tell: LeaderReply,
     },
-    /// An entry asks for what is urgent: servers that leave, versions of the
-    /// route table, control instances.
+    /// From an entry: subscribes to urgent updates only: departures of servers, versions
+    /// of the route table and the list of control instances.
     Subscribe {
-        /// Who it is, for the other entries.
+        /// Identity and address of the entry, to be passed to the other entries.
         peer: EntryPeer,
-        /// Whether it asks for a quorum's word on the route table.
+        /// Whether the entry requests a [`GroupMessage::Confirmed`].
         confirm: bool,
     },
-    /// An entry that subscribed asks for all that is known, and for all that
-    /// changes.
+    /// From a subscribed entry: requests the full state, and all updates from then on.
+    /// The entry sends this to its source.
     Whole {
-        /// Version of the route table it has; 0 for none.
+        /// Version of the route table that the entry has; 0 for none.
         have: u64,
-        /// Digests of the servers that it knows, by part; none if it knows none.
+        /// Digests of the servers that the entry knows, one for each group of server ids;
+        /// empty if it knows none. Groups with equal digests are not sent again.
         servers: Vec<u64>,
     },
-    /// An entry asks for no more than what is urgent from now on.
+    /// From a subscribed entry: returns to urgent updates only.
     Urgent,
-    /// An entry asks for the route table alone.
+    /// From a subscribed entry: requests the route table, if it is newer than `have`.
     Fetch {
-        /// Version of the route table it has; 0 for none.
+        /// Version of the route table that the entry has; 0 for none.
         have: u64,
     },
-    /// A control instance says to an entry how it is.
+    /// Status of a control instance, to the entries subscribed to it.
     Here {
-        /// Its failure domain.
+        /// Failure domain of the control instance.
         domain: Box<str>,
-        /// Whether it is in contact with the group.
+        /// Whether the control instance is connected to a quorum with a leader.
         settled: bool,
-        /// Whether it has started a moment ago, and may not know yet what the
-        /// others know.
+        /// Whether the control instance started recently, and so may not have received
+        /// the state of the other control instances yet.
         fresh: bool,
-        /// Version of the route table in force there; 0 for none.
+        /// Version of the route table in effect at the control instance; 0 for none.
         version: u64,
     },
-    /// The control instances known.
+    /// To entries: the control instances that the sender is in contact with, and itself.
     Control(Vec<ControlSite>),
-    /// The entry takes no more requests of other entries.
+    /// From an entry: it accepts no more requests from other entries.
     Leaving,
-    /// A version of the route table that came in force.
+    /// To entries: a version of the route table that took effect.
     Routes {
-        /// The version.
+        /// Version number.
         version: u64,
-        /// The table as the operator sent it, packed.
+        /// Text of the table as the operator sent it, compressed by
+        /// [`crate::pack::pack`].
         packed: Vec<u8>,
     },
-    /// The failure domains that are out of use. To every entry, when it
-    /// subscribes and at each change.
+    /// To entries, when they subscribe and at each change: the evacuated failure domains
+    /// (those that operators took out of use).
     Evacuations {
-        /// Grows with each change.
+        /// Revision number, which increases with each change.
         revision: u64,
-        /// All of them.
+        /// Names of all evacuated failure domains.
         domains: Vec<Box<str>>,
     },
-    /// A quorum has confirmed that no version above this one was
-    /// acknowledged when the entry subscribed.
+    /// To an entry: a quorum has confirmed that, when the entry subscribed, no version of
+    /// the route table above this one had been acknowledged to an operator.
     Confirmed {
-        /// The version; 0 if there is none yet.
+        /// Version of the route table; 0 if there is none yet.
         version: u64,
     },
-    /// What has changed of the entries that are subscribed, since the entry
-    /// asked for all that is known.
+    /// To an entry: which entries accept requests, all of them in the first message after
+    /// [`GroupMessage::Whole`], then the changes.
     Members {
-        /// Entries that share the servers' limits.
+        /// Number of entries among which the servers' limits are divided.
         entries: u32,
-        /// Entries that take requests now.
+        /// Entries that began to accept requests.
         joined: Vec<EntryPeer>,
-        /// Identities of those that no longer do.
+        /// Ids of the entries that no longer accept requests.
         left: Vec<Box<str>>,
     },
-    /// Entries that follow the sender, to another control instance: all of them
-    /// when a connection is made, then what changes.
+    /// From a control instance to the others: the entries subscribed to the sender, called
+    /// its followers. The sender lists all of them when a connection is made, then the
+    /// changes.
     Followers {
-        /// Whether it names all.
+        /// Whether the message lists all followers.
         whole: bool,
-        /// Entries that follow it now, and whether each takes requests.
+        /// Entries that subscribed or changed, and whether each accepts requests.
         joined: Vec<(EntryPeer, bool)>,
-        /// Identities of those that no longer do.
+        /// Ids of the entries that are no longer subscribed.
         left: Vec<Box<str>>,
     },
-    /// A control instance asks another one for all that follow it.
+    /// From a control instance to another: requests a complete
+    /// [`GroupMessage::Followers`].
     AskFollowers,
-    /// What the sender knows of requests under which servers ended: all of it
-    /// when a connection is made, then what is news.
+    /// Records of suspect requests (requests under which servers crashed): all that the
+    /// sender knows when a connection is made, then the changed ones.
     Suspects(Vec<SuspectRecord>),
-    /// A sign of life.
+    /// Keep-alive without content.
     Ping,
-    /// The last roll-outs of the services. To every entry, when it subscribes and
-    /// at each change.
+    /// To entries, when they subscribe and at each change: the last roll-out of each
+    /// service.
     Rollouts {
-        /// Grows with each change.
+        /// Revision number, which increases with each change.
         revision: u64,
-        /// All of them.
+        /// State of every roll-out.
         views: Vec<RolloutView>,
     },
-    /// How the versions of services that are rolled out answered at an entry.
+    /// Outcome counts of an entry for the versions of services that are being rolled out.
     Tallies(Vec<VersionOutcomes>),
-    /// An entry asks its source for tokens of capped workspaces.
+    /// From an entry to its source: requests tokens for workspaces with a usage cap. Each
+    /// token admits one request.
     AskCaps {
-        /// The sender's name for it.
+        /// Number that identifies the message in the reply.
         tag: u64,
-        /// What it asks for.
+        /// Requested tokens, by workspace.
         asks: Vec<TokenRequest>,
     },
-    /// The answer to [`GroupMessage::AskCaps`].
+    /// Reply to [`GroupMessage::AskCaps`].
     Caps {
-        /// The asker's name for it.
+        /// Tag of the request.
         tag: u64,
-        /// What is granted, in the order of the questions.
+        /// Granted tokens, in the order of the requests.
         grants: Vec<TokenGrant>,
     },
-    /// A control instance asks another one for the notices of servers, by their ids.
+    /// From a control instance to another: requests the announcements of the servers with
+    /// these ids.
     AskNotices(Vec<Box<str>>),
 }
 
 impl GroupMessage {
-    /// Returns a word for its kind, for counters and logs.
+    /// Returns the name of the message's kind, for counters and logs.
     pub fn kind(&self) -> &'static str {
         match self {
             GroupMessage::Hello { .. } => "hello",
@@ -240,37 +261,39 @@
     }
 }
 
-/// How far the state that the control group agreed on has come.
+/// Revisions of the three parts of the replicated state, to compare how recent the
+/// states of two instances are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ControlRevisions {
-    /// Version of the route table; 0 for none.
+    /// Version of the route table; 0 before the first table.
     pub version: u64,
-    /// Revision of the failure domains out of use; 0 for none yet.
+    /// Revision of the list of evacuated failure domains; 0 before the first change.
     pub evacuations: u64,
-    /// Revision of the roll-outs; 0 for none yet.
+    /// Revision of the list of roll-outs; 0 before the first change.
     pub rollouts: u64,
 }
 
-/// A question to the leader.
+/// Request to the leader of the control group.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum LeaderRequest {
-    /// Make this change.
+    /// Proposes a command for the replicated log.
     Propose(ControlCommand),
-    /// What is in force for sure?
+    /// Requests the current revisions, confirmed by a quorum (a linearizable read).
     Read,
-    /// Which of these tokens are granted?
+    /// Requests tokens for workspaces with a usage cap.
     Caps(Vec<TokenRequest>),
 }
 
-/// The leader's answer.
+/// Reply of the leader to a [`LeaderRequest`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum LeaderReply {
-    /// The change is made, with this outcome.
+    /// The command is committed, with this outcome.
     Done(CommandOutcome),
-    /// This is in force.
+    /// Current revisions, confirmed by a quorum.
     Mark(ControlRevisions),
-    /// It cannot be said now.
+    /// The request failed or its result is unknown, for example because there is no
+    /// leader or the reply timed out.
     Unknown,
-    /// What is granted, in the order of the questions.
+    /// Granted tokens, in the order of the requests.
     Caps(Vec<TokenGrant>),
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,9 @@
-//! Messages of the wheelmast query tier, typed, with their codecs.
+//! Message types of the wheelmast query tier and their codecs.
 //!
-//! JSON towards callers ([`caller`]), upstreams ([`upstream`]) and operators
-//! ([`operator`]). Nothing here decides.
+//! Callers ([`caller`]), upstream servers ([`upstream`]) and operators
+//! ([`operator`]) exchange JSON with an instance; instances exchange bincode
+//! ([`peer`], [`group`]). This crate only encodes, decodes and validates: all
+//! decisions are made in `wheelmast-core`.
 
 pub mod caller;
 pub mod dialect;
--- a/crates/wire/src/native.rs
+++ b/crates/wire/src/native.rs
@@ -1,4 +1,5 @@
-//! The product's own names, formats and calls of the forwarded conversations.
+//! Built-in implementation of [`ForwardDialect`]: the header names, paths and JSON
+//! formats that are used without a platform adapter.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,22 +14,24 @@
     parse_error_findings, ControlCall, ForwardDialect, HeaderNames, RolloutOrder,
 };
 
-/// Path of a server's announcement, before its id.
+/// Path prefix of server announcements; the server id follows.
 const SERVERS_PATH: &str = "/v1/servers/";
 /// Path of the route table.
 pub const ROUTES_PATH: &str = "/v1/routes";
-/// Path of the failure domains that are out of use.
+/// Path of the list of evacuated failure domains, and, with a domain's name appended,
+/// of the calls that start and end an evacuation.
 pub const EVACUATIONS_PATH: &str = "/v1/evacuations";
-/// Path of roll-outs.
+/// Path of the call that starts a roll-out, and, with a service's name appended, of the
+/// call that reads a roll-out's state.
 pub const ROLLOUTS_PATH: &str = "/v1/rollouts";
-/// Path of the balancer's question.
+/// Path of the load balancer's health check.
 const READY_PATH: &str = "/ready";
 
-/// The product's own dialect.
+/// Built-in dialect.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NativeDialect;
 
-/// An announcement as JSON.
+/// JSON body of a server's announcement.
 #[derive(Debug, Deserialize)]
 struct ServerAnnouncementBody {
     service: Box<str>,
@@ -45,7 +48,7 @@
     born: u64,
 }
 
-/// The order of a roll-out as JSON.
+/// JSON body of the order for a roll-out.
 #[derive(Debug, Deserialize)]
 struct RolloutBody {
     service: String,
@@ -53,7 +56,7 @@
     duration_ms: u64,
 }
 
-/// What a server says when it leaves.
+/// JSON body of the announcement that a server leaves.
 #[derive(Debug, Deserialize)]
 struct WithdrawalBody {
     #[serde(default)]
@@ -158,13 +161,13 @@
     }
 }
 
-/// Tells whether a method and a path ask for a roll-out.
+/// Recognises the call that reads the state of a roll-out.
 fn parse_rollout_call(method: &str, path: &str) -> Option<ControlCall> {
     let service = path.strip_prefix(ROLLOUTS_PATH)?.strip_prefix('/')?;
     (method == "GET" && !service.is_empty()).then(|| ControlCall::GetRollout(service.to_string()))
 }
 
-/// Tells which call concerning a failure domain a method and a path are.
+/// Recognises the calls that start and end the evacuation of a failure domain.
 fn parse_evacuation_call(method: &str, path: &str) -> Option<ControlCall> {
     let domain = path.strip_prefix(EVACUATIONS_PATH)?.strip_prefix('/')?;
     if domain.is_empty() {
--- a/crates/wire/src/operator.rs
+++ b/crates/wire/src/operator.rs
@@ -1,139 +1,143 @@
-//! Messages between an instance and its operators, as JSON.
+//! JSON bodies that an instance exchanges with operators: recorded decisions, status
+//! reports, and changes of the service table.
 
 use serde::{Deserialize, Serialize};
 
-/// One recorded decision.
+/// Decision that an instance recorded.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct DecisionLine {
-    /// Milliseconds since the process started.
+    /// Time of the decision, in milliseconds since the process started.
     pub at_ms: f64,
-    /// Identity of the request, if it was made for one.
+    /// Id of the request that the decision was made for, if any.
     pub request: Option<String>,
-    /// Part that decided.
+    /// Component that made the decision.
     pub part: String,
-    /// The decision in words.
+    /// Description of the decision.
     pub text: String,
 }
 
-/// An upstream server as an instance sees it.
+/// State of an upstream server, as an instance knows it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ServerStatus {
-    /// Its name.
+    /// Server name.
     pub server: String,
-    /// Its failure domain.
+    /// Failure domain of the server.
     pub domain: String,
-    /// Its phase, or `expired`.
+    /// `starting`, `serving`, `draining` or `left`; `expired` if the server's lease has
+    /// expired.
     pub phase: String,
-    /// Whether it is ejected.
+    /// Whether the server is ejected: gets no requests for some time because of failures.
     pub ejected: bool,
-    /// Subqueries outstanding there.
+    /// Number of this instance's subqueries that the server has not answered yet.
     pub outstanding: u32,
-    /// Most subqueries this instance may have outstanding there.
+    /// Maximum number of outstanding subqueries that this instance may have at the
+    /// server.
     pub share_outstanding: u32,
-    /// Most connections this instance may have to it.
+    /// Maximum number of connections that this instance may have to the server.
     pub share_connections: u32,
-    /// Number of snapshots it holds.
+    /// Number of snapshots that the server holds.
     pub snapshots: u32,
 }
 
-/// A service as an instance treats it.
+/// Load of a service at an instance.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ServiceStatus {
-    /// Name of the service.
+    /// Service name.
     pub service: String,
-    /// Requests at work.
+    /// Number of requests that are running.
     pub running: u32,
-    /// Requests waiting.
+    /// Number of requests that wait in the queue.
     pub queued: u32,
 }
 
-/// An instance as it sees itself.
+/// Status that an instance reports of itself.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct InstanceStatus {
-    /// Its name.
+    /// Instance name.
     pub instance: String,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: String,
-    /// Version of the table in force.
+    /// Version of the service table in effect.
     pub table_version: u64,
-    /// Whether it takes new requests.
+    /// Whether the instance accepts new requests.
     pub ready: bool,
-    /// Decisions that found the ring full and were not recorded.
+    /// Number of decisions that were not recorded because the ring buffer was full.
     pub decisions_dropped: u64,
-    /// Its services.
+    /// Services of the service table.
     pub services: Vec<ServiceStatus>,
-    /// The upstream servers it knows.
+    /// Upstream servers that the instance knows.
     pub servers: Vec<ServerStatus>,
 }
 
-/// A member as an instance sees it.
+/// State of a cluster member, as an instance knows it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its name.
+    /// Member name.
     pub name: String,
-    /// Its failure domain.
+    /// Failure domain of the member.
     pub domain: String,
-    /// Its listener for peers.
+    /// Address where the member accepts messages of other instances.
     pub address: std::net::SocketAddr,
-    /// Its incarnation.
+    /// Incarnation of the member.
     pub incarnation: u64,
-    /// `alive`, `suspect`, `dead` or `left`.
+    /// Liveness of the member: `alive`, `suspect`, `dead` or `left`.
     pub standing: String,
 }
 
-/// A change to the table.
+/// Change of the service table, sent by an operator's client.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TableChange {
-    /// Version the change is based on.
+    /// Version that the change is based on.
     pub base: u64,
-    /// Identity of the change, chosen by the operator's client.
+    /// Id of the change, chosen by the operator's client.
     pub change: String,
-    /// Who made it, and why.
+    /// Who made the change, and why.
     #[serde(default)]
     pub note: String,
-    /// The whole new table as CSV.
+    /// Complete new table as CSV.
     pub csv: String,
 }
 
-/// What came of a change.
+/// Result of a [`TableChange`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "kebab-case")]
 pub enum TableChangeResult {
-    /// It is accepted as this version.
+    /// The change was accepted.
     Accepted {
-        /// The version.
+        /// Version that the change created.
         version: u64,
     },
-    /// Another change was based on the same version and won.
+    /// The change was refused because another change based on the same version was
+    /// accepted first.
     Conflict {
-        /// The version that stands.
+        /// Current version.
         version: u64,
-        /// The table that stands, as CSV.
+        /// Current table as CSV.
         csv: String,
     },
-    /// The table has findings.
+    /// The change was rejected because the new table is invalid.
     Rejected {
-        /// The findings.
+        /// Errors found in the table.
         findings: Vec<String>,
     },
 }
 
-/// One version of the table in its history.
+/// Entry of the service table's history.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TableHistoryEntry {
-    /// Its number.
+    /// Version number.
     pub version: u64,
-    /// The change that made it.
+    /// Id of the change that created the version.
     pub change: String,
-    /// Who made it, and why.
+    /// Who made the change, and why.
     pub note: String,
 }
 
-/// The table in force at an instance.
+/// Service table in effect at an instance.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TableStatus {
-    /// Its version.
+    /// Version of the table.
     pub version: u64,
-    /// The table as CSV.
+    /// Complete table as CSV.
     pub csv: String,
 }
--- a/crates/wire/src/pack.rs
+++ b/crates/wire/src/pack.rs
@@ -1,5 +1,5 @@
-//! Packing of documents that are kept and sent whole: a route table names the
-//! same services again and again.
+//! Compression (deflate) of documents that are stored and sent as a whole. Route tables
+//! compress well because they name the same services many times.
 
 use std::io::{Read, Write};
 
@@ -9,25 +9,26 @@
 
 use crate::upstream::MessageError;
 
-/// Largest document that is unpacked, in bytes.
+/// Maximum size of a document after decompression, in bytes.
 pub const MAX_UNPACKED_BYTES: u64 = 32 * 1024 * 1024;
 
-/// Packs a document.
+/// Compresses a document.
 ///
 /// # Errors
 ///
-/// Fails if the library does.
+/// Fails if the compression library fails.
 pub fn pack(text: &[u8]) -> Result<Vec<u8>, MessageError> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     encoder.write_all(text).map_err(pack_error)?;
     encoder.finish().map_err(pack_error)
 }
 
-/// Unpacks what [`pack`] returned.
+/// Decompresses the output of [`pack`].
 ///
 /// # Errors
 ///
-/// Fails on what was not packed, and on what would become too large.
+/// Fails if `packed` is not valid deflate data, or if the document is larger than
+/// [`MAX_UNPACKED_BYTES`].
 pub fn unpack(packed: &[u8]) -> Result<Vec<u8>, MessageError> {
     let mut text = Vec::new();
     let mut decoder = DeflateDecoder::new(packed).take(MAX_UNPACKED_BYTES + 1);
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,4 +1,5 @@
-//! Messages between instances, as bincode over HTTP/2 streams.
+//! Messages between instances: a [`PeerRequest`] and its [`PeerReply`], encoded as
+//! bincode and sent as HTTP/2 bodies.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -9,77 +10,78 @@
 
 use crate::upstream::MessageError;
 
-/// Path of a message at another instance.
+/// HTTP path to which a [`PeerRequest`] is sent.
 pub const PEER_PATH: &str = "/v1/peer";
-/// Header with the key of the cluster.
+/// Header with the cluster key, a secret that all instances of a cluster share.
 pub const KEY_HEADER: &str = "wheelmast-key";
-/// Largest message, in bytes.
+/// Maximum size of a message, in bytes.
 pub const MAX_PEER_MESSAGE_BYTES: usize = 32 * 1024 * 1024;
 
-/// A message to another instance.
+/// Request to another instance.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// A message between replicas.
+    /// Message of the replicated log, from one replica to another.
     Replica {
-        /// The sender.
+        /// Id of the replica that sends the message.
         from: ReplicaId,
-        /// The message.
+        /// Message for the receiver's replica.
         message: ReplicaMessage,
     },
-    /// A version of the table that came in force at the sender.
+    /// Sends a version of the service table that took effect at the sender.
     Table(TableVersion),
-    /// Asks for the table, if it is newer than `have`.
+    /// Requests the service table, if the receiver's version is newer than `have`.
     AskTable {
-        /// Version in force at the sender; 0 for none.
+        /// Version in effect at the sender; 0 for none.
         have: u64,
     },
-    /// A message between members.
+    /// Gossip message, from one cluster member to another.
     Gossip(Box<GossipMessage>),
-    /// A command for the leader.
+    /// Command for the leader of the control group.
     Command(ControlCommand),
-    /// Asks for the history of the table.
+    /// Requests the history of the service table.
     AskHistory,
 }
 
-/// The answer to a [`PeerRequest`].
+/// Reply to a [`PeerRequest`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum PeerReply {
-    /// The message was taken.
+    /// Acknowledges that the message was received.
     Taken,
-    /// The table in force, if it is newer than was asked.
+    /// Service table in effect; `None` if it is not newer than the requested version.
     Table(Option<TableVersion>),
-    /// What became of a command.
+    /// Result of a command.
     Command(CommandReply),
-    /// The versions known, oldest first.
+    /// Known versions of the service table, oldest first.
     History(Vec<TableVersion>),
 }
 
-/// What became of a command at an instance.
+/// Result of a command that was sent to an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandReply {
-    /// It is committed, with this outcome.
+    /// The command is committed, with this outcome.
     Done(CommandOutcome),
-    /// The instance does not lead the control group.
+    /// The instance is not the leader of the control group.
     NotLeader,
-    /// Whether it will be committed is not known; it may be resent.
+    /// It is unknown whether the command will be committed. It may be resent.
     Unknown,
 }
 
-/// Encodes a value.
+/// Encodes a value as bincode.
 ///
 /// # Errors
 ///
-/// Fails if the value cannot be written as bincode.
+/// Fails if bincode cannot represent the value.
 pub fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, MessageError> {
     bincode::serde::encode_to_vec(value, bincode::config::standard())
         .map_err(|error| MessageError(error.to_string()))
 }
 
-/// Decodes a value that takes up all of `bytes`.
+/// Decodes a bincode value that occupies all of `bytes`.
 ///
 /// # Errors
 ///
-/// Fails if they are no such value, or if it would take too much memory.
+/// Fails if the bytes are not a valid value, if bytes are left over, or if decoding
+/// would exceed [`MAX_PEER_MESSAGE_BYTES`].
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, MessageError> {
     let config = bincode::config::standard().with_limit::<MAX_PEER_MESSAGE_BYTES>();
     let (value, used) = bincode::serde::decode_from_slice(bytes, config)
--- a/crates/wire/src/prelude.rs
+++ b/crates/wire/src/prelude.rs
@@ -1,4 +1,5 @@
-//! The common messages, for a single `use`.
+//! Re-exports the message types of [`crate::caller`], [`crate::operator`] and
+//! [`crate::upstream`], for import with a single `use`.
 
 pub use crate::caller::{
     AnswerBody, CoverageBody, HitBody, MissingShardBody, ProblemBody, SnapshotBody,
--- a/crates/wire/src/upstream.rs
+++ b/crates/wire/src/upstream.rs
@@ -1,4 +1,5 @@
-//! Messages between an instance and the upstream servers, as JSON.
+//! JSON bodies that an instance exchanges with upstream servers: subqueries and their
+//! replies, and the announcements of servers. Invalid input is refused, never guessed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,25 +11,25 @@
     ServerPhase, SnapshotId, UpstreamAnnouncement,
 };
 
-/// Path of a subquery at an upstream server.
+/// HTTP path at an upstream server to which subqueries are sent.
 pub const SEARCH_PATH: &str = "/v1/search";
-/// Path of an announcement at an instance.
+/// HTTP path at an instance to which servers send announcements.
 pub const ANNOUNCE_PATH: &str = "/v1/announce";
-/// Most hits taken from one reply.
+/// Maximum number of hits in a reply; a reply with more is treated as failed.
 pub const MAX_REPLY_HITS: usize = 10_000;
-/// Longest lease an announcement may ask for, in milliseconds.
+/// Maximum lease that an announcement may request, in milliseconds.
 pub const MAX_LEASE_MS: u64 = 60_000;
 
-/// A subquery.
+/// Subquery: one shard's part of a request, sent to an upstream server.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct SearchRequest {
-    /// Identity of the attempt, to be given back.
+    /// Attempt id, which the reply must repeat.
     pub attempt: String,
-    /// Identity of the request, to be given back.
+    /// Request id, which the reply must repeat.
     pub request: String,
-    /// `query`, `fetch` or `non-repeatable`.
+    /// Kind of request: `query`, `fetch` or `non-repeatable`.
     pub kind: String,
-    /// Shard to search.
+    /// Number of the shard to search.
     pub shard: u32,
     /// Partitioning epoch of the snapshot to search.
     pub epoch: u32,
@@ -36,97 +37,99 @@
     pub version: u64,
     /// Time left until the caller's deadline, in milliseconds.
     pub remaining_ms: u64,
-    /// Key of a fetch, or idempotency key of a submission.
+    /// Key of the document to fetch, or idempotency key of a submission.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key: Option<String>,
-    /// The caller's JSON.
+    /// JSON that the caller sent.
     pub payload: Box<RawValue>,
 }
 
-/// A reply to a subquery.
+/// Reply to a [`SearchRequest`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct SearchReply {
-    /// Attempt answered.
+    /// Id of the attempt that the reply belongs to.
     pub attempt: String,
-    /// Request answered.
+    /// Id of the request that the reply belongs to.
     pub request: String,
-    /// Shard searched.
+    /// Number of the shard that was searched.
     pub shard: u32,
-    /// Partitioning epoch of the snapshot searched.
+    /// Partitioning epoch of the snapshot that was searched.
     pub epoch: u32,
-    /// Index version of the snapshot searched.
+    /// Index version of the snapshot that was searched.
     pub version: u64,
-    /// The hits.
+    /// Hits found in the shard.
     pub hits: Vec<UpstreamHit>,
 }
 
-/// One hit.
+/// One hit of a [`SearchReply`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct UpstreamHit {
-    /// Score; greater is better.
+    /// Score; higher is better.
     #[serde(default)]
     pub score: f64,
-    /// The hit itself, passed on unread.
+    /// JSON document of the hit, forwarded to the caller without being parsed.
     pub document: Box<RawValue>,
 }
 
-/// Body of a refusal with status 503 (shed) or 410 (snapshot gone).
+/// Body of a server's refusal, with status 503 (load shed) or 410 (snapshot not held).
 #[derive(Debug, Serialize, Deserialize)]
 pub struct NotRunBody {
-    /// Whether the server ran the subquery. Only `false` counts.
+    /// Whether the server ran the subquery. The refusal counts as not run only if this is
+    /// `false`; otherwise it counts as a failure.
     pub ran: bool,
-    /// When to come back, in milliseconds.
+    /// Time after which to retry, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// With status 410: the snapshots held now.
+    /// With status 410: snapshots that the server holds now.
     #[serde(default)]
     pub held: Vec<HeldSnapshotBody>,
 }
 
-/// A snapshot that a server holds.
+/// One shard of a snapshot that a server holds.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct HeldSnapshotBody {
     /// Partitioning epoch.
     pub epoch: u32,
     /// Index version.
     pub version: u64,
-    /// Shard held, from 0.
+    /// Number of the shard, starting from 0.
     pub shard: u32,
     /// Number of shards in this epoch.
     pub shards: u32,
 }
 
-/// A server's announcement of itself.
+/// Announcement by which a server registers with an instance and renews its lease.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct AnnouncementBody {
-    /// Name of the server.
+    /// Server name.
     pub server: String,
-    /// Name of the upstream it serves.
+    /// Name of the upstream that the server belongs to.
     pub upstream: String,
-    /// Failure domain it stands in.
+    /// Failure domain of the server.
     pub domain: String,
-    /// Where it takes subqueries.
+    /// Address where the server accepts subqueries.
     pub address: SocketAddr,
-    /// Greater with each start.
+    /// Incarnation of the server, which increases with each start.
     pub incarnation: u64,
-    /// Greater with each announcement.
+    /// Sequence number, which increases with each announcement.
     pub sequence: u64,
-    /// `starting`, `serving`, `draining` or `left`.
+    /// Phase of the server: `starting`, `serving`, `draining` or `left`.
     pub phase: String,
-    /// Snapshots it holds.
+    /// Snapshots that the server holds.
     pub held: Vec<HeldSnapshotBody>,
-    /// Subqueries it works on at a time.
+    /// Number of subqueries that the server processes concurrently.
     pub slots: u32,
-    /// Connections it accepts.
+    /// Maximum number of connections that the server accepts.
     pub connections: u32,
-    /// Its load as a multiple of its slots.
+    /// Load of the server, as a multiple of its slots.
     #[serde(default)]
     pub load: f32,
-    /// Time without renewal after which it gets no new work, in milliseconds.
+    /// Lease in milliseconds: the server gets no new requests if it sends no further
+    /// announcement within this time.
     pub lease_ms: u64,
 }
 
-/// Why a message was not taken.
+/// Reason why a message could not be encoded, decoded or accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MessageError(pub String);
 
@@ -138,7 +141,7 @@
 
 impl std::error::Error for MessageError {}
 
-/// Returns the word for a kind of request.
+/// Returns the name of a request kind, as used in [`SearchRequest::kind`].
 pub fn request_kind_label(kind: RequestKind) -> &'static str {
     match kind {
         RequestKind::Query => "query",
@@ -147,7 +150,8 @@
     }
 }
 
-/// Encodes the subquery of an order as it is written at `now`.
+/// Encodes the subquery of a send order. `now` is the time of sending, from which the
+/// remaining time is computed.
 ///
 /// # Errors
 ///
@@ -169,8 +173,8 @@
     serde_json::to_vec(&request).map_err(|error| MessageError(error.to_string()))
 }
 
-/// Decodes an upstream's reply of a given HTTP status. Whatever cannot be
-/// read is a failure: nothing is guessed.
+/// Decodes the reply of an upstream server with the given HTTP status. A reply that
+/// cannot be decoded counts as failed.
 pub fn decode_reply(status: u16, body: &[u8]) -> ReplyStatus {
     match status {
         200 => decode_hits(body).map_or(ReplyStatus::Failed, ReplyStatus::Body),
@@ -179,6 +183,8 @@
     }
 }
 
+/// Decodes the body of a successful reply. Returns `None` if it is invalid or has more
+/// than [`MAX_REPLY_HITS`] hits.
 fn decode_hits(body: &[u8]) -> Option<ReplyBody> {
     let reply: SearchReply = serde_json::from_slice(body).ok()?;
     if reply.hits.len() > MAX_REPLY_HITS {
@@ -202,6 +208,8 @@
     })
 }
 
+/// Decodes the body of a refusal. Returns a failure unless the body states explicitly
+/// that the subquery did not run.
 fn decode_not_run(status: u16, body: &[u8]) -> ReplyStatus {
     let Ok(refusal) = serde_json::from_slice::<NotRunBody>(body) else {
         return ReplyStatus::Failed;
@@ -243,11 +251,11 @@
     }
 }
 
-/// Reads an announcement.
+/// Validates an announcement and converts it for the entry machine.
 ///
 /// # Errors
 ///
-/// Names what cannot be taken.
+/// Names the first invalid field.
 pub fn read_announcement(body: AnnouncementBody) -> Result<UpstreamAnnouncement, MessageError> {
     let invalid = |text: &str| Err(MessageError(text.to_string()));
     if body.server.is_empty() || body.upstream.is_empty() {
--- a/crates/wire/tests/decode.rs
+++ b/crates/wire/tests/decode.rs
@@ -1,4 +1,5 @@
-//! What comes from outside is read or refused; nothing panics.
+//! Tests that decoders accept valid input from other processes, refuse invalid input, and
+//! never panic.
 
 use assert_matches::assert_matches;
 use proptest::prelude::*;
@@ -29,13 +30,13 @@
             check: |status| matches!(status, ReplyStatus::Body(body) if body.hits.len() == 2),
         },
         ReplyCase {
-            name: "garbage",
+            name: "not JSON",
             status: 200,
             body: "<html>",
             check: is_failed,
         },
         ReplyCase {
-            name: "identity that is none",
+            name: "invalid attempt id",
             status: 200,
             body: r#"{"attempt":"x","request":"1-1","shard":3,"epoch":1,"version":9,"hits":[]}"#,
             check: is_failed,
@@ -54,25 +55,25 @@
             },
         },
         ReplyCase {
-            name: "unavailable, and it ran",
+            name: "503 for a subquery that ran",
             status: 503,
             body: r#"{"ran":true}"#,
             check: is_failed,
         },
         ReplyCase {
-            name: "unavailable without a word",
+            name: "503 without a JSON body",
             status: 503,
             body: "overloaded",
             check: is_failed,
         },
         ReplyCase {
-            name: "gone",
+            name: "snapshot not held",
             status: 410,
             body: r#"{"ran":false,"held":[{"epoch":1,"version":2,"shard":0,"shards":4}]}"#,
             check: |status| matches!(status, ReplyStatus::SnapshotNotHeld { held } if held.len() == 1),
         },
         ReplyCase {
-            name: "another status",
+            name: "unexpected status",
             status: 500,
             body: r#"{"ran":false}"#,
             check: is_failed,
@@ -148,22 +149,22 @@
         )
     };
     let text: String = (0..100).map(route).collect();
-    let packed = wheelmast_wire::pack::pack(text.as_bytes()).expect("packed");
+    let packed = wheelmast_wire::pack::pack(text.as_bytes()).expect("the text is packed");
     assert!(
         packed.len() * 20 < text.len(),
         "{} of {}",
         packed.len(),
         text.len()
     );
-    let unpacked = wheelmast_wire::pack::unpack(&packed).expect("unpacked");
+    let unpacked = wheelmast_wire::pack::unpack(&packed).expect("unpacking succeeds");
     assert_eq!(unpacked, text.as_bytes());
 }
 
 #[test]
 fn a_document_that_grows_too_large_is_refused() {
     let text = vec![b' '; wheelmast_wire::pack::MAX_UNPACKED_BYTES as usize + 1];
-    let packed = wheelmast_wire::pack::pack(&text).expect("packed");
-    let error = wheelmast_wire::pack::unpack(&packed).expect_err("too large");
+    let packed = wheelmast_wire::pack::pack(&text).expect("the text is packed");
+    let error = wheelmast_wire::pack::unpack(&packed).expect_err("the document is too large");
     assert!(error.to_string().contains("over 33554432 bytes"));
 }
 
@@ -173,8 +174,8 @@
     #[test]
     fn any_bytes_are_unpacked_or_refused_and_packing_is_lossless(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = wheelmast_wire::pack::unpack(&bytes);
-        let packed = wheelmast_wire::pack::pack(&bytes).expect("packed");
-        let unpacked = wheelmast_wire::pack::unpack(&packed).expect("unpacked");
+        let packed = wheelmast_wire::pack::pack(&bytes).expect("the text is packed");
+        let unpacked = wheelmast_wire::pack::unpack(&packed).expect("unpacking succeeds");
         prop_assert_eq!(unpacked, bytes);
     }
 }
--- a/crates/wire/tests/routes_page.rs
+++ b/crates/wire/tests/routes_page.rs
@@ -1,4 +1,4 @@
-//! The page on the route table shows one that is read and checked.
+//! Tests that the example in the documentation of the route table is valid.
 
 use wheelmast_core::version::route_table::{RouteTable, RouteTarget};
 use wheelmast_wire::dialect::ForwardDialect;
@@ -8,10 +8,12 @@
 
 #[test]
 fn the_documented_example_is_a_valid_route_table() {
-    let (_, rest) = PAGE.split_once("```json\n").expect("an example");
-    let (text, _) = rest.split_once("```").expect("its end");
-    let draft = NativeDialect::read_table(text.as_bytes()).expect("it is read");
-    let table = RouteTable::check(draft).expect("it has no findings");
+    let (_, rest) = PAGE
+        .split_once("```json\n")
+        .expect("the page has an example");
+    let (text, _) = rest.split_once("```").expect("the example has an end");
+    let draft = NativeDialect::read_table(text.as_bytes()).expect("the example can be parsed");
+    let table = RouteTable::check(draft).expect("the example has no findings");
     let route = &table.routes()[0];
     assert_eq!(route.allowed_regions, ["north"]);
     assert!(matches!(&route.target, RouteTarget::Gather(names) if names.len() == 2));
