--- a/crates/node/src/connection/frame.rs
+++ b/crates/node/src/connection/frame.rs
@@ -11,7 +11,7 @@
 use socket2::SockRef;
 use tokio::io::{AsyncRead, AsyncReadExt};
 use tokio::net::TcpStream;
-use wheelmast_wire::group::{GroupMessage, FRAME_BYTES};
+use wheelmast_wire::group::{GroupMessage, MAX_FRAME_BYTES};
 use wheelmast_wire::peer::{decode, encode};
 
 /// Number of consecutive failures to connect up to which the initial, shorter delay
@@ -74,9 +74,9 @@
 /// Fails if the message cannot be encoded or is too large.
 pub fn write_frame(message: &GroupMessage, bytes: &mut Vec<u8>) -> anyhow::Result<()> {
     let body = encode(message)?;
-    if body.len() > FRAME_BYTES {
+    if body.len() > MAX_FRAME_BYTES {
         bail!(
-            "could not send a message of {} bytes: the maximum is {FRAME_BYTES}",
+            "could not send a message of {} bytes: the maximum is {MAX_FRAME_BYTES}",
             body.len()
         );
     }
@@ -128,8 +128,8 @@
             return Ok(None);
         };
         let length = u32::from_be_bytes(*length_prefix) as usize;
-        if length > FRAME_BYTES {
-            bail!("could not read a message of {length} bytes: the maximum is {FRAME_BYTES}");
+        if length > MAX_FRAME_BYTES {
+            bail!("could not read a message of {length} bytes: the maximum is {MAX_FRAME_BYTES}");
         }
         if self.buffer.len() < LENGTH_BYTES + length {
             return Ok(None);
--- a/crates/node/src/process/callers.rs
+++ b/crates/node/src/process/callers.rs
@@ -99,7 +99,7 @@
 }
 
 async fn unknown_path() -> Response {
-    respond_problem(&ProblemBody::early(
+    respond_problem(&ProblemBody::before_admission(
         404,
         "unknown-path",
         "see POST /v1/query/{service}, GET /v1/fetch/{service}/{key}, POST /v1/submit/{service}",
@@ -202,7 +202,7 @@
 
 /// Responds that the entry thread is overloaded; nothing was run.
 fn respond_busy() -> Response {
-    let mut problem = ProblemBody::early(503, "busy", "the instance is overloaded");
+    let mut problem = ProblemBody::before_admission(503, "busy", "the instance is overloaded");
     problem.retry_after_ms = Some(1000);
     respond_problem(&problem)
 }
@@ -212,7 +212,7 @@
     match error {
         CallError::Busy => respond_busy(),
         CallError::Ended => {
-            let mut problem = ProblemBody::early(
+            let mut problem = ProblemBody::before_admission(
                 502,
                 "ended",
                 "the instance ended before the request was answered",
@@ -299,7 +299,7 @@
 
 /// Returns the problem of a request that was refused before it ran.
 fn early_problem(status: u16, kind: &str, detail: impl Into<String>) -> Box<ProblemBody> {
-    Box::new(ProblemBody::early(status, kind, detail))
+    Box::new(ProblemBody::before_admission(status, kind, detail))
 }
 
 fn check_key(key: &str) -> Result<(), Box<ProblemBody>> {
--- a/crates/node/src/process/change.rs
+++ b/crates/node/src/process/change.rs
@@ -9,7 +9,7 @@
 use wheelmast_core::process::control::state::{
     ChangeOutcome, CommandOutcome, ControlCommand, TableVersion,
 };
-use wheelmast_wire::operator::{ApplyBody, TableChange};
+use wheelmast_wire::operator::{TableChange, TableChangeResult};
 use wheelmast_wire::peer::{CommandReply, PeerReply, PeerRequest};
 
 use crate::connection::peer::PeerLink;
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeResult {
     /// The control group accepted or rejected the change.
-    Decided(ApplyBody),
+    Decided(TableChangeResult),
     /// No leader was reached, so the change was not proposed.
     NoLeader,
     /// The change may have been proposed, but its result was not received.
@@ -47,7 +47,7 @@
     pub async fn apply_change(&self, change: TableChange) -> ChangeResult {
         if let Err(findings) = ServiceTable::parse(&change.csv, 1) {
             let findings = findings.items().iter().map(ToString::to_string);
-            return ChangeResult::Decided(ApplyBody::Rejected {
+            return ChangeResult::Decided(TableChangeResult::Rejected {
                 findings: findings.collect(),
             });
         }
@@ -136,11 +136,11 @@
     /// version that the change conflicts with.
     async fn to_change_result(&self, outcome: ChangeOutcome) -> ChangeResult {
         ChangeResult::Decided(match outcome {
-            ChangeOutcome::Accepted(version) => ApplyBody::Accepted { version },
+            ChangeOutcome::Accepted(version) => TableChangeResult::Accepted { version },
             ChangeOutcome::Conflict(version) => {
                 let history = self.fetch_history().await;
                 let current = history.iter().find(|table| table.version == version);
-                ApplyBody::Conflict {
+                TableChangeResult::Conflict {
                     version,
                     csv: current.map(|table| table.csv.clone()).unwrap_or_default(),
                 }
--- a/crates/node/src/process/fence.rs
+++ b/crates/node/src/process/fence.rs
@@ -47,7 +47,9 @@
 
 /// Returns a rejection of a submission that was not run.
 fn reject(status: u16, kind: &str, detail: &str) -> ClaimRejection {
-    ClaimRejection::Problem(Box::new(ProblemBody::early(status, kind, detail)))
+    ClaimRejection::Problem(Box::new(ProblemBody::before_admission(
+        status, kind, detail,
+    )))
 }
 
 impl FenceClient {
@@ -131,7 +133,7 @@
         let client = self.clone();
         tokio::spawn(async move { client.record_result(claim, None).await });
         let detail = "no quorum of the control group is reachable to claim the key";
-        let mut problem = ProblemBody::early(503, "no-quorum", detail);
+        let mut problem = ProblemBody::before_admission(503, "no-quorum", detail);
         problem.retry_after_ms = Some(1000);
         Err(ClaimRejection::Problem(Box::new(problem)))
     }
@@ -190,7 +192,7 @@
 
 /// Returns a rejection of a submission that ran before or may have run.
 fn reject_possibly_run(status: u16, kind: &str, detail: &str) -> ClaimRejection {
-    let mut problem = ProblemBody::early(status, kind, detail);
+    let mut problem = ProblemBody::before_admission(status, kind, detail);
     problem.outcome = OUTCOME_UNKNOWN.to_string();
     ClaimRejection::Problem(Box::new(problem))
 }
--- a/crates/node/src/process/group/answer.rs
+++ b/crates/node/src/process/group/answer.rs
@@ -15,7 +15,7 @@
 use wheelmast_core::process::forward::directory::ServerAnnouncement;
 use wheelmast_core::version::route_table::RouteTable;
 use wheelmast_wire::dialect::{ControlCall, ForwardDialect};
-use wheelmast_wire::group::GroupTell;
+use wheelmast_wire::group::LeaderReply;
 use wheelmast_wire::pack::{pack, unpack};
 
 use crate::connection::accept::accept_connection;
@@ -66,7 +66,7 @@
         Err(error) => return text_response(StatusCode::BAD_REQUEST, error.to_string()),
     };
     match call {
-        ControlCall::Announce(id) => match D::read_notice(&id, &body) {
+        ControlCall::Announce(id) => match D::read_announcement(&id, &body) {
             Ok(announcement) => handle_announcement::<D>(&node, announcement).await,
             Err(findings) => refuse_call(&node, &id, findings.to_string()),
         },
@@ -106,7 +106,7 @@
     typed_response(
         StatusCode::OK,
         JSON_CONTENT_TYPE,
-        D::announced(node.next_announce_address(&domain)),
+        D::write_announce_reply(node.next_announce_address(&domain)),
     )
 }
 
@@ -129,16 +129,16 @@
     let reply = node.propose(command).await;
     tracing::info!(target: "group", table_version = table.version(), told = ?reply, "table: change asked for");
     match reply {
-        GroupTell::Done(CommandOutcome::Route(RouteOutcome::Conflict(version))) => {
+        LeaderReply::Done(CommandOutcome::Route(RouteOutcome::Conflict(version))) => {
             text_response(StatusCode::CONFLICT, format!("version {version} stands"))
         }
-        GroupTell::Done(_) => ok_response(),
+        LeaderReply::Done(_) => ok_response(),
         _ => unavailable_response("no quorum answered"),
     }
 }
 
 async fn get_table(node: &Rc<GroupNode>) -> FullResponse {
-    let GroupTell::Mark(mark) = node.read_confirmed().await else {
+    let LeaderReply::Mark(mark) = node.read_confirmed().await else {
         return unavailable_response("no quorum answered");
     };
     if mark.version == 0 || !node.wait_published(mark).await {
@@ -236,7 +236,7 @@
 /// the call came in, as confirmed by a quorum. Returns a response with status 503 if no
 /// quorum answers, or if this instance does not catch up in time.
 async fn wait_confirmed(node: &Rc<GroupNode>) -> Option<FullResponse> {
-    let GroupTell::Mark(mark) = node.read_confirmed().await else {
+    let LeaderReply::Mark(mark) = node.read_confirmed().await else {
         return Some(unavailable_response("no quorum answered"));
     };
     let is_published = node.wait_published(mark).await;
--- a/crates/node/src/process/group/caps.rs
+++ b/crates/node/src/process/group/caps.rs
@@ -7,7 +7,7 @@
 
 use wheelmast_core::process::cap::{TokenGrant, TokenRequest};
 use wheelmast_core::version::workspace::UsageCap;
-use wheelmast_wire::group::{GroupAsk, GroupTell};
+use wheelmast_wire::group::{LeaderReply, LeaderRequest};
 
 use crate::process::group::node::GroupNode;
 
@@ -98,23 +98,23 @@
         self: &Rc<Self>,
         asks: Vec<TokenRequest>,
     ) -> Option<Vec<TokenGrant>> {
-        let request = self.request_leader(GroupAsk::Caps(asks));
+        let request = self.request_leader(LeaderRequest::Caps(asks));
         match tokio::time::timeout(LEADER_TIMEOUT, request).await {
-            Ok(GroupTell::Caps(grants)) => Some(grants),
+            Ok(LeaderReply::Caps(grants)) => Some(grants),
             _ => None,
         }
     }
 
-    /// Grants tokens if this instance is the leader; returns [`GroupTell::Unknown`]
+    /// Grants tokens if this instance is the leader; returns [`LeaderReply::Unknown`]
     /// otherwise.
-    pub fn grant_as_leader(&self, asks: &[TokenRequest]) -> GroupTell {
+    pub fn grant_as_leader(&self, asks: &[TokenRequest]) -> LeaderReply {
         if !self.is_leader() {
-            return GroupTell::Unknown;
+            return LeaderReply::Unknown;
         }
         let now = self.now();
         let owner = &mut self.state.borrow_mut().cap_owner;
         let grants = asks.iter().map(|ask| owner.grant(ask, now));
-        GroupTell::Caps(grants.collect())
+        LeaderReply::Caps(grants.collect())
     }
 
     /// Refills the stock with tokens from the leader whenever an entry has requested
--- a/crates/node/src/process/group/evacuate.rs
+++ b/crates/node/src/process/group/evacuate.rs
@@ -5,7 +5,7 @@
 
 use wheelmast_core::process::control::evacuation::{EvacuationChange, EvacuationOutcome};
 use wheelmast_core::process::control::state::{CommandOutcome, ControlCommand};
-use wheelmast_wire::group::GroupTell;
+use wheelmast_wire::group::LeaderReply;
 
 use crate::process::group::node::{GroupNode, ORDER_TIMEOUT};
 
@@ -40,7 +40,7 @@
                 evacuated,
                 base,
             });
-            let GroupTell::Done(CommandOutcome::Evacuate(outcome)) = self.propose(command).await
+            let LeaderReply::Done(CommandOutcome::Evacuate(outcome)) = self.propose(command).await
             else {
                 return None;
             };
--- a/crates/node/src/process/group/inbound.rs
+++ b/crates/node/src/process/group/inbound.rs
@@ -12,7 +12,7 @@
 use wheelmast_core::process::control::state::MemberRecord;
 use wheelmast_core::process::forward::directory::ServerObserver;
 use wheelmast_core::process::forward::input::EntryPeer;
-use wheelmast_wire::group::{GroupAsk, GroupMessage, GroupTell};
+use wheelmast_wire::group::{GroupMessage, LeaderReply, LeaderRequest};
 
 use crate::connection::accept::accept_connection;
 use crate::connection::frame::{set_unacknowledged_timeout, FrameReader};
@@ -185,9 +185,9 @@
             let node = node.clone();
             tokio::task::spawn_local(async move {
                 let tell = match ask {
-                    GroupAsk::Propose(command) => node.propose_as_leader(command).await,
-                    GroupAsk::Read => node.read_as_leader().await,
-                    GroupAsk::Caps(asks) => node.grant_as_leader(&asks),
+                    LeaderRequest::Propose(command) => node.propose_as_leader(command).await,
+                    LeaderRequest::Read => node.read_as_leader().await,
+                    LeaderRequest::Caps(asks) => node.grant_as_leader(&asks),
                 };
                 send_to_peer(&node, peer, GroupMessage::Told { tag, tell });
             });
@@ -407,7 +407,7 @@
 /// confirmed it to this instance. Retries until that succeeds.
 async fn send_confirmation(node: Rc<GroupNode>, key: u64) {
     loop {
-        if let GroupTell::Mark(mark) = node.read_confirmed().await {
+        if let LeaderReply::Mark(mark) = node.read_confirmed().await {
             if node.wait_published(mark).await {
                 let mut state = node.state.borrow_mut();
                 let state = &mut *state;
--- a/crates/node/src/process/group/replica.rs
+++ b/crates/node/src/process/group/replica.rs
@@ -12,7 +12,7 @@
 };
 use wheelmast_core::process::control::replica::{ReplicaMachine, ReplicaStart, SafetyChecks};
 use wheelmast_core::process::control::state::ControlCommand;
-use wheelmast_wire::group::{ControlMark, GroupAsk, GroupMessage, GroupTell};
+use wheelmast_wire::group::{ControlRevisions, GroupMessage, LeaderReply, LeaderRequest};
 use wheelmast_wire::pack::unpack;
 
 use crate::process::group::disk::{DiskEvent, DiskWrite};
@@ -155,10 +155,10 @@
         }
     }
 
-    fn build_reply(&self, result: ProposalResult) -> GroupTell {
+    fn build_reply(&self, result: ProposalResult) -> LeaderReply {
         match result {
-            ProposalResult::Done(outcome) => GroupTell::Done(outcome),
-            ProposalResult::NotLeader(_) | ProposalResult::Unknown => GroupTell::Unknown,
+            ProposalResult::Done(outcome) => LeaderReply::Done(outcome),
+            ProposalResult::NotLeader(_) | ProposalResult::Unknown => LeaderReply::Unknown,
         }
     }
 
@@ -245,7 +245,7 @@
 
     /// Waits for a limited time until this instance has applied the state up to `mark`.
     /// Returns whether that succeeded.
-    pub async fn wait_published(&self, mark: ControlMark) -> bool {
+    pub async fn wait_published(&self, mark: ControlRevisions) -> bool {
         let wait = async {
             loop {
                 let changed = self.state_published.notified();
@@ -261,36 +261,36 @@
     }
 
     /// Proposes a change to the leader, wherever the leader runs.
-    pub async fn propose(self: &Rc<Self>, command: ControlCommand) -> GroupTell {
-        self.request_leader(GroupAsk::Propose(command)).await
+    pub async fn propose(self: &Rc<Self>, command: ControlCommand) -> LeaderReply {
+        self.request_leader(LeaderRequest::Propose(command)).await
     }
 
     /// Returns how far the committed state has come, as confirmed by the leader and a
     /// quorum.
-    pub async fn read_confirmed(self: &Rc<Self>) -> GroupTell {
-        self.request_leader(GroupAsk::Read).await
+    pub async fn read_confirmed(self: &Rc<Self>) -> LeaderReply {
+        self.request_leader(LeaderRequest::Read).await
     }
 
     /// Executes a request on the leader, whether that is this instance or another one.
-    /// Waits for a leader if there is none; returns [`GroupTell::Unknown`] on timeout.
-    pub(super) async fn request_leader(self: &Rc<Self>, ask: GroupAsk) -> GroupTell {
+    /// Waits for a leader if there is none; returns [`LeaderReply::Unknown`] on timeout.
+    pub(super) async fn request_leader(self: &Rc<Self>, ask: LeaderRequest) -> LeaderReply {
         let wait = async {
             loop {
                 if self.is_leader() {
                     return match ask {
-                        GroupAsk::Propose(command) => self.propose_as_leader(command).await,
-                        GroupAsk::Read => self.read_as_leader().await,
-                        GroupAsk::Caps(asks) => self.grant_as_leader(&asks),
+                        LeaderRequest::Propose(command) => self.propose_as_leader(command).await,
+                        LeaderRequest::Read => self.read_as_leader().await,
+                        LeaderRequest::Caps(asks) => self.grant_as_leader(&asks),
                     };
                 }
                 if let Some(reply_receiver) = self.send_to_leader(&ask) {
-                    return reply_receiver.await.unwrap_or(GroupTell::Unknown);
+                    return reply_receiver.await.unwrap_or(LeaderReply::Unknown);
                 }
                 tokio::time::sleep(LEADER_RETRY_INTERVAL).await;
             }
         };
         let reply = tokio::time::timeout(LEADER_REPLY_TIMEOUT, wait).await;
-        reply.unwrap_or(GroupTell::Unknown)
+        reply.unwrap_or(LeaderReply::Unknown)
     }
 
     pub(super) fn is_leader(&self) -> bool {
@@ -301,7 +301,7 @@
 
     /// Sends a request to the leader over its link. Returns the receiver of the reply, or
     /// `None` if no leader is known or the link does not accept the message.
-    fn send_to_leader(&self, ask: &GroupAsk) -> Option<oneshot::Receiver<GroupTell>> {
+    fn send_to_leader(&self, ask: &LeaderRequest) -> Option<oneshot::Receiver<LeaderReply>> {
         let tag = self.next_tag();
         let mut state = self.state.borrow_mut();
         let leader = state.replica.as_ref()?.leader()?;
@@ -321,14 +321,14 @@
     ///
     /// Refuses it until the group has reached its target size: an acknowledged change
     /// must survive the number of lost replicas that the settings tolerate.
-    pub async fn propose_as_leader(self: &Rc<Self>, command: ControlCommand) -> GroupTell {
+    pub async fn propose_as_leader(self: &Rc<Self>, command: ControlCommand) -> LeaderReply {
         let is_founded = {
             let state = self.state.borrow();
             let replica = state.replica.as_ref();
             replica.is_some_and(|replica| replica.state().is_founded())
         };
         if !is_founded {
-            return GroupTell::Unknown;
+            return LeaderReply::Unknown;
         }
         self.step_and_wait(|tag| ReplicaInput::Propose { tag, command })
             .await
@@ -336,15 +336,18 @@
 
     /// Returns how far the committed state has come, as confirmed by a quorum, if this
     /// instance is the leader.
-    pub async fn read_as_leader(self: &Rc<Self>) -> GroupTell {
+    pub async fn read_as_leader(self: &Rc<Self>) -> LeaderReply {
         match self.step_and_wait(|tag| ReplicaInput::Read { tag }).await {
-            GroupTell::Done(_) => GroupTell::Mark(self.state.borrow().current_mark()),
-            _ => GroupTell::Unknown,
+            LeaderReply::Done(_) => LeaderReply::Mark(self.state.borrow().current_mark()),
+            _ => LeaderReply::Unknown,
         }
     }
 
     /// Passes an input with a new tag to the replica and waits for its result.
-    async fn step_and_wait(self: &Rc<Self>, input: impl FnOnce(u64) -> ReplicaInput) -> GroupTell {
+    async fn step_and_wait(
+        self: &Rc<Self>,
+        input: impl FnOnce(u64) -> ReplicaInput,
+    ) -> LeaderReply {
         let tag = self.next_tag();
         let (sender, receiver) = oneshot::channel();
         self.state.borrow_mut().pending_replies.insert(tag, sender);
@@ -353,7 +356,7 @@
         self.state.borrow_mut().pending_replies.remove(&tag);
         match reply {
             Ok(Ok(reply)) => reply,
-            _ => GroupTell::Unknown,
+            _ => LeaderReply::Unknown,
         }
     }
 
--- a/crates/node/src/process/group/rollouts.rs
+++ b/crates/node/src/process/group/rollouts.rs
@@ -13,7 +13,7 @@
 use wheelmast_core::process::rollout::judge::{RolloutAge, RolloutEvaluator};
 use wheelmast_core::process::rollout::{RolloutView, VersionOutcomes};
 use wheelmast_wire::dialect::RolloutOrder;
-use wheelmast_wire::group::{GroupMessage, GroupTell};
+use wheelmast_wire::group::{GroupMessage, LeaderReply};
 
 use crate::process::group::node::{GroupNode, INITIAL_SYNC_TIME, ORDER_TIMEOUT};
 
@@ -112,7 +112,7 @@
         });
         let reply = tokio::time::timeout(ORDER_TIMEOUT, self.propose(command)).await;
         match reply {
-            Ok(GroupTell::Done(CommandOutcome::Rollout(outcome))) => Some(outcome),
+            Ok(LeaderReply::Done(CommandOutcome::Rollout(outcome))) => Some(outcome),
             _ => None,
         }
     }
--- a/crates/node/src/process/group/state.rs
+++ b/crates/node/src/process/group/state.rs
@@ -18,7 +18,7 @@
 use wheelmast_core::process::forward::source::ControlSite;
 use wheelmast_core::process::forward::suspect::registry::SuspectRegistry;
 use wheelmast_core::request::mark::RequestFingerprint;
-use wheelmast_wire::group::{ControlMark, GroupMessage, GroupTell};
+use wheelmast_wire::group::{ControlRevisions, GroupMessage, LeaderReply};
 
 use crate::connection::frame::write_frame;
 use crate::process::group::disk::DiskWrite;
@@ -233,7 +233,7 @@
     pub last_sent_control: Vec<ControlSite>,
     /// Requests to the leader, and proposals and reads of the local replica, that wait
     /// for a reply, by tag.
-    pub pending_replies: HashMap<u64, oneshot::Sender<GroupTell>>,
+    pub pending_replies: HashMap<u64, oneshot::Sender<LeaderReply>>,
     /// Number of replies that matched no waiting request.
     pub unmatched_replies: u64,
     /// Number of servers that other control instances observed and that were unknown
@@ -271,8 +271,8 @@
 
     /// Returns the version of the route table and the revisions of evacuations and
     /// roll-outs that are in force here.
-    pub fn current_mark(&self) -> ControlMark {
-        ControlMark {
+    pub fn current_mark(&self) -> ControlRevisions {
+        ControlRevisions {
             version: self.published_table.version,
             evacuations: self.evacuations.revision,
             rollouts: self.rollouts.revision,
@@ -280,7 +280,7 @@
     }
 
     /// Returns whether the state in force here is at least as new as `mark`.
-    pub fn has_reached(&self, mark: ControlMark) -> bool {
+    pub fn has_reached(&self, mark: ControlRevisions) -> bool {
         let current = self.current_mark();
         current.version >= mark.version
             && current.evacuations >= mark.evacuations
--- a/crates/node/src/process/operators.rs
+++ b/crates/node/src/process/operators.rs
@@ -18,7 +18,7 @@
 use wheelmast_core::prelude::RequestId;
 use wheelmast_wire::caller::OUTCOME_UNKNOWN;
 use wheelmast_wire::prelude::{
-    DecisionLine, InstanceStatus, ProblemBody, TableChange, TableStatus, VersionLine,
+    DecisionLine, InstanceStatus, ProblemBody, TableChange, TableHistoryEntry, TableStatus,
 };
 
 use crate::process::change::{ChangeResult, ControlClient};
@@ -87,7 +87,11 @@
 /// Responds that the instance has no cluster.
 fn respond_no_control_group() -> Response {
     let detail = "the instance has no cluster: its service table comes from its settings";
-    respond_problem(&ProblemBody::early(404, "no-control-group", detail))
+    respond_problem(&ProblemBody::before_admission(
+        404,
+        "no-control-group",
+        detail,
+    ))
 }
 
 async fn get_table(State(state): State<OperatorState>) -> Response {
@@ -122,7 +126,7 @@
         .fetch_history()
         .await
         .into_iter()
-        .map(|table| VersionLine {
+        .map(|table| TableHistoryEntry {
             version: table.version,
             change: table.change,
             note: table.note,
@@ -139,7 +143,7 @@
         if !has_key(&headers, TOKEN_HEADER, token) {
             tracing::warn!("table: a change with a wrong token was rejected");
             let detail = format!("{TOKEN_HEADER} does not contain the operators' token");
-            return respond_problem(&ProblemBody::early(403, "wrong-token", detail));
+            return respond_problem(&ProblemBody::before_admission(403, "wrong-token", detail));
         }
     }
     let Some(control_client) = &state.control_client else {
@@ -149,14 +153,14 @@
         ChangeResult::Decided(body) => Json(body).into_response(),
         ChangeResult::NoLeader => {
             let detail = "no leader of the control group is reachable; nothing was changed";
-            let mut problem = ProblemBody::early(503, "no-leader", detail);
+            let mut problem = ProblemBody::before_admission(503, "no-leader", detail);
             problem.retry_after_ms = Some(1000);
             respond_problem(&problem)
         }
         ChangeResult::Unknown => {
             let detail =
                 "it is not known whether the change is accepted; resend it with the same change id";
-            let mut problem = ProblemBody::early(504, "outcome-unknown", detail);
+            let mut problem = ProblemBody::before_admission(504, "outcome-unknown", detail);
             problem.outcome = OUTCOME_UNKNOWN.to_string();
             problem.retry_after_ms = Some(1000);
             respond_problem(&problem)
@@ -209,7 +213,7 @@
     Path(request): Path<String>,
 ) -> Response {
     let Ok(request) = request.parse::<RequestId>() else {
-        let problem = ProblemBody::early(
+        let problem = ProblemBody::before_admission(
             400,
             "malformed-request-id",
             "a request id is two hexadecimal numbers joined by a hyphen",
@@ -218,7 +222,7 @@
     };
     let lines = state.decisions.explain(request);
     if lines.is_empty() {
-        let problem = ProblemBody::early(
+        let problem = ProblemBody::before_admission(
             404,
             "unknown-request",
             "not a request of this instance, not sampled, or no longer kept",
--- a/crates/node/src/process/status.rs
+++ b/crates/node/src/process/status.rs
@@ -5,7 +5,7 @@
 use wheelmast_core::prelude::{EntryMachine, RoutePolicy};
 use wheelmast_core::process::counters::EntryCounters;
 use wheelmast_core::process::roster::ServerRecord;
-use wheelmast_wire::prelude::{GateStatus, InstanceStatus, ServerStatus};
+use wheelmast_wire::prelude::{InstanceStatus, ServerStatus, ServiceStatus};
 
 /// The state of the entry machine at one moment.
 #[derive(Debug)]
@@ -22,12 +22,12 @@
 /// failure domain, readiness and dropped decisions are left empty; the caller
 /// fills them in.
 pub fn describe_entry<P: RoutePolicy>(machine: &EntryMachine<P>, now: Duration) -> EntryReport {
-    let services = machine.gates().iter().map(|(service, gate)| GateStatus {
+    let services = machine.gates().iter().map(|(service, gate)| ServiceStatus {
         service: service.to_string(),
         running: gate.running,
         queued: gate.queue.len() as u32,
     });
-    let mut services: Vec<GateStatus> = services.collect();
+    let mut services: Vec<ServiceStatus> = services.collect();
     services.sort_by(|a, b| a.service.cmp(&b.service));
     let servers = machine.roster().servers();
     EntryReport {
--- a/crates/node/tests/cluster.rs
+++ b/crates/node/tests/cluster.rs
@@ -13,7 +13,9 @@
 use wheelmast_fake::announcer::AnnounceTarget;
 use wheelmast_fake::deployment::kivela;
 use wheelmast_fake::world::FakeWorld;
-use wheelmast_wire::prelude::{ApplyBody, InstanceStatus, MemberStatus, TableStatus, VersionLine};
+use wheelmast_wire::prelude::{
+    InstanceStatus, MemberStatus, TableChangeResult, TableHistoryEntry, TableStatus,
+};
 
 const REPLICAS: usize = 3;
 /// Number of instances: the replicas, and one instance without a disk.
@@ -148,12 +150,18 @@
 
     /// Applies a change until an outcome is known, starting at the given instance and
     /// going on to the next one after each failure.
-    async fn apply(&self, node: usize, base: u64, change: &str) -> ApplyBody {
+    async fn apply(&self, node: usize, base: u64, change: &str) -> TableChangeResult {
         let csv = format!("service,kind,weight\nsearch,query,{}\n", base % 1000 + 1);
         self.apply_table(node, base, change, &csv).await
     }
 
-    async fn apply_table(&self, node: usize, base: u64, change: &str, csv: &str) -> ApplyBody {
+    async fn apply_table(
+        &self,
+        node: usize,
+        base: u64,
+        change: &str,
+        csv: &str,
+    ) -> TableChangeResult {
         let body = serde_json::json!({
             "base": base, "change": change, "note": "test", "csv": csv,
         });
@@ -225,7 +233,7 @@
             .await;
         assert_eq!(
             outcome,
-            ApplyBody::Accepted {
+            TableChangeResult::Accepted {
                 version: number + 1
             }
         );
@@ -245,12 +253,12 @@
         let outcome = cluster.apply(3, number, &format!("c{number}")).await;
         assert_eq!(
             outcome,
-            ApplyBody::Accepted {
+            TableChangeResult::Accepted {
                 version: number + 1
             }
         );
     }
-    let history: Option<Vec<VersionLine>> = cluster.get(3, "/v1/table/history").await;
+    let history: Option<Vec<TableHistoryEntry>> = cluster.get(3, "/v1/table/history").await;
     let history = history.expect("it answers");
     for line in &history {
         assert_eq!(line.change, format!("c{}", line.version - 1));
@@ -271,18 +279,18 @@
         let mut accepted_count = 0;
         for outcome in [first, second] {
             match outcome {
-                ApplyBody::Accepted { version } => {
+                TableChangeResult::Accepted { version } => {
                     assert_eq!(version, base + 1);
                     accepted_count += 1;
                 }
-                ApplyBody::Conflict { version, csv } => {
+                TableChangeResult::Conflict { version, csv } => {
                     assert_eq!(version, base + 1);
                     assert!(
                         csv.contains("search"),
                         "the conflict returns the current table"
                     );
                 }
-                ApplyBody::Rejected { findings } => panic!("{findings:?}"),
+                TableChangeResult::Rejected { findings } => panic!("{findings:?}"),
             }
         }
         assert_eq!(accepted_count, 1, "base {base}");
@@ -311,7 +319,7 @@
     let status = cluster.command(1).status().expect("wheelmastd starts");
     assert_eq!(status.code(), Some(1));
     let outcome = cluster.apply(3, 5, "c5").await;
-    assert_eq!(outcome, ApplyBody::Accepted { version: 6 });
+    assert_eq!(outcome, TableChangeResult::Accepted { version: 6 });
     // Without a quorum no change is accepted, and the table in force stays.
     cluster.kill(2);
     let body = r#"{"base":6,"change":"c6","csv":"service,kind\nsearch,query\n"}"#;
@@ -325,7 +333,7 @@
     cluster.wait_version(3, 6).await;
     cluster.start(2);
     let outcome = cluster.apply(3, 6, "c6").await;
-    assert_eq!(outcome, ApplyBody::Accepted { version: 7 });
+    assert_eq!(outcome, TableChangeResult::Accepted { version: 7 });
     cluster.wait_version(3, 7).await;
 }
 
--- a/crates/wire/src/native.rs
+++ b/crates/wire/src/native.rs
@@ -1,4 +1,5 @@
-//! The product's own names, formats and calls of the forwarded conversations.
+//! Built-in implementation of [`ForwardDialect`]: the header names, paths and JSON
+//! formats that are used without a platform adapter.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,26 +10,30 @@
 use wheelmast_core::process::forward::directory::{ServerAnnouncement, ServerLifecycle};
 use wheelmast_core::version::route_table::RouteDraft;
 
-use crate::dialect::{unreadable, ControlCall, ForwardDialect, HeaderNames, RolloutOrder};
+use crate::dialect::{
+    parse_error_findings, ControlCall, ForwardDialect, HeaderNames, RolloutOrder,
+};
 
-/// Path of a server's announcement, before its id.
-const UPSTREAM_PATH: &str = "/v1/servers/";
+/// Path prefix of server announcements; the server id follows.
+const SERVERS_PATH: &str = "/v1/servers/";
 /// Path of the route table.
 pub const ROUTES_PATH: &str = "/v1/routes";
-/// Path of the failure domains that are out of use.
+/// Path of the list of evacuated failure domains, and, with a domain's name appended,
+/// of the calls that start and end an evacuation.
 pub const EVACUATIONS_PATH: &str = "/v1/evacuations";
-/// Path of roll-outs.
+/// Path of the call that starts a roll-out, and, with a service's name appended, of the
+/// call that reads a roll-out's state.
 pub const ROLLOUTS_PATH: &str = "/v1/rollouts";
-/// Path of the balancer's question.
+/// Path of the load balancer's health check.
 const READY_PATH: &str = "/ready";
 
-/// The product's own dialect.
+/// Built-in dialect.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NativeDialect;
 
-/// An announcement as JSON.
+/// JSON body of a server's announcement.
 #[derive(Debug, Deserialize)]
-struct NoticeBody {
+struct ServerAnnouncementBody {
     service: Box<str>,
     address: SocketAddr,
     failure_domain: Box<str>,
@@ -43,7 +48,7 @@
     born: u64,
 }
 
-/// The order of a roll-out as JSON.
+/// JSON body of the order for a roll-out.
 #[derive(Debug, Deserialize)]
 struct RolloutBody {
     service: String,
@@ -51,7 +56,7 @@
     duration_ms: u64,
 }
 
-/// What a server says when it leaves.
+/// JSON body of the announcement that a server leaves.
 #[derive(Debug, Deserialize)]
 struct WithdrawalBody {
     #[serde(default)]
@@ -81,13 +86,13 @@
             ("GET", EVACUATIONS_PATH) => return Some(ControlCall::ListEvacuations),
             _ => {}
         }
-        if let Some(call) = evacuation_call(method, path) {
+        if let Some(call) = parse_evacuation_call(method, path) {
             return Some(call);
         }
-        if let Some(call) = rollout_call(method, path) {
+        if let Some(call) = parse_rollout_call(method, path) {
             return Some(call);
         }
-        let id = path.strip_prefix(UPSTREAM_PATH)?;
+        let id = path.strip_prefix(SERVERS_PATH)?;
         match method {
             "PUT" => Some(ControlCall::Announce(id.to_string())),
             "DELETE" => Some(ControlCall::Withdraw(id.to_string())),
@@ -96,7 +101,8 @@
     }
 
     fn read_rollout(text: &[u8]) -> Result<RolloutOrder, FindingList> {
-        let body: RolloutBody = serde_json::from_slice(text).map_err(|error| unreadable(&error))?;
+        let body: RolloutBody =
+            serde_json::from_slice(text).map_err(|error| parse_error_findings(&error))?;
         Ok(RolloutOrder {
             service: body.service,
             target: body.version,
@@ -114,17 +120,18 @@
         serde_json::json!({ "version": target, "state": state }).to_string()
     }
 
-    fn announced(next: Option<SocketAddr>) -> String {
+    fn write_announce_reply(next: Option<SocketAddr>) -> String {
         let next = next.map(|next| next.to_string());
         serde_json::json!({ "next": next }).to_string()
     }
 
     fn read_table(text: &[u8]) -> Result<RouteDraft, FindingList> {
-        serde_json::from_slice(text).map_err(|error| unreadable(&error))
+        serde_json::from_slice(text).map_err(|error| parse_error_findings(&error))
     }
 
-    fn read_notice(id: &str, text: &[u8]) -> Result<ServerAnnouncement, FindingList> {
-        let body: NoticeBody = serde_json::from_slice(text).map_err(|error| unreadable(&error))?;
+    fn read_announcement(id: &str, text: &[u8]) -> Result<ServerAnnouncement, FindingList> {
+        let body: ServerAnnouncementBody =
+            serde_json::from_slice(text).map_err(|error| parse_error_findings(&error))?;
         let standing = if body.draining {
             ServerLifecycle::Draining
         } else {
@@ -149,19 +156,19 @@
             return Ok(ServerAnnouncement::gone(id, 0));
         }
         let body: WithdrawalBody =
-            serde_json::from_slice(text).map_err(|error| unreadable(&error))?;
+            serde_json::from_slice(text).map_err(|error| parse_error_findings(&error))?;
         Ok(ServerAnnouncement::gone(id, body.born))
     }
 }
 
-/// Tells whether a method and a path ask for a roll-out.
-fn rollout_call(method: &str, path: &str) -> Option<ControlCall> {
+/// Recognises the call that reads the state of a roll-out.
+fn parse_rollout_call(method: &str, path: &str) -> Option<ControlCall> {
     let service = path.strip_prefix(ROLLOUTS_PATH)?.strip_prefix('/')?;
     (method == "GET" && !service.is_empty()).then(|| ControlCall::GetRollout(service.to_string()))
 }
 
-/// Tells which call concerning a failure domain a method and a path are.
-fn evacuation_call(method: &str, path: &str) -> Option<ControlCall> {
+/// Recognises the calls that start and end the evacuation of a failure domain.
+fn parse_evacuation_call(method: &str, path: &str) -> Option<ControlCall> {
     let domain = path.strip_prefix(EVACUATIONS_PATH)?.strip_prefix('/')?;
     if domain.is_empty() {
         return None;
--- a/crates/wire/tests/decode.rs
+++ b/crates/wire/tests/decode.rs
@@ -1,11 +1,12 @@
-//! What comes from outside is read or refused; nothing panics.
+//! Tests that decoders accept valid input from other processes, refuse invalid input, and
+//! never panic.
 
 use assert_matches::assert_matches;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use wheelmast_core::prelude::ReplyStatus;
 use wheelmast_wire::prelude::AnnouncementBody;
-use wheelmast_wire::upstream::{decode_reply, read_announcement, REPLY_HITS};
+use wheelmast_wire::upstream::{decode_reply, read_announcement, MAX_REPLY_HITS};
 
 struct ReplyCase {
     name: &'static str,
@@ -19,7 +20,7 @@
 }
 
 #[test]
-fn only_a_clear_word_counts_as_not_run() {
+fn only_an_explicit_refusal_counts_as_not_run() {
     let cases = [
         ReplyCase {
             name: "answer",
@@ -29,13 +30,13 @@
             check: |status| matches!(status, ReplyStatus::Body(body) if body.hits.len() == 2),
         },
         ReplyCase {
-            name: "garbage",
+            name: "not JSON",
             status: 200,
             body: "<html>",
             check: is_failed,
         },
         ReplyCase {
-            name: "identity that is none",
+            name: "invalid attempt id",
             status: 200,
             body: r#"{"attempt":"x","request":"1-1","shard":3,"epoch":1,"version":9,"hits":[]}"#,
             check: is_failed,
@@ -54,25 +55,25 @@
             },
         },
         ReplyCase {
-            name: "unavailable, and it ran",
+            name: "503 for a subquery that ran",
             status: 503,
             body: r#"{"ran":true}"#,
             check: is_failed,
         },
         ReplyCase {
-            name: "unavailable without a word",
+            name: "503 without a JSON body",
             status: 503,
             body: "overloaded",
             check: is_failed,
         },
         ReplyCase {
-            name: "gone",
+            name: "snapshot not held",
             status: 410,
             body: r#"{"ran":false,"held":[{"epoch":1,"version":2,"shard":0,"shards":4}]}"#,
             check: |status| matches!(status, ReplyStatus::SnapshotNotHeld { held } if held.len() == 1),
         },
         ReplyCase {
-            name: "another status",
+            name: "unexpected status",
             status: 500,
             body: r#"{"ran":false}"#,
             check: is_failed,
@@ -86,7 +87,7 @@
 
 #[test]
 fn a_reply_of_too_many_hits_is_refused() {
-    let hits = vec!["{\"document\":1}"; REPLY_HITS + 1].join(",");
+    let hits = vec!["{\"document\":1}"; MAX_REPLY_HITS + 1].join(",");
     let body = format!(
         "{{\"attempt\":\"1-2\",\"request\":\"1-1\",\"shard\":0,\"epoch\":1,\"version\":1,\
          \"hits\":[{hits}]}}"
@@ -103,12 +104,12 @@
     })]
 
     #[test]
-    fn any_reply_is_read_or_refused(status in 100u16..600, body in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn decoding_any_reply_does_not_panic(status in 100u16..600, body in prop::collection::vec(any::<u8>(), 0..200)) {
         decode_reply(status, &body);
     }
 
     #[test]
-    fn any_announcement_is_read_or_refused(
+    fn an_announcement_is_accepted_only_if_valid(
         slots in 0u32..4,
         connections in 0u32..4,
         lease_ms in 0u64..100_000,
@@ -129,17 +130,17 @@
             load,
             lease_ms,
         };
-        let is_good = slots > 0
+        let is_valid = slots > 0
             && connections > 0
             && (1..=60_000).contains(&lease_ms)
             && !phase.is_empty()
             && phase != "gone";
-        prop_assert_eq!(read_announcement(body).is_ok(), is_good);
+        prop_assert_eq!(read_announcement(body).is_ok(), is_valid);
     }
 }
 
 #[test]
-fn a_packed_table_is_small_and_comes_back_whole() {
+fn packing_a_route_table_is_lossless_and_saves_95_percent() {
     let route = |number: usize| {
         let shards: Vec<String> = (0..90).map(|shard| format!("\"shard{shard}\"")).collect();
         format!(
@@ -148,22 +149,22 @@
         )
     };
     let text: String = (0..100).map(route).collect();
-    let packed = wheelmast_wire::pack::pack(text.as_bytes()).expect("packed");
+    let packed = wheelmast_wire::pack::pack(text.as_bytes()).expect("the text is packed");
     assert!(
         packed.len() * 20 < text.len(),
         "{} of {}",
         packed.len(),
         text.len()
     );
-    let unpacked = wheelmast_wire::pack::unpack(&packed).expect("unpacked");
+    let unpacked = wheelmast_wire::pack::unpack(&packed).expect("unpacking succeeds");
     assert_eq!(unpacked, text.as_bytes());
 }
 
 #[test]
 fn a_document_that_grows_too_large_is_refused() {
-    let text = vec![b' '; wheelmast_wire::pack::UNPACKED_BYTES as usize + 1];
-    let packed = wheelmast_wire::pack::pack(&text).expect("packed");
-    let error = wheelmast_wire::pack::unpack(&packed).expect_err("too large");
+    let text = vec![b' '; wheelmast_wire::pack::MAX_UNPACKED_BYTES as usize + 1];
+    let packed = wheelmast_wire::pack::pack(&text).expect("the text is packed");
+    let error = wheelmast_wire::pack::unpack(&packed).expect_err("the document is too large");
     assert!(error.to_string().contains("over 33554432 bytes"));
 }
 
@@ -171,10 +172,10 @@
     #![proptest_config(Config { cases: 256, rng_seed: RngSeed::Fixed(9), ..Config::default() })]
 
     #[test]
-    fn what_was_not_packed_is_refused_or_read(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn any_bytes_are_unpacked_or_refused_and_packing_is_lossless(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = wheelmast_wire::pack::unpack(&bytes);
-        let packed = wheelmast_wire::pack::pack(&bytes).expect("packed");
-        let unpacked = wheelmast_wire::pack::unpack(&packed).expect("unpacked");
+        let packed = wheelmast_wire::pack::pack(&bytes).expect("the text is packed");
+        let unpacked = wheelmast_wire::pack::unpack(&packed).expect("unpacking succeeds");
         prop_assert_eq!(unpacked, bytes);
     }
 }
