--- a/crates/node/tests/forward/crashing.rs
+++ b/crates/node/tests/forward/crashing.rs
@@ -12,7 +12,7 @@
 //! In the recorded case, a request under which three servers had crashed 15 s before
 //! was sent to six more servers, and two of these crashed 30 to 50 ms after they
 //! began the request. The crashes came without a rise of load, and only at services
-//! that the request asks.
+//! to which the request is sent.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Sends the deadly request twice to each entry, and checks that each response is
-    /// a server error.
+    /// Sends the deadly request twice to each entry, and checks that each response, if
+    /// there is one, is a server error.
     fn send_deadly_requests(&mut self) {
         for entry in ENTRY_INDICES {
             for _ in 0..2 {
--- a/crates/node/tests/forward/evacuate.rs
+++ b/crates/node/tests/forward/evacuate.rs
@@ -60,7 +60,7 @@
 
     /// Sends requests to both entries until 12 responses in a row come from the server
     /// of this letter, or are refusals if there is no letter.
-    async fn wait_until_followed(&self, letter: Option<u8>, label: &str) {
+    async fn wait_until_order_followed(&self, letter: Option<u8>, label: &str) {
         let begin = Instant::now();
         let mut expected_in_a_row = 0;
         let mut number = 0;
@@ -97,7 +97,9 @@
     let mut cluster = EvacuationCluster::start(31).await;
     cluster.order_until_accepted(0, "POST", "here");
     cluster.order_until_accepted(1, "POST", "here");
-    cluster.wait_until_followed(Some(b't'), "one out").await;
+    cluster
+        .wait_until_order_followed(Some(b't'), "one out")
+        .await;
     assert_eq!(cluster.evacuation_list(2), r#"{"evacuated":["here"]}"#);
     // All instances are killed at once, and one control instance loses its disk.
     for daemon in &mut cluster.deployment.daemons {
@@ -111,13 +113,15 @@
     assert_eq!(cluster.evacuation_list(0), r#"{"evacuated":["here"]}"#);
     cluster.announce().await;
     cluster
-        .wait_until_followed(Some(b't'), "after a loss")
+        .wait_until_order_followed(Some(b't'), "after a loss")
         .await;
     cluster.order_until_accepted(2, "POST", "there");
-    cluster.wait_until_followed(None, "both out").await;
+    cluster.wait_until_order_followed(None, "both out").await;
     cluster.order_until_accepted(1, "DELETE", "there");
     cluster.order_until_accepted(0, "DELETE", "there");
-    cluster.wait_until_followed(Some(b't'), "one back").await;
+    cluster
+        .wait_until_order_followed(Some(b't'), "one back")
+        .await;
     cluster.order_until_accepted(0, "DELETE", "here");
     assert_eq!(cluster.evacuation_list(0), r#"{"evacuated":[]}"#);
 }
--- a/crates/node/tests/forward/extra.rs
+++ b/crates/node/tests/forward/extra.rs
@@ -71,23 +71,23 @@
         |reply| reply.status == 200,
     );
     wait_until(
-        "the entry serves a request",
+        "a request is served",
         || deployment.query(3, "/d/x", "other"),
         |reply| reply.status == 200,
     );
     let opened_before = connections.load(Ordering::Relaxed);
     for _ in 0..4 {
-        let reply = deployment.query(3, "/d/x", "same").expect("a response");
+        let reply = deployment.query(3, "/d/x", "same").expect("an answer");
         assert_eq!(reply.status, 200);
-        assert_eq!(reply.body, b"right", "the response belongs to another run");
+        assert_eq!(reply.body, b"right", "the answer belongs to another run");
     }
-    let later = deployment.query(3, "/d/x", "next").expect("a response");
+    let later = deployment.query(3, "/d/x", "next").expect("an answer");
     assert_eq!(later.body, b"right");
     // A repeated id must not share a connection with the earlier request: three of
     // the four requests with the id `same` open one.
     let opened = connections.load(Ordering::Relaxed) - opened_before;
     assert_eq!(
         opened, 3,
-        "only a request with the id of the previous one opens a connection"
+        "only a request that must not share a connection opens one"
     );
 }
--- a/crates/node/tests/forward/harness.rs
+++ b/crates/node/tests/forward/harness.rs
@@ -58,7 +58,7 @@
     }
 
     /// Sends the process the signal of this name, such as `TERM`.
-    pub(crate) fn signal(&self, signal_name: &str) {
+    pub(crate) fn signal(&self, name: &str) {
         let id = self
             .child
             .as_ref()
@@ -66,7 +66,7 @@
             .id()
             .to_string();
         let status = Command::new("kill")
-            .args([&format!("-{signal_name}"), &id])
+            .args([&format!("-{name}"), &id])
             .status();
         assert!(status.expect("kill runs").success());
     }
@@ -90,19 +90,19 @@
 /// Sends a request on a new connection and returns the response.
 ///
 /// Returns `None` if the connection fails or the response is malformed. Each of
-/// `header_lines` ends with CRLF.
+/// the header `lines` ends with CRLF.
 pub(crate) fn send_request(
     to: SocketAddr,
     method: &str,
     path: &str,
-    header_lines: &str,
+    lines: &str,
     body: &str,
 ) -> Option<Reply> {
     let mut stream = TcpStream::connect_timeout(&to, Duration::from_millis(500)).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(3))).ok()?;
     let length = body.len();
     let request = format!(
-        "{method} {path} HTTP/1.1\r\nhost: shop\r\nconnection: close\r\n{header_lines}content-length: {length}\r\n\r\n{body}"
+        "{method} {path} HTTP/1.1\r\nhost: shop\r\nconnection: close\r\n{lines}content-length: {length}\r\n\r\n{body}"
     );
     stream.write_all(request.as_bytes()).ok()?;
     let mut bytes = Vec::new();
@@ -144,8 +144,7 @@
 pub(crate) struct Deployment {
     folder: TempDir,
     pub(crate) daemons: Vec<Daemon>,
-    /// Third byte of the addresses of all instances. Tests that run at the same
-    /// time use different blocks.
+    /// Third byte of the addresses of all instances, chosen by the test.
     address_block: u8,
     /// First of the consecutive ports that each instance listens on.
     base_port: u16,
@@ -304,7 +303,7 @@
     /// of its group.
     pub(crate) fn await_vote(&self, number: usize) {
         wait_until(
-            &format!("n{number} is a voting member"),
+            &format!("n{number} has a vote"),
             || send_request(self.metrics_address(number), "GET", "/metrics", "", ""),
             |reply| {
                 let text = String::from_utf8_lossy(&reply.body);
@@ -331,8 +330,8 @@
 
     /// Sends a request with the id `id` and 2,000 ms left to an entry.
     pub(crate) fn query(&self, entry: usize, path: &str, id: &str) -> Option<Reply> {
-        let header_lines = format!("wheelmast-request: {id}\r\nwheelmast-time-left-ms: 2000\r\n");
-        send_request(self.front_address(entry), "GET", path, &header_lines, "")
+        let lines = format!("wheelmast-request: {id}\r\nwheelmast-time-left-ms: 2000\r\n");
+        send_request(self.front_address(entry), "GET", path, &lines, "")
     }
 }
 
--- a/crates/node/tests/forward/keyed.rs
+++ b/crates/node/tests/forward/keyed.rs
@@ -8,7 +8,7 @@
 use crate::harness::{route_table, send_request, wait_until, Deployment, Reply};
 
 /// Key of the workspace `north`.
-const WORKSPACE_KEY: &str = "a-key-that-nobody-else-may-see";
+const KEY: &str = "a-key-that-nobody-else-may-see";
 
 /// Returns the table of [`route_table`] with a workspace `north` that has this key.
 fn keyed_table(version: u64, key: &str) -> String {
@@ -18,22 +18,22 @@
 }
 
 /// Sends a request with these header lines to an entry.
-fn query(deployment: &Deployment, entry: usize, extra_lines: &str, id: &str) -> Option<Reply> {
-    let lines = format!("wheelmast-request: {id}\r\nwheelmast-time-left-ms: 2000\r\n{extra_lines}");
+fn query(deployment: &Deployment, entry: usize, lines: &str, id: &str) -> Option<Reply> {
+    let lines = format!("wheelmast-request: {id}\r\nwheelmast-time-left-ms: 2000\r\n{lines}");
     send_request(deployment.front_address(entry), "GET", "/q/x", &lines, "")
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_reaches_no_server_or_log_and_is_refused_once_removed() {
     let deployment = Deployment::start(41);
-    deployment.put_first_table(&keyed_table(1, WORKSPACE_KEY));
+    deployment.put_first_table(&keyed_table(1, KEY));
     let mut shards = Vec::new();
     for number in 0..4 {
         let shard = FakeShard::start(&format!("s{number}"), "here", b'a').await;
         shards.push(shard.expect("a shard"));
     }
     deployment.announce_all(shards.iter());
-    let key_line = format!("Wheelmast-Key: {WORKSPACE_KEY}\r\n");
+    let key_line = format!("Wheelmast-Key: {KEY}\r\n");
     wait_until(
         "served with the key",
         || query(&deployment, 3, &key_line, "first"),
@@ -46,7 +46,7 @@
         ("a name without a key", "wheelmast-workspace: north\r\n".to_string(), 401),
         (
             "names of others",
-            format!("{key_line}wheelmast-workspace: south\r\nWHEELMAST_WORKSPACE: south\r\nwheelmast_key: {WORKSPACE_KEY}\r\n"),
+            format!("{key_line}wheelmast-workspace: south\r\nWHEELMAST_WORKSPACE: south\r\nwheelmast_key: {KEY}\r\n"),
             200,
         ),
     ];
@@ -58,7 +58,7 @@
         assert_eq!(reached_a_server, status == 200, "{name}");
     }
     for head in shards.iter().flat_map(FakeShard::heads) {
-        assert!(!head.contains(WORKSPACE_KEY), "{head}");
+        assert!(!head.contains(KEY), "{head}");
         let workspace_lines: Vec<&str> = head
             .lines()
             .filter(|line| line.contains("workspace"))
@@ -82,9 +82,6 @@
     }
     std::thread::sleep(Duration::from_millis(300));
     for number in [0, 1, 2, 4] {
-        assert!(
-            !deployment.log(number).contains(WORKSPACE_KEY),
-            "log of n{number}"
-        );
+        assert!(!deployment.log(number).contains(KEY), "log of n{number}");
     }
 }
--- a/crates/node/tests/forward/lifetimes.rs
+++ b/crates/node/tests/forward/lifetimes.rs
@@ -20,7 +20,7 @@
 /// Servers that leave in the first incarnation (the run before the restart).
 const FIRST_LEAVERS: usize = 20;
 /// Servers that leave in the second incarnation: more than the first incarnation
-/// sent requests, so that ids that restart from the same number would repeat.
+/// sent requests, so that tags counted from the same start would repeat.
 const SECOND_LEAVERS: usize = 150;
 
 /// A control instance that the test simulates: it accepts connections and collects
@@ -114,7 +114,7 @@
     };
     tokio::task::spawn_blocking(remove_servers)
         .await
-        .expect("the servers are removed");
+        .expect("the servers have left");
     let mut tags = BTreeSet::new();
     while tags.len() < leavers {
         let tag = guest.receive(|message| match message {
--- a/crates/node/tests/forward/news.rs
+++ b/crates/node/tests/forward/news.rs
@@ -1,10 +1,10 @@
 //! Checks that the control group batches crash records for entries.
 //!
-//! A crash record names a suspect request, under which a server crashed. Every
-//! control instance used to send each crash to each entry in a message of its own.
-//! Where half of the servers reset connections, that made over 1,000 messages a
-//! second for entries with an eighth of a processor, and the entries accepted no
-//! requests for seconds.
+//! A crash record names a suspect request, under which a server crashed. The test
+//! guards against control instances that send each crash to each entry in a message
+//! of its own. Where half of the servers reset connections, that made over 1,000
+//! messages a second for entries with an eighth of a processor, and the entries
+//! accepted no requests for seconds.
 
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
--- a/crates/node/tests/forward/relayed.rs
+++ b/crates/node/tests/forward/relayed.rs
@@ -106,10 +106,10 @@
             "wheelmast-expect-server: n3#1\r\n",
         ),
     ];
-    for (name, relay_line, identity_line) in cases {
-        let lines = format!("{relay_line}{identity_line}");
+    for (name, relay_line, incarnation_line) in cases {
+        let lines = format!("{relay_line}{incarnation_line}");
         let reply = send_request(deployment.front_address(3), "GET", "/q/x", &lines, "")
-            .expect("a response");
+            .expect("an answer");
         assert_eq!(reply.status, 503, "{name}");
     }
 
--- a/crates/node/tests/forward/rolled_out.rs
+++ b/crates/node/tests/forward/rolled_out.rs
@@ -7,8 +7,7 @@
 
 use crate::harness::{route_table, send_request, wait_until, Deployment, Reply};
 
-/// Duration in milliseconds that the orders give a roll-out. A version that no server
-/// announces is rolled back after this time.
+/// Duration in milliseconds that each order allows for its roll-out.
 const DURATION_MS: u64 = 5000;
 
 /// A deployment with two servers of the service `desk`: `old` announces version `v1`,
@@ -108,7 +107,7 @@
 async fn a_good_version_is_completed_although_a_control_instance_is_killed() {
     let mut cluster = RolloutCluster::start(42).await;
     wait_until(
-        "the entry serves a request",
+        "a request is served",
         || cluster.deployment.query(3, "/d/x", "first"),
         |reply| reply.status == 200,
     );
--- a/crates/node/tests/forward/serve.rs
+++ b/crates/node/tests/forward/serve.rs
@@ -71,10 +71,10 @@
 
     // A table of a lower version changes nothing. An invalid table is refused with the
     // errors that were found. The current table is returned as it was sent.
-    let lower_reply = deployed.put_table(2, &route_table(4)).expect("a response");
+    let lower_reply = deployed.put_table(2, &route_table(4)).expect("an answer");
     assert_eq!(lower_reply.status, 200);
     let invalid_table = route_table(9).replace("\"service\": \"desk\"", "\"service\": \"dusk\"");
-    let invalid_reply = deployed.put_table(2, &invalid_table).expect("a response");
+    let invalid_reply = deployed.put_table(2, &invalid_table).expect("an answer");
     assert_eq!(invalid_reply.status, 400);
     assert!(String::from_utf8_lossy(&invalid_reply.body).contains("did you mean \"desk\""));
     let reply = wait_until(
@@ -95,7 +95,7 @@
     for number in 0..10 {
         let reply = deployed
             .query(3, "/d/x", &format!("d{number}"))
-            .expect("a response");
+            .expect("an answer");
         assert_eq!(reply.status, 200);
     }
     assert_eq!(desks[0].seen().len(), requests_before);
@@ -106,7 +106,7 @@
     let begin = Instant::now();
     for number in 0..300 {
         let reply = deployed.query(3, "/q/x", &format!("flood{number}"));
-        assert_eq!(reply.expect("a response").status, 200);
+        assert_eq!(reply.expect("an answer").status, 200);
     }
     assert!(
         begin.elapsed() < Duration::from_secs(10),
@@ -124,7 +124,7 @@
     );
     deployment.daemons[0].start();
     wait_until(
-        "n0 returns the table again",
+        "n0 is back and returns the table",
         || deployment.get_table(0),
         |reply| reply.status == 200,
     );
@@ -156,7 +156,7 @@
         || send_request(deployment.balancer_address(4), "GET", "/ready", "", ""),
         |reply| reply.status == 503,
     );
-    let last_reply = deployment.query(4, "/q/x", "last").expect("a response");
+    let last_reply = deployment.query(4, "/q/x", "last").expect("an answer");
     assert_eq!(last_reply.status, 200);
     assert!(last_reply.head.contains("connection: close"));
     let mut child = deployment.daemons[4]
@@ -177,9 +177,9 @@
         std::thread::sleep(Duration::from_millis(50));
     }
 
-    // The remaining entry sends to the servers of all shards itself.
+    // The other entry sends to the servers of all shards itself.
     let reply = wait_until(
-        "the remaining entry serves all shards",
+        "all shards are served by the other entry",
         || deployment.query(3, "/q/x", "after"),
         |reply| reply.status == 200 && reply.head.contains("wheelmast-missing: 0"),
     );
--- a/crates/node/tests/forward/soak.rs
+++ b/crates/node/tests/forward/soak.rs
@@ -123,7 +123,7 @@
     version: u64,
     requests: u64,
     /// Random numbers for the evacuation orders, drawn apart from all others.
-    order_rng: SmallRng,
+    evacuation_rng: SmallRng,
     /// Whether the failure domain `there` is evacuated; `None` if the last order may or
     /// may not have been applied.
     evacuated: Option<bool>,
@@ -157,7 +157,7 @@
             ledger: Ledger::default(),
             version: 0,
             requests: 0,
-            order_rng: SmallRng::seed_from_u64(seed),
+            evacuation_rng: SmallRng::seed_from_u64(seed),
             evacuated: Some(false),
         }
     }
@@ -176,7 +176,7 @@
                 Some(200) => self.ledger.acknowledged = self.version,
                 Some(503) | None => {}
                 Some(status) => {
-                    let finding = format!("a valid change got the status {status}");
+                    let finding = format!("a valid change was answered with {status}");
                     self.ledger.violations.push(finding);
                 }
             }
@@ -198,8 +198,8 @@
     /// Evacuates or restores the failure domain `there` at a random control instance,
     /// and checks the list of evacuated failure domains at another one.
     fn send_evacuation_order(&mut self) {
-        let evacuated = self.order_rng.random_bool(0.5);
-        let to = self.order_rng.random_range(0..CONTROL_INSTANCES);
+        let evacuated = self.evacuation_rng.random_bool(0.5);
+        let to = self.evacuation_rng.random_range(0..CONTROL_INSTANCES);
         let method = if evacuated { "POST" } else { "DELETE" };
         let path = format!("{EVACUATIONS_PATH}/there");
         let reply = send_request(self.deployment.front_address(to), method, &path, "", "");
@@ -253,7 +253,7 @@
                 .deployment
                 .query(entry, &format!("/f/{DEADLY_SEGMENT}"), &id);
             if reply.is_some_and(|reply| reply.status < 500) {
-                let finding = format!("{id}: the request that crashes servers got a success");
+                let finding = format!("{id}: the request that crashes servers was answered");
                 self.ledger.violations.push(finding);
             }
         }
@@ -325,12 +325,12 @@
         let was_refused = reply.is_some_and(|reply| reply.status == 503);
         if count > 1 || (was_refused && count > 0) {
             let status = reply.map(|reply| reply.status);
-            let finding = format!("{id}: ran {count} times, response status {status:?}");
+            let finding = format!("{id}: ran {count} times, answered {status:?}");
             self.ledger.violations.push(finding);
         }
     }
 
-    /// Causes a fault at an instance, or at all.
+    /// Causes a fault at one instance, or at all instances.
     fn inject_fault(&mut self, fault: Fault, instance: usize) {
         match fault {
             Fault::Kill => self.deployment.daemons[instance].kill(),
@@ -381,7 +381,7 @@
         let acknowledged = self.ledger.acknowledged;
         for from in 0..CONTROL_INSTANCES {
             wait_until(
-                "the replica returns the newest table",
+                "the replica is back and has the newest table",
                 || self.deployment.get_table(from),
                 |reply| {
                     let text = String::from_utf8_lossy(&reply.body);
@@ -401,12 +401,12 @@
         );
         for entry in CONTROL_INSTANCES..INSTANCES {
             wait_until(
-                "the entry answers from all shards",
+                "the entry is back and answers from all shards",
                 || self.deployment.query(entry, "/q/x", "settled"),
                 |reply| reply.status == 200 && reply.head.contains("wheelmast-missing: 0"),
             );
             wait_until(
-                "the crashed servers answer again",
+                "the crashed servers are back",
                 || {
                     self.announce();
                     self.deployment.query(entry, "/f/harmless", "harmless")
