--- a/crates/node/tests/forward/relayed.rs
+++ b/crates/node/tests/forward/relayed.rs
@@ -1,6 +1,7 @@
 //! Checks the HTTP exchange of a relay: a request, or some of its shards, that one
-//! entry sends to another. The other entry acknowledges a relay with `100 Continue`
-//! before it sends to servers.
+//! entry sends to another. The other entry at once acknowledges a relay with
+//! `100 Continue`. The sender's attempt allowance (how many servers the other entry
+//! may try per shard) follows in the body.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -52,8 +53,8 @@
     found.expect("the control group reports the entry")
 }
 
-/// Sends the head of a relay as an entry does, but holds back the body, which says
-/// how many servers the other entry may try.
+/// Sends the head of a relay as an entry does, but holds back the body with the attempt
+/// allowance: how many servers the other entry may try per shard.
 fn send_relay_head(stream: &mut TcpStream, id: &str, identity: &str) {
     let request = format!(
         "GET /q/x HTTP/1.1\r\nhost: shop\r\nwheelmast-request: {id}\r\n\
--- a/crates/node/tests/forward/soak.rs
+++ b/crates/node/tests/forward/soak.rs
@@ -33,7 +33,7 @@
 const DEADLY_SEGMENT: &str = "deadly";
 /// Time that a crashed server takes to listen again.
 const DOWN_TIME: Duration = Duration::from_millis(400);
-/// Letters of the shards `s0` to `s3`; a shard's records consist of its letter.
+/// Letters of the shards `s0` to `s3`; each record of a shard begins with its letter.
 const LETTERS: &[u8] = b"abcd";
 
 /// A fault that a step causes at an instance.
