--- a/crates/node/src/process/callers.rs
+++ b/crates/node/src/process/callers.rs
@@ -202,7 +202,7 @@
 
 /// Responds that the entry thread is overloaded; nothing was run.
 fn respond_busy() -> Response {
-    let mut problem = ProblemBody::before_admission(503, "busy", "the instance is overloaded");
+    let mut problem = ProblemBody::before_admission(503, "busy", "the instance has too much to do");
     problem.retry_after_ms = Some(1000);
     respond_problem(&problem)
 }
@@ -212,11 +212,7 @@
     match error {
         CallError::Busy => respond_busy(),
         CallError::Ended => {
-            let mut problem = ProblemBody::before_admission(
-                502,
-                "ended",
-                "the instance ended before the request was answered",
-            );
+            let mut problem = ProblemBody::before_admission(502, "ended", "the instance ended");
             problem.outcome = wheelmast_wire::caller::OUTCOME_UNKNOWN.to_string();
             respond_problem(&problem).into_response()
         }
@@ -248,14 +244,14 @@
         return Err(early_problem(
             408,
             "slow-body",
-            "the body was not received within 5 s",
+            "the body did not come within 5 s",
         ));
     };
     let bytes = read.map_err(|_| {
         early_problem(
             413,
             "body-unreadable",
-            format!("the body was cut off or exceeds {MAX_REQUEST_BYTES} bytes"),
+            format!("the body broke off or is over {MAX_REQUEST_BYTES} bytes"),
         )
     })?;
     if let Err(error) = serde_json::from_slice::<&RawValue>(&bytes) {
@@ -276,11 +272,11 @@
         .ok()
         .and_then(|text| text.parse::<i64>().ok());
     let Some(millis) = millis else {
-        let detail = format!("{DEADLINE_HEADER} must be the remaining time in whole milliseconds");
+        let detail = format!("{DEADLINE_HEADER} is the time left in whole milliseconds");
         return Err(early_problem(400, "malformed-deadline", detail));
     };
     if millis <= 0 {
-        let detail = "the deadline had already passed when the request arrived";
+        let detail = "the deadline had passed on arrival";
         return Err(early_problem(504, "deadline-passed", detail));
     }
     let millis = (millis as u64).min(MAX_DEADLINE_MS);
@@ -304,7 +300,7 @@
 
 fn check_key(key: &str) -> Result<(), Box<ProblemBody>> {
     if key.is_empty() || key.len() > MAX_KEY_BYTES {
-        let detail = format!("a key must have 1 to {MAX_KEY_BYTES} visible characters");
+        let detail = format!("a key is 1 to {MAX_KEY_BYTES} visible characters");
         return Err(early_problem(400, "malformed-key", detail));
     }
     Ok(())
--- a/crates/node/src/process/fence.rs
+++ b/crates/node/src/process/fence.rs
@@ -132,7 +132,7 @@
         // released.
         let client = self.clone();
         tokio::spawn(async move { client.record_result(claim, None).await });
-        let detail = "no quorum of the control group is reachable to claim the key";
+        let detail = "no quorum of the control group is in reach to claim the key";
         let mut problem = ProblemBody::before_admission(503, "no-quorum", detail);
         problem.retry_after_ms = Some(1000);
         Err(ClaimRejection::Problem(Box::new(problem)))
@@ -162,16 +162,16 @@
         ClaimOutcome::Ended(ExecutionResult::Ran(None)) => Err(reject_possibly_run(
             200,
             "ran-before",
-            "the submission ran; its answer was too large to be kept",
+            "it ran; its answer was too large to be kept",
         )),
         ClaimOutcome::Ended(ExecutionResult::Unknown) => Err(reject_possibly_run(
             502,
             "outcome-unknown",
-            "the submission was sent before, and it is not known whether it ran",
+            "it was sent before, and whether it ran is not known",
         )),
         ClaimOutcome::InProgress => {
             let mut rejection =
-                reject_possibly_run(409, "in-progress", "a request with this key is in progress");
+                reject_possibly_run(409, "in-progress", "a request with this key is at work");
             if let ClaimRejection::Problem(problem) = &mut rejection {
                 problem.retry_after_ms = Some(1000);
             }
@@ -180,7 +180,7 @@
         ClaimOutcome::OtherContent => Err(reject(
             422,
             "key-reused",
-            "this key was already used for a request with other content",
+            "this key was used for a request of other content",
         )),
         ClaimOutcome::Full => Err(reject(
             503,
--- a/crates/node/src/process/operators.rs
+++ b/crates/node/src/process/operators.rs
@@ -86,7 +86,7 @@
 
 /// Responds that the instance has no cluster.
 fn respond_no_control_group() -> Response {
-    let detail = "the instance has no cluster: its service table comes from its settings";
+    let detail = "the instance is alone: its table comes from its settings";
     respond_problem(&ProblemBody::before_admission(
         404,
         "no-control-group",
@@ -142,7 +142,7 @@
     if let Some(token) = &state.token {
         if !has_key(&headers, TOKEN_HEADER, token) {
             tracing::warn!("table: a change with a wrong token was rejected");
-            let detail = format!("{TOKEN_HEADER} does not contain the operators' token");
+            let detail = format!("{TOKEN_HEADER} does not hold the operators' token");
             return respond_problem(&ProblemBody::before_admission(403, "wrong-token", detail));
         }
     }
@@ -152,14 +152,13 @@
     match control_client.apply_change(change).await {
         ChangeResult::Decided(body) => Json(body).into_response(),
         ChangeResult::NoLeader => {
-            let detail = "no leader of the control group is reachable; nothing was changed";
+            let detail = "no leader of the control group is in reach; nothing was changed";
             let mut problem = ProblemBody::before_admission(503, "no-leader", detail);
             problem.retry_after_ms = Some(1000);
             respond_problem(&problem)
         }
         ChangeResult::Unknown => {
-            let detail =
-                "it is not known whether the change is accepted; resend it with the same change id";
+            let detail = "not known whether it is accepted; resend it with the same change id";
             let mut problem = ProblemBody::before_admission(504, "outcome-unknown", detail);
             problem.outcome = OUTCOME_UNKNOWN.to_string();
             problem.retry_after_ms = Some(1000);
@@ -216,7 +215,7 @@
         let problem = ProblemBody::before_admission(
             400,
             "malformed-request-id",
-            "a request id is two hexadecimal numbers joined by a hyphen",
+            "a request's identity is two hexadecimal numbers with a hyphen between",
         );
         return respond_problem(&problem);
     };
--- a/crates/node/src/process/peers.rs
+++ b/crates/node/src/process/peers.rs
@@ -50,11 +50,7 @@
         return (StatusCode::FORBIDDEN, "wrong cluster key").into_response();
     }
     let Ok(request) = decode(&body) else {
-        return (
-            StatusCode::BAD_REQUEST,
-            "the message could not be decoded; the sender may run another version",
-        )
-            .into_response();
+        return (StatusCode::BAD_REQUEST, "not a message of this version").into_response();
     };
     if let PeerRequest::Gossip(message) = request {
         // If the ring is full, the message is lost, as on a lossy network;
