--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -16,9 +16,9 @@
 use wheelmast_wire::caller::{DEADLINE_HEADER, IDEMPOTENCY_HEADER};
 
 /// Largest response taken, in bytes.
-const RESPONSE_BYTES: usize = 64 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 /// Time beyond the deadline after which a response is no longer awaited.
-const PATIENCE: Duration = Duration::from_secs(5);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// What is asked of a service.
 #[derive(Debug, Clone)]
@@ -38,14 +38,14 @@
 
 /// A response, read to its end.
 #[derive(Debug, Clone)]
-pub struct WholeResponse {
+pub struct HttpResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its body.
     pub body: Bytes,
 }
 
-impl WholeResponse {
+impl HttpResponse {
     /// Reads the body as JSON.
     ///
     /// # Errors
@@ -85,7 +85,7 @@
         service: &str,
         call: &ServiceCall,
         deadline: Option<Duration>,
-    ) -> anyhow::Result<WholeResponse> {
+    ) -> anyhow::Result<HttpResponse> {
         let (method, path, body) = match call {
             ServiceCall::Query(json) => (Method::POST, format!("/v1/query/{service}"), json),
             ServiceCall::Fetch(key) => (
@@ -116,7 +116,7 @@
     /// # Errors
     ///
     /// Fails if there is no response at all.
-    pub async fn get(&self, address: SocketAddr, path: &str) -> anyhow::Result<WholeResponse> {
+    pub async fn get(&self, address: SocketAddr, path: &str) -> anyhow::Result<HttpResponse> {
         let request = Request::get(format!("http://{address}{path}")).body(Full::default())?;
         self.send(request).await
     }
@@ -132,7 +132,7 @@
         path: &str,
         body: &T,
         token: Option<&str>,
-    ) -> anyhow::Result<WholeResponse> {
+    ) -> anyhow::Result<HttpResponse> {
         let mut request = Request::post(format!("http://{address}{path}"))
             .header("content-type", "application/json");
         if let Some(token) = token {
@@ -152,7 +152,7 @@
         address: SocketAddr,
         path: &str,
         text: String,
-    ) -> anyhow::Result<WholeResponse> {
+    ) -> anyhow::Result<HttpResponse> {
         let request = Request::put(format!("http://{address}{path}"))
             .header("content-type", "application/json")
             .body(Full::new(Bytes::from(text)))?;
@@ -164,13 +164,13 @@
     /// # Errors
     ///
     /// Fails if there is no response at all.
-    pub async fn order(
+    pub async fn send_with_method(
         &self,
         address: SocketAddr,
         method: Method,
         path: &str,
         body: &str,
-    ) -> anyhow::Result<WholeResponse> {
+    ) -> anyhow::Result<HttpResponse> {
         let body = Bytes::copy_from_slice(body.as_bytes());
         let request = Request::builder()
             .method(method)
@@ -184,7 +184,7 @@
     /// # Errors
     ///
     /// Fails if there is no response.
-    pub async fn open(
+    pub async fn open_stream(
         &self,
         address: SocketAddr,
         path: &str,
@@ -194,21 +194,21 @@
         response.with_context(|| format!("could not reach {address}"))
     }
 
-    async fn send(&self, request: Request<Full<Bytes>>) -> anyhow::Result<WholeResponse> {
-        let place = request.uri().to_string();
-        let exchange = async {
+    async fn send(&self, request: Request<Full<Bytes>>) -> anyhow::Result<HttpResponse> {
+        let uri = request.uri().to_string();
+        let response_future = async {
             let response = self.client.request(request).await?;
             let status = response.status();
-            let body = Limited::new(response.into_body(), RESPONSE_BYTES);
+            let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES);
             let body = body.collect().await.map_err(anyhow::Error::from_boxed)?;
-            anyhow::Ok(WholeResponse {
+            anyhow::Ok(HttpResponse {
                 status,
                 body: body.to_bytes(),
             })
         };
-        tokio::time::timeout(PATIENCE, exchange)
+        tokio::time::timeout(RESPONSE_TIMEOUT, response_future)
             .await
-            .with_context(|| format!("could not get a response from {place} in time"))?
-            .with_context(|| format!("could not get a response from {place}"))
+            .with_context(|| format!("could not get a response from {uri} in time"))?
+            .with_context(|| format!("could not get a response from {uri}"))
     }
 }
--- a/crates/cli/src/cmd/common.rs
+++ b/crates/cli/src/cmd/common.rs
@@ -7,11 +7,11 @@
 use clap::{Arg, ArgAction, ArgMatches};
 use hyper::Method;
 
-use crate::client::{HttpClient, WholeResponse};
+use crate::client::{HttpClient, HttpResponse};
 
 /// Rounds over all instances before an order is given up: an election takes
 /// about a second.
-const ROUNDS: usize = 6;
+const MAX_ROUNDS: usize = 6;
 /// Pause between two rounds.
 const ROUND_PAUSE: Duration = Duration::from_millis(400);
 
@@ -98,31 +98,31 @@
 /// # Errors
 ///
 /// Fails if none said yes.
-pub fn ask_one_of(
+pub fn send_to_any_instance(
     instances: &[SocketAddr],
     method: Method,
     path: &str,
     body: &str,
-) -> anyhow::Result<WholeResponse> {
+) -> anyhow::Result<HttpResponse> {
     let client = HttpClient::default();
-    let mut last = None;
-    for round in 0..ROUNDS {
+    let mut last_failure = None;
+    for round in 0..MAX_ROUNDS {
         if round > 0 {
             std::thread::sleep(ROUND_PAUSE);
         }
         for instance in instances {
-            let reply = block_on(client.order(*instance, method.clone(), path, body));
+            let reply = block_on(client.send_with_method(*instance, method.clone(), path, body));
             match reply {
                 Ok(reply) if reply.status.is_success() => return Ok(reply),
                 Ok(reply) if reply.status.is_client_error() => {
                     let text = String::from_utf8_lossy(&reply.body);
                     bail!("{instance} refused {method} {path}: {text}");
                 }
-                Ok(reply) => last = Some(format!("{instance} said {}", reply.status)),
-                Err(error) => last = Some(format!("{error:#}")),
+                Ok(reply) => last_failure = Some(format!("{instance} said {}", reply.status)),
+                Err(error) => last_failure = Some(format!("{error:#}")),
             }
         }
     }
-    let last = last.unwrap_or_else(|| "no instance named".to_string());
-    bail!("could not make {method} {path}: {last}")
+    let last_failure = last_failure.unwrap_or_else(|| "no instance named".to_string());
+    bail!("could not make {method} {path}: {last_failure}")
 }
--- a/crates/cli/src/cmd/control.rs
+++ b/crates/cli/src/cmd/control.rs
@@ -15,7 +15,7 @@
 /// What stands before the names of the metrics.
 const NAME_PREFIX: &str = "wheelmast_";
 /// Batches that may wait for a disk that keeps up.
-const FEW_BATCHES: f64 = 4.0;
+const MAX_WAITING_BATCHES: f64 = 4.0;
 
 /// The gauges of an instance, without their common prefix.
 pub type InstanceGauges = BTreeMap<String, f64>;
@@ -56,14 +56,14 @@
     pub fn run(&self) -> ExitCode {
         let mut group = Vec::with_capacity(self.instances.len());
         for instance in &self.instances {
-            let gauges = fetch(*instance);
+            let gauges = fetch_gauges(*instance);
             match &gauges {
-                Ok(gauges) => println!("{instance}  {}", describe(gauges)),
+                Ok(gauges) => println!("{instance}  {}", format_status(gauges)),
                 Err(error) => println!("{instance}  {error:#}"),
             }
             group.push((instance.to_string(), gauges.ok()));
         }
-        let findings = judge(&group);
+        let findings = find_problems(&group);
         for finding in &findings {
             println!("{finding}");
         }
@@ -75,7 +75,7 @@
     }
 }
 
-fn fetch(instance: SocketAddr) -> anyhow::Result<InstanceGauges> {
+fn fetch_gauges(instance: SocketAddr) -> anyhow::Result<InstanceGauges> {
     let reply = block_on(HttpClient::default().get(instance, METRICS_PATH))?;
     if !reply.status.is_success() {
         bail!("could not read the metrics: {}", reply.status);
@@ -99,33 +99,33 @@
     gauges.get(name).copied().unwrap_or_default()
 }
 
-fn describe(gauges: &InstanceGauges) -> String {
-    let number = |name: &str| read_gauge(gauges, name);
-    let part = if number("replica_up") < 1.0 {
+fn format_status(gauges: &InstanceGauges) -> String {
+    let gauge = |name: &str| read_gauge(gauges, name);
+    let role = if gauge("replica_up") < 1.0 {
         "stopped by its disk"
-    } else if number("replica_leads") > 0.0 {
+    } else if gauge("replica_leads") > 0.0 {
         "leads"
-    } else if number("replica_votes") > 0.0 {
+    } else if gauge("replica_votes") > 0.0 {
         "votes"
     } else {
         "learns"
     };
     format!(
-        "{part}, term {}, commit {}, {} members, table {}, {} entries, {} servers ({} silent), {} in contact",
-        number("replica_term"),
-        number("replica_commit_index"),
-        number("replica_members"),
-        number("route_table_version"),
-        number("group_entries"),
-        number("servers_known"),
-        number("servers_silent"),
-        number("group_contacts"),
+        "{role}, term {}, commit {}, {} members, table {}, {} entries, {} servers ({} silent), {} in contact",
+        gauge("replica_term"),
+        gauge("replica_commit_index"),
+        gauge("replica_members"),
+        gauge("route_table_version"),
+        gauge("group_entries"),
+        gauge("servers_known"),
+        gauge("servers_silent"),
+        gauge("group_contacts"),
     )
 }
 
 /// Returns what is wrong with a group of instances; `None` stands for one that
 /// did not answer.
-pub fn judge(group: &[(String, Option<InstanceGauges>)]) -> Vec<String> {
+pub fn find_problems(group: &[(String, Option<InstanceGauges>)]) -> Vec<String> {
     let mut findings = Vec::new();
     let mut leaders = Vec::new();
     let mut versions = Vec::new();
@@ -134,23 +134,23 @@
             findings.push(format!("{instance}: does not answer"));
             continue;
         };
-        let number = |name: &str| read_gauge(gauges, name);
-        if number("replica_up") < 1.0 {
+        let gauge = |name: &str| read_gauge(gauges, name);
+        if gauge("replica_up") < 1.0 {
             findings.push(format!(
                 "{instance}: its replica stands still, see its disk"
             ));
             continue;
         }
-        if number("replica_has_leader") < 1.0 {
+        if gauge("replica_has_leader") < 1.0 {
             findings.push(format!("{instance}: knows no leader"));
         }
-        if number("disk_batches_waiting") > FEW_BATCHES {
+        if gauge("disk_batches_waiting") > MAX_WAITING_BATCHES {
             findings.push(format!("{instance}: its disk does not keep up"));
         }
-        if number("replica_leads") > 0.0 {
+        if gauge("replica_leads") > 0.0 {
             leaders.push(instance.as_str());
         }
-        versions.push(number("route_table_version"));
+        versions.push(gauge("route_table_version"));
     }
     match leaders[..] {
         [_] => {}
--- a/crates/cli/src/cmd/demo.rs
+++ b/crates/cli/src/cmd/demo.rs
@@ -15,11 +15,11 @@
 use crate::demo::run::{run_plan, RunPlan};
 
 /// Threads of the fake servers and the callers.
-const DEMO_THREADS: usize = 4;
+const RUNTIME_THREADS: usize = 4;
 /// Length of the run before a comparison.
 const WARM_UP: Duration = Duration::from_secs(2);
 /// Word for all faults at once.
-const ALL_FAULTS: &str = "all";
+const ALL_FAULTS_NAME: &str = "all";
 const POLICIES: [&str; 6] = [
     "table",
     "baseline",
@@ -40,7 +40,7 @@
     /// Returns the description of the arguments.
     pub fn command() -> Command {
         let faults = FAULTS.iter().map(|(name, _)| *name);
-        let faults: Vec<&str> = faults.chain([ALL_FAULTS]).collect();
+        let faults: Vec<&str> = faults.chain([ALL_FAULTS_NAME]).collect();
         Command::new("demo")
             .about("Run three instances and a fake deployment in this process")
             .long_about(
@@ -148,7 +148,7 @@
     /// Fails if the demo cannot be started.
     pub fn run(&self) -> anyhow::Result<ExitCode> {
         let runtime = tokio::runtime::Builder::new_multi_thread()
-            .worker_threads(DEMO_THREADS)
+            .worker_threads(RUNTIME_THREADS)
             .enable_all()
             .build()
             .context("could not make a runtime")?;
@@ -194,7 +194,7 @@
             return Ok(None);
         }
         let runtime = tokio::runtime::Builder::new_multi_thread()
-            .worker_threads(DEMO_THREADS)
+            .worker_threads(RUNTIME_THREADS)
             .enable_all()
             .build()
             .context("could not make a runtime")?;
--- a/crates/cli/src/cmd/domain.rs
+++ b/crates/cli/src/cmd/domain.rs
@@ -9,10 +9,10 @@
 use serde::Deserialize;
 use wheelmast_wire::native::EVACUATIONS_PATH;
 
-use crate::cmd::common::{ask_one_of, instance_arg, instances};
+use crate::cmd::common::{instance_arg, instances, send_to_any_instance};
 
 /// What is to be done.
-enum DomainStep {
+enum DomainAction {
     Out(String),
     Back(String),
     List,
@@ -20,13 +20,13 @@
 
 /// The subcommand with its arguments.
 pub struct DomainCommand {
-    step: DomainStep,
+    action: DomainAction,
     instances: Vec<SocketAddr>,
 }
 
 /// The failure domains out of use, as an instance lists them.
 #[derive(Debug, Deserialize)]
-struct EvacuatedList {
+struct EvacuationList {
     evacuated: Vec<String>,
 }
 
@@ -77,13 +77,13 @@
             let domain = matches.get_one::<String>("domain").cloned();
             domain.context("could not find DOMAIN")
         };
-        let step = match name {
-            "out" => DomainStep::Out(domain()?),
-            "back" => DomainStep::Back(domain()?),
-            _ => DomainStep::List,
+        let action = match name {
+            "out" => DomainAction::Out(domain()?),
+            "back" => DomainAction::Back(domain()?),
+            _ => DomainAction::List,
         };
         Ok(DomainCommand {
-            step,
+            action,
             instances: instances(matches),
         })
     }
@@ -94,18 +94,19 @@
     ///
     /// Fails if no instance took the order, or one refused it.
     pub fn run(&self) -> anyhow::Result<ExitCode> {
-        match &self.step {
-            DomainStep::Out(domain) => {
-                self.order(Method::POST, domain)?;
+        match &self.action {
+            DomainAction::Out(domain) => {
+                self.send_change(Method::POST, domain)?;
                 println!("{domain}: out of use");
             }
-            DomainStep::Back(domain) => {
-                self.order(Method::DELETE, domain)?;
+            DomainAction::Back(domain) => {
+                self.send_change(Method::DELETE, domain)?;
                 println!("{domain}: in use");
             }
-            DomainStep::List => {
-                let list: EvacuatedList =
-                    ask_one_of(&self.instances, Method::GET, EVACUATIONS_PATH, "")?.json()?;
+            DomainAction::List => {
+                let list: EvacuationList =
+                    send_to_any_instance(&self.instances, Method::GET, EVACUATIONS_PATH, "")?
+                        .json()?;
                 for domain in list.evacuated {
                     println!("{domain}");
                 }
@@ -114,9 +115,9 @@
         Ok(ExitCode::SUCCESS)
     }
 
-    fn order(&self, method: Method, domain: &str) -> anyhow::Result<()> {
+    fn send_change(&self, method: Method, domain: &str) -> anyhow::Result<()> {
         let path = format!("{EVACUATIONS_PATH}/{domain}");
-        ask_one_of(&self.instances, method, &path, "")?;
+        send_to_any_instance(&self.instances, method, &path, "")?;
         Ok(())
     }
 }
--- a/crates/cli/src/cmd/explain.rs
+++ b/crates/cli/src/cmd/explain.rs
@@ -10,7 +10,7 @@
 
 use crate::client::HttpClient;
 use crate::cmd::common::{block_on, first_instance, instance_arg, json_arg, text};
-use crate::cmd::stories::read_story;
+use crate::cmd::stories::read_request_log;
 
 /// The subcommand with its arguments.
 pub struct ExplainCommand {
@@ -69,7 +69,7 @@
     /// Fails if the instance does not know the request.
     pub fn run(&self) -> anyhow::Result<ExitCode> {
         if let Some(logs) = &self.logs {
-            for line in read_story(&self.request, logs)? {
+            for line in read_request_log(&self.request, logs)? {
                 println!("{}  {:<24} {}", line.at, line.process, line.text);
             }
             return Ok(ExitCode::SUCCESS);
--- a/crates/cli/src/cmd/load.rs
+++ b/crates/cli/src/cmd/load.rs
@@ -14,7 +14,7 @@
 use serde::Serialize;
 use wheelmast_wire::prelude::{AnswerBody, ProblemBody};
 
-use crate::client::{HttpClient, ServiceCall, WholeResponse};
+use crate::client::{HttpClient, HttpResponse, ServiceCall};
 use crate::cmd::common::{
     block_on, body_arg, instance_arg, instances, json_arg, service_arg, text,
 };
@@ -114,7 +114,7 @@
     ///
     /// Fails if the report cannot be written.
     pub fn run(&self) -> anyhow::Result<ExitCode> {
-        let tally = block_on(self.make_load())?;
+        let tally = block_on(self.send_requests())?;
         let report = LoadReport {
             service: self.service.clone(),
             rate: self.rate,
@@ -139,11 +139,11 @@
         })
     }
 
-    async fn make_load(&self) -> anyhow::Result<CallTally> {
+    async fn send_requests(&self) -> anyhow::Result<CallTally> {
         let client = HttpClient::default();
         let tally = Arc::new(Mutex::new(CallTally::default()));
-        let bar = self.progress_bar();
-        let turn = AtomicU64::new(0);
+        let progress = self.progress_bar();
+        let next_instance = AtomicU64::new(0);
         let begin = Instant::now();
         let mut due = begin;
         let mut calls = tokio::task::JoinSet::new();
@@ -153,40 +153,40 @@
                 break;
             }
             tokio::time::sleep_until(due.into()).await;
-            bar.set_position(begin.elapsed().as_millis() as u64);
-            let turn = turn.fetch_add(1, Ordering::Relaxed) as usize;
-            let instance = self.instances[turn % self.instances.len()];
+            progress.set_position(begin.elapsed().as_millis() as u64);
+            let next_instance = next_instance.fetch_add(1, Ordering::Relaxed) as usize;
+            let instance = self.instances[next_instance % self.instances.len()];
             let (client, tally) = (client.clone(), tally.clone());
             let (service, body) = (self.service.clone(), self.body.clone());
             calls.spawn(async move {
                 let call = ServiceCall::Query(body);
                 let response = client.call(instance, &service, &call, None).await;
-                let result = result_of(instance, due.elapsed(), response);
+                let result = classify_response(instance, due.elapsed(), response);
                 let mut tally = tally.lock().unwrap_or_else(PoisonError::into_inner);
                 tally.add(&result);
             });
         }
         while calls.join_next().await.is_some() {}
-        bar.finish_and_clear();
+        progress.finish_and_clear();
         let tally = Arc::into_inner(tally).context("could not end the load")?;
         Ok(tally.into_inner().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Returns a bar that shows itself on a terminal only.
     fn progress_bar(&self) -> ProgressBar {
-        let bar = ProgressBar::new(self.length.as_millis() as u64);
+        let progress = ProgressBar::new(self.length.as_millis() as u64);
         let style = ProgressStyle::with_template("{elapsed_precise} {wide_bar} {percent}%");
         if let Ok(style) = style {
-            bar.set_style(style);
+            progress.set_style(style);
         }
-        bar
+        progress
     }
 }
 
-fn result_of(
+fn classify_response(
     instance: SocketAddr,
     latency: Duration,
-    response: anyhow::Result<WholeResponse>,
+    response: anyhow::Result<HttpResponse>,
 ) -> CallResult {
     let mut result = CallResult {
         service: "",
--- a/crates/cli/src/cmd/measure.rs
+++ b/crates/cli/src/cmd/measure.rs
@@ -14,9 +14,9 @@
 use crate::measure::gossip::measure_gossip;
 
 /// Changes whose way to all instances is measured.
-const CHANGES: u32 = 100;
+const MEASURED_CHANGES: u32 = 100;
 /// Submissions at a time.
-const IN_FLIGHT: [usize; 3] = [1, 16, 256];
+const IN_FLIGHT_COUNTS: [usize; 3] = [1, 16, 256];
 /// Members and servers for which the gossip is measured.
 const GOSSIP_SIZES: [(usize, usize); 7] = [
     (7, 0),
@@ -29,16 +29,16 @@
 ];
 /// Sizes at which messages between entries and control instances are counted.
 const FLEET_SIZES: [FleetSize; 5] = [
-    fleet(30, 6, 290),
-    fleet(100, 6, 970),
-    fleet(300, 12, 2_900),
-    fleet(1_000, 24, 10_000),
-    fleet(2_382, 24, 23_000),
+    fleet_size(30, 6, 290),
+    fleet_size(100, 6, 970),
+    fleet_size(300, 12, 2_900),
+    fleet_size(1_000, 24, 10_000),
+    fleet_size(2_382, 24, 23_000),
 ];
 /// Length of a measurement of submissions.
-const CLAIM_TIME: Duration = Duration::from_secs(3);
+const SUBMISSION_RUN_TIME: Duration = Duration::from_secs(3);
 
-const fn fleet(entries: usize, control: usize, servers: usize) -> FleetSize {
+const fn fleet_size(entries: usize, control: usize, servers: usize) -> FleetSize {
     FleetSize {
         entries,
         control,
@@ -48,7 +48,7 @@
 
 /// The subcommand with its arguments.
 pub struct MeasureCommand {
-    what: String,
+    measurement: String,
     folder: PathBuf,
 }
 
@@ -91,12 +91,12 @@
     ///
     /// Fails if the subcommand is missing.
     pub fn new(matches: &ArgMatches) -> anyhow::Result<MeasureCommand> {
-        let Some((what, matches)) = matches.subcommand() else {
+        let Some((measurement, matches)) = matches.subcommand() else {
             bail!("could not find what to measure");
         };
         let folder = matches.try_get_one::<PathBuf>("folder").ok().flatten();
         Ok(MeasureCommand {
-            what: what.to_string(),
+            measurement: measurement.to_string(),
             folder: folder.cloned().unwrap_or_else(|| PathBuf::from(".")),
         })
     }
@@ -107,7 +107,7 @@
     ///
     /// Fails if the measurement does.
     pub fn run(&self) -> anyhow::Result<ExitCode> {
-        match self.what.as_str() {
+        match self.measurement.as_str() {
             "capacity" => print_capacity()?,
             "gossip" => print_gossip()?,
             "fleet" => print_fleet()?,
@@ -118,23 +118,23 @@
 
     fn print_control(&self) -> anyhow::Result<()> {
         for changes in [1000, 10_000] {
-            let took = measure_start(&self.folder, changes)?;
-            println!("start after {changes} changes: {took:.1} ms");
+            let elapsed_ms = measure_start(&self.folder, changes)?;
+            println!("start after {changes} changes: {elapsed_ms:.1} ms");
         }
         let mut group = MeasuredGroup::start(&self.folder)?;
         block_on(async {
-            let times = group.measure_apply(CHANGES).await?;
+            let times = group.measure_apply(MEASURED_CHANGES).await?;
             println!(
-                "apply to in force on 7 instances, {CHANGES} changes: median {:.1} ms, worst {:.1} ms",
+                "apply to in force on 7 instances, {MEASURED_CHANGES} changes: median {:.1} ms, worst {:.1} ms",
                 times.value_at_quantile(0.5) as f64 / 1e3,
                 times.max() as f64 / 1e3
             );
-            for in_flight in IN_FLIGHT {
-                let rate = group.measure_claims(in_flight, CLAIM_TIME).await?;
+            for in_flight in IN_FLIGHT_COUNTS {
+                let rate = group.measure_claims(in_flight, SUBMISSION_RUN_TIME).await?;
                 println!("keyed submissions, {in_flight} in flight: {rate:.0} a second");
             }
-            for (node, took) in group.measure_kills().await?.iter().enumerate() {
-                println!("replica {node} ended: next change accepted after {took:.0} ms");
+            for (node, elapsed_ms) in group.measure_kills().await?.iter().enumerate() {
+                println!("replica {node} ended: next change accepted after {elapsed_ms:.0} ms");
             }
             Ok(())
         })
--- a/crates/cli/src/cmd/query.rs
+++ b/crates/cli/src/cmd/query.rs
@@ -146,8 +146,8 @@
     if let Some(detail) = &problem.detail {
         println!("{detail}");
     }
-    if let Some(wait) = problem.retry_after_ms {
-        println!("come back in {wait} ms");
+    if let Some(delay_ms) = problem.retry_after_ms {
+        println!("come back in {delay_ms} ms");
     }
     if let Some(request) = &problem.request {
         println!("request {request}");
--- a/crates/cli/src/cmd/rollout.rs
+++ b/crates/cli/src/cmd/rollout.rs
@@ -10,17 +10,17 @@
 use serde::Deserialize;
 use wheelmast_wire::native::ROLLOUTS_PATH;
 
-use crate::cmd::common::{ask_one_of, instance_arg, instances};
+use crate::cmd::common::{instance_arg, instances, send_to_any_instance};
 
 /// What is to be done.
-enum RolloutStep {
+enum RolloutAction {
     Start { version: String, duration: Duration },
     Show,
 }
 
 /// The subcommand with its arguments.
 pub struct RolloutCommand {
-    step: RolloutStep,
+    action: RolloutAction,
     service: String,
     instances: Vec<SocketAddr>,
 }
@@ -82,19 +82,19 @@
             let text = matches.get_one::<String>(name).cloned();
             text.with_context(|| format!("could not find {name}"))
         };
-        let step = match name {
+        let action = match name {
             "start" => {
                 let seconds = matches.get_one::<u64>("seconds").copied();
-                RolloutStep::Start {
+                RolloutAction::Start {
                     version: text("version")?,
                     duration: Duration::from_secs(seconds.context("could not find --seconds")?),
                 }
             }
-            "show" => RolloutStep::Show,
+            "show" => RolloutAction::Show,
             other => bail!("could not find the subcommand {other}"),
         };
         Ok(RolloutCommand {
-            step,
+            action,
             service: text("service")?,
             instances: instances(matches),
         })
@@ -107,20 +107,20 @@
     /// Fails if no instance took the order, or one refused it.
     pub fn run(&self) -> anyhow::Result<ExitCode> {
         let service = &self.service;
-        match &self.step {
-            RolloutStep::Start { version, duration } => {
+        match &self.action {
+            RolloutAction::Start { version, duration } => {
                 let body = serde_json::json!({
                     "service": service,
                     "version": version,
                     "duration_ms": duration.as_millis() as u64,
                 });
                 let body = body.to_string();
-                ask_one_of(&self.instances, Method::POST, ROLLOUTS_PATH, &body)?;
+                send_to_any_instance(&self.instances, Method::POST, ROLLOUTS_PATH, &body)?;
                 println!("{service}: roll-out to {version} taken");
             }
-            RolloutStep::Show => {
+            RolloutAction::Show => {
                 let path = format!("{ROLLOUTS_PATH}/{service}");
-                let reply = ask_one_of(&self.instances, Method::GET, &path, "")?;
+                let reply = send_to_any_instance(&self.instances, Method::GET, &path, "")?;
                 let report: RolloutReport = reply.json()?;
                 println!("{service}: {} to {}", report.state, report.version);
             }
--- a/crates/cli/src/cmd/route.rs
+++ b/crates/cli/src/cmd/route.rs
@@ -16,7 +16,7 @@
 use crate::cmd::common::{block_on, instance_arg, instances};
 
 /// What is to be done.
-enum RouteStep {
+enum RouteAction {
     Check(PathBuf),
     Plan(PathBuf),
     Apply(PathBuf),
@@ -25,7 +25,7 @@
 
 /// The subcommand with its arguments.
 pub struct RouteCommand {
-    step: RouteStep,
+    action: RouteAction,
     instances: Vec<SocketAddr>,
 }
 
@@ -87,17 +87,17 @@
             let file = matches.get_one::<PathBuf>("file").cloned();
             file.context("could not find FILE")
         };
-        let step = match name {
-            "check" => RouteStep::Check(file()?),
-            "plan" => RouteStep::Plan(file()?),
-            "apply" => RouteStep::Apply(file()?),
-            _ => RouteStep::Status,
+        let action = match name {
+            "check" => RouteAction::Check(file()?),
+            "plan" => RouteAction::Plan(file()?),
+            "apply" => RouteAction::Apply(file()?),
+            _ => RouteAction::Status,
         };
-        let instances = match step {
-            RouteStep::Check(_) => Vec::new(),
+        let instances = match action {
+            RouteAction::Check(_) => Vec::new(),
             _ => instances(matches),
         };
-        Ok(RouteCommand { step, instances })
+        Ok(RouteCommand { action, instances })
     }
 
     /// Does what was asked.
@@ -106,11 +106,11 @@
     ///
     /// Fails if a file or an instance cannot be read.
     pub fn run(&self) -> anyhow::Result<ExitCode> {
-        match &self.step {
-            RouteStep::Check(file) => self.check(file),
-            RouteStep::Plan(file) => self.plan(file),
-            RouteStep::Apply(file) => self.apply(file),
-            RouteStep::Status => self.status(),
+        match &self.action {
+            RouteAction::Check(file) => self.check(file),
+            RouteAction::Plan(file) => self.plan(file),
+            RouteAction::Apply(file) => self.apply(file),
+            RouteAction::Status => self.status(),
         }
     }
 
@@ -124,22 +124,22 @@
                 );
                 Ok(ExitCode::SUCCESS)
             }
-            Err(findings) => Ok(report(file, &findings)),
+            Err(findings) => Ok(print_findings(file, &findings)),
         }
     }
 
     fn plan(&self, file: &Path) -> anyhow::Result<ExitCode> {
         let new = match read_table(&read_file(file)?) {
             Ok(table) => table,
-            Err(findings) => return Ok(report(file, &findings)),
+            Err(findings) => return Ok(print_findings(file, &findings)),
         };
-        let old = read_table(&self.fetch(self.first()?)?)?;
+        let old = read_table(&self.fetch_table(self.first_instance()?)?)?;
         println!("version {} to {}", old.version(), new.version());
         if new.version() <= old.version() {
             println!("it would be acknowledged and change nothing");
             return Ok(ExitCode::SUCCESS);
         }
-        for line in changes(&old, &new) {
+        for line in describe_changes(&old, &new) {
             println!("{line}");
         }
         Ok(ExitCode::SUCCESS)
@@ -148,11 +148,11 @@
     fn apply(&self, file: &Path) -> anyhow::Result<ExitCode> {
         let text = read_file(file)?;
         if let Err(findings) = read_table(&text) {
-            return Ok(report(file, &findings));
+            return Ok(print_findings(file, &findings));
         }
         let client = HttpClient::default();
         let text = String::from_utf8(text).context("could not read the table as text")?;
-        let reply = block_on(client.put(self.first()?, ROUTES_PATH, text))?;
+        let reply = block_on(client.put(self.first_instance()?, ROUTES_PATH, text))?;
         if !reply.status.is_success() {
             let body = String::from_utf8_lossy(&reply.body);
             bail!(
@@ -169,7 +169,7 @@
         let mut code = ExitCode::SUCCESS;
         for instance in &self.instances {
             match self
-                .fetch(*instance)
+                .fetch_table(*instance)
                 .and_then(|text| Ok(read_table(&text)?))
             {
                 Ok(table) => println!(
@@ -187,12 +187,12 @@
         Ok(code)
     }
 
-    fn first(&self) -> anyhow::Result<SocketAddr> {
-        let first = self.instances.first().copied();
-        first.context("could not find --instance")
+    fn first_instance(&self) -> anyhow::Result<SocketAddr> {
+        let instance = self.instances.first().copied();
+        instance.context("could not find --instance")
     }
 
-    fn fetch(&self, instance: SocketAddr) -> anyhow::Result<Vec<u8>> {
+    fn fetch_table(&self, instance: SocketAddr) -> anyhow::Result<Vec<u8>> {
         let reply = block_on(HttpClient::default().get(instance, ROUTES_PATH))?;
         if !reply.status.is_success() {
             let body = String::from_utf8_lossy(&reply.body);
@@ -210,7 +210,7 @@
     NativeDialect::read_table(text).and_then(RouteTable::check)
 }
 
-fn report(file: &Path, findings: &FindingList) -> ExitCode {
+fn print_findings(file: &Path, findings: &FindingList) -> ExitCode {
     for finding in findings.items() {
         eprintln!("{}:{finding}", file.display());
     }
@@ -218,18 +218,18 @@
 }
 
 /// Returns a line for each route that is new, gone or other than before.
-pub fn changes(old: &RouteTable, new: &RouteTable) -> Vec<String> {
-    let by_place = |table: &RouteTable| -> BTreeMap<(String, String), RouteRule> {
+pub fn describe_changes(old: &RouteTable, new: &RouteTable) -> Vec<String> {
+    let by_prefix = |table: &RouteTable| -> BTreeMap<(String, String), RouteRule> {
         let routes = table.routes().iter();
         routes
             .map(|route| ((route.host.clone(), route.prefix.clone()), route.clone()))
             .collect()
     };
-    let (old, new) = (by_place(old), by_place(new));
+    let (old, new) = (by_prefix(old), by_prefix(new));
     let mut lines = Vec::new();
-    for (place, route) in &new {
-        let (host, prefix) = place;
-        match old.get(place) {
+    for (path_key, route) in &new {
+        let (host, prefix) = path_key;
+        match old.get(path_key) {
             None => lines.push(format!("+ {host}{prefix}  {:?}", route.target)),
             Some(before) if before != route => {
                 lines.push(format!("~ {host}{prefix}  {before:?} to {route:?}"));
@@ -237,7 +237,7 @@
             Some(_) => {}
         }
     }
-    let gone = old.keys().filter(|place| !new.contains_key(*place));
-    lines.extend(gone.map(|(host, prefix)| format!("- {host}{prefix}")));
+    let removed = old.keys().filter(|path_key| !new.contains_key(*path_key));
+    lines.extend(removed.map(|(host, prefix)| format!("- {host}{prefix}")));
     lines
 }
--- a/crates/cli/src/cmd/stories.rs
+++ b/crates/cli/src/cmd/stories.rs
@@ -7,11 +7,11 @@
 use serde_json::{Map, Value};
 
 /// Fields of a log line that are not told beside its message.
-const FRAME_FIELDS: [&str; 5] = ["timestamp", "level", "message", "target", "request"];
+const OMITTED_FIELDS: [&str; 5] = ["timestamp", "level", "message", "target", "request"];
 
 /// One line about a request.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct StoryLine {
+pub struct RequestLogLine {
     /// When it was written, by the process's own clock.
     pub at: String,
     /// The file that it stood in.
@@ -26,12 +26,12 @@
 /// # Errors
 ///
 /// Fails if a file cannot be read, or if no line tells of the request.
-pub fn read_story(request: &str, place: &Path) -> anyhow::Result<Vec<StoryLine>> {
+pub fn read_request_log(request: &str, place: &Path) -> anyhow::Result<Vec<RequestLogLine>> {
     let mut lines = Vec::new();
-    for file in files_at(place)? {
+    for file in list_files(place)? {
         let (process, text) = read_log(&file)?;
-        let own = text.lines().filter(|line| line.contains(request));
-        lines.extend(own.filter_map(|line| read_line(&process, request, line)));
+        let matching_lines = text.lines().filter(|line| line.contains(request));
+        lines.extend(matching_lines.filter_map(|line| read_line(&process, request, line)));
     }
     if lines.is_empty() {
         bail!(
@@ -44,7 +44,7 @@
     Ok(lines)
 }
 
-fn files_at(place: &Path) -> anyhow::Result<Vec<PathBuf>> {
+fn list_files(place: &Path) -> anyhow::Result<Vec<PathBuf>> {
     if !place.is_dir() {
         return Ok(vec![place.to_path_buf()]);
     }
@@ -78,27 +78,27 @@
 
 /// Reads a line; what stands before the first brace (a stream that joins
 /// several processes may put a name there) tells the process.
-fn read_line(process: &str, request: &str, line: &str) -> Option<StoryLine> {
+fn read_line(process: &str, request: &str, line: &str) -> Option<RequestLogLine> {
     let (prefix, json) = line.split_at(line.find('{')?);
     let fields: Map<String, Value> = serde_json::from_str(json).ok()?;
     if fields.get("request")?.as_str()? != request {
         return None;
     }
-    let named = prefix.split_whitespace().last();
+    let prefix_name = prefix.split_whitespace().last();
     let message = fields.get("message").and_then(Value::as_str);
-    let others = fields
+    let other_fields = fields
         .iter()
-        .filter(|(name, _)| !FRAME_FIELDS.contains(&name.as_str()));
-    let others: Vec<String> = others
+        .filter(|(name, _)| !OMITTED_FIELDS.contains(&name.as_str()));
+    let other_fields: Vec<String> = other_fields
         .map(|(name, value)| match value {
             Value::String(text) => format!("{name}={text}"),
             other => format!("{name}={other}"),
         })
         .collect();
     let at = fields.get("timestamp").and_then(Value::as_str);
-    Some(StoryLine {
+    Some(RequestLogLine {
         at: at.unwrap_or_default().to_string(),
-        process: named.unwrap_or(process).to_string(),
-        text: format!("{} {}", message.unwrap_or_default(), others.join(" ")),
+        process: prefix_name.unwrap_or(process).to_string(),
+        text: format!("{} {}", message.unwrap_or_default(), other_fields.join(" ")),
     })
 }
--- a/crates/cli/src/cmd/table.rs
+++ b/crates/cli/src/cmd/table.rs
@@ -10,7 +10,7 @@
 use wheelmast_core::version::table::CellChange;
 use wheelmast_wire::prelude::{ApplyBody, ProblemBody, TableChange, TableStatus, VersionLine};
 
-use crate::client::{HttpClient, WholeResponse};
+use crate::client::{HttpClient, HttpResponse};
 use crate::cmd::common::{block_on, first_instance, instance_arg, instances, json_arg};
 
 /// The subcommand with its arguments.
@@ -238,10 +238,10 @@
                 Some(base) => base,
                 None => read_status(instance).await?.version,
             };
-            let drawn = || format!("{:016x}", rand::random::<u64>());
+            let random_id = || format!("{:016x}", rand::random::<u64>());
             let change = TableChange {
                 base,
-                change: options.change.clone().unwrap_or_else(drawn),
+                change: options.change.clone().unwrap_or_else(random_id),
                 note: options.note.clone(),
                 csv,
             };
@@ -280,10 +280,10 @@
             .iter()
             .filter_map(|(_, status)| status.as_ref().ok());
         let newest = known.map(|status| status.version).max().unwrap_or(0);
-        let mut is_even = true;
+        let mut all_current = true;
         for (instance, status) in &statuses {
             let version = status.as_ref().map(|status| status.version).ok();
-            is_even &= version == Some(newest);
+            all_current &= version == Some(newest);
             if self.json {
                 println!(
                     "{}",
@@ -302,7 +302,7 @@
                 Err(error) => println!("{instance}  {error:#}"),
             }
         }
-        Ok(if is_even {
+        Ok(if all_current {
             ExitCode::SUCCESS
         } else {
             ExitCode::FAILURE
@@ -348,7 +348,7 @@
 }
 
 /// Reads a response, or fails with the problem it tells.
-fn read_body<T: serde::de::DeserializeOwned>(response: &WholeResponse) -> anyhow::Result<T> {
+fn read_body<T: serde::de::DeserializeOwned>(response: &HttpResponse) -> anyhow::Result<T> {
     if response.status.is_success() {
         return response.json();
     }
--- a/crates/cli/src/cmd/watch.rs
+++ b/crates/cli/src/cmd/watch.rs
@@ -73,24 +73,26 @@
     ///
     /// Fails if the instance cannot be reached.
     pub fn run(&self) -> anyhow::Result<ExitCode> {
-        block_on(self.follow())?;
+        block_on(self.print_decisions())?;
         Ok(ExitCode::SUCCESS)
     }
 
-    async fn follow(&self) -> anyhow::Result<()> {
+    async fn print_decisions(&self) -> anyhow::Result<()> {
         let client = HttpClient::default();
-        let response = client.open(self.instance, "/v1/decisions/stream").await?;
+        let response = client
+            .open_stream(self.instance, "/v1/decisions/stream")
+            .await?;
         let mut body = response.into_body();
-        let mut rest = Vec::new();
+        let mut unread = Vec::new();
         let mut shown = 0;
         while let Some(frame) = body.frame().await {
             let Ok(bytes) = frame?.into_data() else {
                 continue;
             };
-            rest.extend_from_slice(&bytes);
-            while let Some(end) = rest.iter().position(|byte| *byte == b'\n') {
-                let line: Vec<u8> = rest.drain(..=end).collect();
-                shown += u64::from(self.show(&line)?);
+            unread.extend_from_slice(&bytes);
+            while let Some(end) = unread.iter().position(|byte| *byte == b'\n') {
+                let line: Vec<u8> = unread.drain(..=end).collect();
+                shown += u64::from(self.print_if_matching(&line)?);
                 if self.count == Some(shown) {
                     return Ok(());
                 }
@@ -100,11 +102,11 @@
     }
 
     /// Prints a line if it passes the filters. Returns whether it did.
-    fn show(&self, line: &[u8]) -> anyhow::Result<bool> {
+    fn print_if_matching(&self, line: &[u8]) -> anyhow::Result<bool> {
         let decision: DecisionLine = serde_json::from_slice(line)?;
-        let is_part = self.part.as_ref().is_none_or(|part| *part == decision.part);
-        let is_request = self.request.is_none() || self.request == decision.request;
-        if !is_part || !is_request {
+        let matches_part = self.part.as_ref().is_none_or(|part| *part == decision.part);
+        let matches_request = self.request.is_none() || self.request == decision.request;
+        if !matches_part || !matches_request {
             return Ok(false);
         }
         if self.json {
--- a/crates/cli/src/demo/traffic.rs
+++ b/crates/cli/src/demo/traffic.rs
@@ -12,7 +12,7 @@
 use wheelmast_fake::ledger::FakeLedger;
 use wheelmast_wire::prelude::{AnswerBody, ProblemBody};
 
-use crate::client::{HttpClient, ServiceCall, WholeResponse};
+use crate::client::{HttpClient, HttpResponse, ServiceCall};
 use crate::demo::arrival::pause;
 use crate::demo::balancer::DemoBalancer;
 use crate::demo::tally::{CallEnd, CallResult, TallyBook};
@@ -88,7 +88,7 @@
     term: &str,
     shape: AnswerShape,
     mut result: CallResult,
-    response: anyhow::Result<WholeResponse>,
+    response: anyhow::Result<HttpResponse>,
 ) {
     let mut found = ViolationCounts::default();
     match response {
--- a/crates/cli/tests/control.rs
+++ b/crates/cli/tests/control.rs
@@ -1,6 +1,6 @@
 //! What is said of a control group from its metrics.
 
-use wheelmast_cli::cmd::control::{judge, read_gauges, InstanceGauges};
+use wheelmast_cli::cmd::control::{find_problems, read_gauges, InstanceGauges};
 
 const LEADER: &str = "# TYPE wheelmast_replica_leads gauge
 wheelmast_replica_up 1
@@ -20,28 +20,28 @@
     findings: &'static [&'static str],
 }
 
-const FOLLOWS: (&str, &str) = ("replica_leads 1", "replica_leads 0");
+const FOLLOWER: (&str, &str) = ("replica_leads 1", "replica_leads 0");
 
 const CASES: &[GroupCase] = &[
     GroupCase {
         name: "sound",
-        changes: [FOLLOWS, FOLLOWS],
+        changes: [FOLLOWER, FOLLOWER],
         findings: &[],
     },
     GroupCase {
         name: "two leaders",
-        changes: [FOLLOWS, ("nothing", "")],
+        changes: [FOLLOWER, ("nothing", "")],
         findings: &["more than one leads: c0, c2"],
     },
     GroupCase {
         name: "a disk that failed",
-        changes: [FOLLOWS, ("replica_up 1", "replica_up 0")],
+        changes: [FOLLOWER, ("replica_up 1", "replica_up 0")],
         findings: &["c2: its replica stands still, see its disk"],
     },
     GroupCase {
         name: "one that lags, and whose disk lags",
         changes: [
-            FOLLOWS,
+            FOLLOWER,
             (
                 "replica_leads 1\nwheelmast_replica_votes 1\nwheelmast_replica_has_leader 1\n\
                  wheelmast_disk_batches_waiting 0\nwheelmast_route_table_version 12",
@@ -57,7 +57,7 @@
 ];
 
 #[test]
-fn what_is_wrong_is_said() {
+fn problems_of_a_group_are_reported() {
     for case in CASES {
         let texts = [
             LEADER.to_string(),
@@ -69,18 +69,21 @@
             .enumerate()
             .map(|(number, text)| (format!("c{number}"), Some(read_gauges(text))))
             .collect();
-        assert_eq!(judge(&group), case.findings, "{}", case.name);
+        assert_eq!(find_problems(&group), case.findings, "{}", case.name);
     }
 }
 
 #[test]
-fn silent_instances_and_a_missing_leader_are_said() {
+fn unreachable_instances_and_a_missing_leader_are_reported() {
     let group = vec![("c0".to_string(), None)];
-    assert_eq!(judge(&group), ["c0: does not answer", "no instance leads"]);
+    assert_eq!(
+        find_problems(&group),
+        ["c0: does not answer", "no instance leads"]
+    );
 }
 
 #[test]
-fn only_own_gauges_without_labels_are_read() {
+fn only_wheelmast_gauges_without_labels_are_read() {
     let gauges = read_gauges(LEADER);
     assert_eq!(gauges.len(), 6);
     assert_eq!(gauges["route_table_version"], 12.0);
--- a/crates/cli/tests/ports.rs
+++ b/crates/cli/tests/ports.rs
@@ -16,11 +16,11 @@
 /// Where Linux says which ports it gives to connections.
 const RANGE_FILE: &str = "/proc/sys/net/ipv4/ip_local_port_range";
 /// Ports that the system gives where it does not say.
-const USUAL_RANGE: &str = "32768 60999";
+const DEFAULT_RANGE: &str = "32768 60999";
 
 #[test]
-fn no_connection_is_given_the_port_of_an_instance() {
-    let range = std::fs::read_to_string(RANGE_FILE).unwrap_or(USUAL_RANGE.into());
+fn chosen_ports_are_outside_the_ephemeral_range() {
+    let range = std::fs::read_to_string(RANGE_FILE).unwrap_or(DEFAULT_RANGE.into());
     let mut ends = range.split_whitespace().map(str::parse::<u16>);
     let (first, last) = (ends.next(), ends.next());
     let first = first.expect("a first port").expect("a number");
--- a/crates/cli/tests/stories.rs
+++ b/crates/cli/tests/stories.rs
@@ -3,8 +3,8 @@
 
 use std::path::Path;
 
-use wheelmast_cli::cmd::route::changes;
-use wheelmast_cli::cmd::stories::read_story;
+use wheelmast_cli::cmd::route::describe_changes;
+use wheelmast_cli::cmd::stories::read_request_log;
 use wheelmast_core::version::route_table::{RouteDraft, RouteTable};
 
 const ENTRY: &str = r#"{"timestamp":"2026-01-01T00:00:01Z","level":"INFO","message":"route: admitted","request":"r1","route":"q","table_version":5,"target":"entry"}
@@ -16,24 +16,24 @@
 "#;
 
 #[test]
-fn a_story_is_told_in_order_over_processes() {
+fn the_log_of_a_request_is_merged_in_time_order() {
     let folder = tempfile::TempDir::new().expect("a folder");
     std::fs::write(folder.path().join("entry-1.log"), ENTRY).expect("written");
     std::fs::write(folder.path().join("entry-2.log"), OTHER).expect("written");
-    let story = read_story("r1", folder.path()).expect("a story");
-    let told: Vec<(&str, &str)> = story
+    let request_log = read_request_log("r1", folder.path()).expect("a story");
+    let log_lines: Vec<(&str, &str)> = request_log
         .iter()
         .map(|line| (&*line.process, &*line.text))
         .collect();
-    let wanted = [
+    let expected = [
         ("entry-1", "route: admitted route=q table_version=5"),
         ("entry-2", "route: sent cause=first"),
         ("entry-1", "route: ended missing=1 outcome=partial"),
     ];
-    assert_eq!(told, wanted);
-    let error = read_story("r9", folder.path()).expect_err("nobody tells of it");
+    assert_eq!(log_lines, expected);
+    let error = read_request_log("r9", folder.path()).expect_err("nobody tells of it");
     assert!(error.to_string().contains("could not find request r9"));
-    assert!(read_story("r1", Path::new("/nowhere")).is_err());
+    assert!(read_request_log("r1", Path::new("/nowhere")).is_err());
 }
 
 fn table(version: u64, routes: &str) -> RouteTable {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_plan_names_what_is_new_gone_and_other() {
+fn a_plan_lists_added_changed_and_removed_routes() {
     let old = table(
         1,
         &[route("/a/", 1), route("/b/", 1), route("/c/", 1)].join(","),
@@ -62,7 +62,7 @@
         2,
         &[route("/a/", 1), route("/b/", 2), route("/d/", 1)].join(","),
     );
-    let marks: Vec<String> = changes(&old, &new)
+    let marks: Vec<String> = describe_changes(&old, &new)
         .iter()
         .map(|line| line.chars().take(6).collect())
         .collect();
