--- a/crates/cli/src/app.rs
+++ b/crates/cli/src/app.rs
@@ -1,4 +1,4 @@
-//! The command line of `wheelmast`.
+//! Defines the command line of `wheelmast` and runs the chosen subcommand.
 
 use std::process::ExitCode;
 
@@ -18,14 +18,14 @@
 use crate::cmd::table::TableCommand;
 use crate::cmd::watch::WatchCommand;
 
-/// Returns the description of the command line.
+/// Returns the `clap` definition of the command line with all subcommands.
 pub fn command() -> Command {
     Command::new("wheelmast")
         .version(clap::crate_version!())
-        .about("Ask, steer and watch the wheelmast query tier")
+        .about("Query, control and monitor the wheelmast query tier")
         .subcommand_required(true)
         .arg_required_else_help(true)
-        .after_help("Exit codes: 0 done, 1 findings or failure, 2 usage.")
+        .after_help("Exit codes: 0 success, 1 findings or failure, 2 usage error.")
         .subcommand(DemoCommand::command())
         .subcommand(QueryCommand::command())
         .subcommand(LoadCommand::command())
@@ -41,11 +41,11 @@
         .subcommand(CompletionsCommand::command())
 }
 
-/// Runs the subcommand that was asked for.
+/// Runs the subcommand given on the command line and returns its exit code.
 ///
 /// # Errors
 ///
-/// Passes on the failure of the subcommand.
+/// Fails if the subcommand fails or is unknown.
 pub fn dispatch(matches: &ArgMatches) -> anyhow::Result<ExitCode> {
     match matches.subcommand() {
         Some(("demo", matches)) => DemoCommand::new(matches)?.run(),
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,5 @@
-//! A small HTTP client for instances.
+//! An HTTP client for the listeners of instances: requests of callers, operators' commands and
+//! streams of decisions.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,49 +16,49 @@
 use serde::Serialize;
 use wheelmast_wire::caller::{DEADLINE_HEADER, IDEMPOTENCY_HEADER};
 
-/// Largest response taken, in bytes.
+/// Largest response body accepted, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
-/// Time beyond the deadline after which a response is no longer awaited.
+/// Longest time to wait for a whole response, whatever the deadline of the request.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What is asked of a service.
+/// A caller's request to one service.
 #[derive(Debug, Clone)]
 pub enum ServiceCall {
-    /// A search with this JSON.
+    /// A search with this JSON body.
     Query(String),
-    /// A read of this key.
+    /// A read of the record with this key.
     Fetch(String),
-    /// A submission of this JSON, with an idempotency key if there is one.
+    /// A submission (a request that must run at most once).
     Submit {
-        /// The JSON.
+        /// JSON body of the submission.
         json: String,
-        /// The key.
+        /// Idempotency key, if the caller gives one.
         key: Option<String>,
     },
 }
 
-/// A response, read to its end.
+/// An HTTP response whose body has been read completely.
 #[derive(Debug, Clone)]
 pub struct HttpResponse {
-    /// Its status.
+    /// Status code of the response.
     pub status: StatusCode,
-    /// Its body.
+    /// Body of the response.
     pub body: Bytes,
 }
 
 impl HttpResponse {
-    /// Reads the body as JSON.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     ///
-    /// Fails if it is something else.
+    /// Fails if the body is not JSON of type `T`.
     pub fn json<T: DeserializeOwned>(&self) -> anyhow::Result<T> {
         serde_json::from_slice(&self.body)
             .with_context(|| format!("could not read the response of status {}", self.status))
     }
 }
 
-/// A client that keeps its connections.
+/// An HTTP client that reuses its connections.
 #[derive(Debug, Clone)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -74,11 +75,13 @@
 }
 
 impl HttpClient {
-    /// Asks a service of the instance at `address`.
+    /// Sends a caller's request for `service` to the instance at `address`.
+    ///
+    /// `deadline` is sent as a header; without it, the instance uses the deadline of the service.
     ///
     /// # Errors
     ///
-    /// Fails if there is no response at all.
+    /// Fails if no complete response arrives within 5 s. An error status is not a failure.
     pub async fn call(
         &self,
         address: SocketAddr,
@@ -111,21 +114,22 @@
         self.send(request).await
     }
 
-    /// Gets a path of the instance at `address`.
+    /// Sends a GET request for `path` to the instance at `address`.
     ///
     /// # Errors
     ///
-    /// Fails if there is no response at all.
+    /// Fails if no complete response arrives within 5 s. An error status is not a failure.
     pub async fn get(&self, address: SocketAddr, path: &str) -> anyhow::Result<HttpResponse> {
         let request = Request::get(format!("http://{address}{path}")).body(Full::default())?;
         self.send(request).await
     }
 
-    /// Posts a change to a path of the instance at `address`.
+    /// Sends `body` as JSON in a POST request for `path` to the instance at `address`, with the
+    /// operators' token if there is one.
     ///
     /// # Errors
     ///
-    /// Fails if there is no response at all.
+    /// Fails if no complete response arrives within 5 s. An error status is not a failure.
     pub async fn post<T: Serialize>(
         &self,
         address: SocketAddr,
@@ -142,11 +146,11 @@
         self.send(request.body(Full::new(body))?).await
     }
 
-    /// Puts a text to a path of the instance at `address`.
+    /// Sends the JSON `text` in a PUT request for `path` to the instance at `address`.
     ///
     /// # Errors
     ///
-    /// Fails if there is no response at all.
+    /// Fails if no complete response arrives within 5 s. An error status is not a failure.
     pub async fn put(
         &self,
         address: SocketAddr,
@@ -159,11 +163,11 @@
         self.send(request).await
     }
 
-    /// Makes a call without a body to a path of the instance at `address`.
+    /// Sends a request with the given method and body for `path` to the instance at `address`.
     ///
     /// # Errors
     ///
-    /// Fails if there is no response at all.
+    /// Fails if no complete response arrives within 5 s. An error status is not a failure.
     pub async fn send_with_method(
         &self,
         address: SocketAddr,
@@ -179,11 +183,12 @@
         self.send(request).await
     }
 
-    /// Opens a response that goes on, such as a stream of decisions.
+    /// Sends a GET request for `path` and returns the response with its body unread, for endless
+    /// bodies such as the stream of decisions. There is no timeout.
     ///
     /// # Errors
     ///
-    /// Fails if there is no response.
+    /// Fails if the instance cannot be reached.
     pub async fn open_stream(
         &self,
         address: SocketAddr,
@@ -194,6 +199,7 @@
         response.with_context(|| format!("could not reach {address}"))
     }
 
+    /// Sends a request and reads the whole response within [`RESPONSE_TIMEOUT`].
     async fn send(&self, request: Request<Full<Bytes>>) -> anyhow::Result<HttpResponse> {
         let uri = request.uri().to_string();
         let response_future = async {
@@ -208,7 +214,7 @@
         };
         tokio::time::timeout(RESPONSE_TIMEOUT, response_future)
             .await
-            .with_context(|| format!("could not get a response from {uri} in time"))?
+            .with_context(|| format!("could not get a response from {uri} within 5 s"))?
             .with_context(|| format!("could not get a response from {uri}"))
     }
 }
--- a/crates/cli/src/cmd/common.rs
+++ b/crates/cli/src/cmd/common.rs
@@ -1,4 +1,4 @@
-//! Arguments that several subcommands share.
+//! Arguments, runtime set-up and retries that several subcommands share.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,13 +9,13 @@
 
 use crate::client::{HttpClient, HttpResponse};
 
-/// Rounds over all instances before an order is given up: an election takes
-/// about a second.
+/// Attempts at each control instance before a command fails. With [`ROUND_PAUSE`] the attempts
+/// outlast a leader election, which takes about a second.
 const MAX_ROUNDS: usize = 6;
-/// Pause between two rounds.
+/// Delay between two rounds of attempts.
 const ROUND_PAUSE: Duration = Duration::from_millis(400);
 
-/// Returns the argument that names instances by the address they listen on.
+/// Returns the `--instance` argument: the listener addresses of one or more instances.
 pub fn instance_arg(help: &'static str) -> Arg {
     Arg::new("instance")
         .long("instance")
@@ -28,21 +28,21 @@
         .help(help)
 }
 
-/// Returns the argument that names a service.
+/// Returns the positional `SERVICE` argument.
 pub fn service_arg() -> Arg {
     Arg::new("service").value_name("SERVICE").required(true)
 }
 
-/// Returns the argument for what is searched for.
+/// Returns the `--body` argument: the JSON body of a search.
 pub fn body_arg() -> Arg {
     Arg::new("body")
         .long("body")
         .value_name("JSON")
         .default_value("{}")
-        .help("What to search for")
+        .help("JSON body of the search")
 }
 
-/// Returns the argument for output as JSON.
+/// Returns the `--json` flag, which switches the output to JSON.
 pub fn json_arg() -> Arg {
     Arg::new("json")
         .long("json")
@@ -50,17 +50,17 @@
         .help("Print JSON")
 }
 
-/// Returns the instances named.
+/// Returns the addresses given with `--instance`.
 pub fn instances(matches: &ArgMatches) -> Vec<SocketAddr> {
     let named = matches.get_many::<SocketAddr>("instance");
     named.unwrap_or_default().copied().collect()
 }
 
-/// Returns the first instance named.
+/// Returns the first address given with `--instance`.
 ///
 /// # Errors
 ///
-/// Fails if none is.
+/// Fails if no instance was given.
 pub fn first_instance(matches: &ArgMatches) -> anyhow::Result<SocketAddr> {
     let instance = instances(matches).first().copied();
     instance.context("could not find --instance")
@@ -70,17 +70,17 @@
 ///
 /// # Errors
 ///
-/// Fails if it was not given.
+/// Fails if the argument was not given.
 pub fn text(matches: &ArgMatches, name: &str) -> anyhow::Result<String> {
     let value = matches.get_one::<String>(name).cloned();
     value.with_context(|| format!("could not find {name}"))
 }
 
-/// Runs a future on a runtime of its own.
+/// Runs a future to completion on a new Tokio runtime with two worker threads.
 ///
 /// # Errors
 ///
-/// Fails as the future does, or if there is no runtime to be had.
+/// Fails if the future fails or the runtime cannot be created.
 pub fn block_on<T>(
     future: impl std::future::Future<Output = anyhow::Result<T>>,
 ) -> anyhow::Result<T> {
@@ -88,16 +88,18 @@
         .worker_threads(2)
         .enable_all()
         .build()
-        .context("could not make a runtime")?
+        .context("could not create a Tokio runtime")?
         .block_on(future)
 }
 
-/// Asks one control instance after the other until one says yes; a clear no ends
-/// it.
+/// Sends a request to one control instance after the other until one accepts it.
+///
+/// A response with a 4xx status is final. Other failures, such as a missing leader, are retried
+/// for several rounds over all instances.
 ///
 /// # Errors
 ///
-/// Fails if none said yes.
+/// Fails if an instance rejects the request with a 4xx status, or none accepts it.
 pub fn send_to_any_instance(
     instances: &[SocketAddr],
     method: Method,
@@ -118,11 +120,13 @@
                     let text = String::from_utf8_lossy(&reply.body);
                     bail!("{instance} refused {method} {path}: {text}");
                 }
-                Ok(reply) => last_failure = Some(format!("{instance} said {}", reply.status)),
+                Ok(reply) => {
+                    last_failure = Some(format!("{instance} responded with {}", reply.status))
+                }
                 Err(error) => last_failure = Some(format!("{error:#}")),
             }
         }
     }
-    let last_failure = last_failure.unwrap_or_else(|| "no instance named".to_string());
-    bail!("could not make {method} {path}: {last_failure}")
+    let last_failure = last_failure.unwrap_or_else(|| "no instance given".to_string());
+    bail!("no instance accepted {method} {path}: {last_failure}")
 }
--- a/crates/cli/src/cmd/completions.rs
+++ b/crates/cli/src/cmd/completions.rs
@@ -1,4 +1,4 @@
-//! `wheelmast completions`: a script that completes the command line.
+//! `wheelmast completions`: prints a shell completion script.
 
 use std::process::ExitCode;
 
@@ -8,16 +8,16 @@
 
 use crate::app;
 
-/// The subcommand with its arguments.
+/// The parsed arguments of `wheelmast completions`.
 pub struct CompletionsCommand {
     shell: Shell,
 }
 
 impl CompletionsCommand {
-    /// Returns the description of the arguments.
+    /// Returns the `clap` definition of the subcommand.
     pub fn command() -> Command {
         Command::new("completions")
-            .about("Print a script that completes the command line")
+            .about("Print a shell completion script")
             .after_help("Example:\n  wheelmast completions bash > /etc/bash_completion.d/wheelmast")
             .arg(
                 Arg::new("shell")
@@ -27,7 +27,7 @@
             )
     }
 
-    /// Reads the arguments.
+    /// Creates the command from its parsed arguments.
     ///
     /// # Errors
     ///
@@ -39,7 +39,7 @@
         })
     }
 
-    /// Prints the script.
+    /// Prints the completion script to standard output.
     ///
     /// # Errors
     ///
--- a/crates/cli/src/cmd/control.rs
+++ b/crates/cli/src/cmd/control.rs
@@ -1,4 +1,5 @@
-//! `wheelmast control`: how the control group is.
+//! `wheelmast control`: shows the state of the control group. Reads the metrics of each control
+//! instance and reports problems such as a missing leader or different route tables.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,32 +11,33 @@
 use crate::client::HttpClient;
 use crate::cmd::common::{block_on, instance_arg, instances};
 
-/// Where an instance exposes its metrics.
+/// HTTP path at which an instance exposes its metrics.
 const METRICS_PATH: &str = "/metrics";
-/// What stands before the names of the metrics.
+/// Prefix of the names of all metrics.
 const NAME_PREFIX: &str = "wheelmast_";
-/// Batches that may wait for a disk that keeps up.
+/// Most batches that wait for a disk that keeps up with the writes. More are reported as a
+/// problem.
 const MAX_WAITING_BATCHES: f64 = 4.0;
 
-/// The gauges of an instance, without their common prefix.
+/// The gauges of an instance by name, without the prefix `wheelmast_`.
 pub type InstanceGauges = BTreeMap<String, f64>;
 
-/// The subcommand with its arguments.
+/// The parsed arguments of `wheelmast control`.
 pub struct ControlCommand {
     instances: Vec<SocketAddr>,
 }
 
 impl ControlCommand {
-    /// Returns the description of the arguments.
+    /// Returns the `clap` definition of the subcommand.
     pub fn command() -> Command {
         Command::new("control")
-            .about("Show how the control group is")
+            .about("Show the state of the control group")
             .subcommand_required(true)
             .subcommand(
                 Command::new("status")
-                    .about("Show each instance's part in the group, and what is wrong with it")
+                    .about("Show each instance's role in the group, and its problems")
                     .after_help(
-                        "Reads the metrics of each instance. Ends with 1 if anything is wrong.\n\
+                        "Reads the metrics of each instance. Exits with 1 if there is a problem.\n\
                          The group replaces lost members itself: start a new instance with an \
                          empty data folder and the seeds.\n\nExample:\n  \
                          wheelmast control status --instance 10.0.0.1:9464,10.0.0.2:9464",
@@ -44,7 +46,7 @@
             )
     }
 
-    /// Reads the arguments.
+    /// Creates the command from its parsed arguments.
     pub fn new(matches: &ArgMatches) -> ControlCommand {
         let matches = matches.subcommand_matches("status").unwrap_or(matches);
         ControlCommand {
@@ -52,7 +54,8 @@
         }
     }
 
-    /// Asks each instance and prints what it says.
+    /// Prints the status of each instance, then the problems of the group. Returns failure if there
+    /// are problems.
     pub fn run(&self) -> ExitCode {
         let mut group = Vec::with_capacity(self.instances.len());
         for instance in &self.instances {
@@ -75,6 +78,7 @@
     }
 }
 
+/// Requests the metrics of an instance and returns its gauges.
 fn fetch_gauges(instance: SocketAddr) -> anyhow::Result<InstanceGauges> {
     let reply = block_on(HttpClient::default().get(instance, METRICS_PATH))?;
     if !reply.status.is_success() {
@@ -83,7 +87,8 @@
     Ok(read_gauges(&String::from_utf8_lossy(&reply.body)))
 }
 
-/// Reads the gauges without labels out of metrics as text.
+/// Parses metrics in the Prometheus text format and returns the metrics of `wheelmast` that have
+/// no labels.
 pub fn read_gauges(text: &str) -> InstanceGauges {
     let lines = text.lines().filter(|line| !line.starts_with('#'));
     let pairs = lines.filter_map(|line| {
@@ -94,11 +99,12 @@
     pairs.collect()
 }
 
-/// Returns a gauge; 0 if the instance has none of that name.
+/// Returns the value of a gauge, or 0 if the instance does not expose that gauge.
 fn read_gauge(gauges: &InstanceGauges, name: &str) -> f64 {
     gauges.get(name).copied().unwrap_or_default()
 }
 
+/// Returns the printed status of an instance: its role, term, commit index and counts.
 fn format_status(gauges: &InstanceGauges) -> String {
     let gauge = |name: &str| read_gauge(gauges, name);
     let role = if gauge("replica_up") < 1.0 {
@@ -123,8 +129,8 @@
     )
 }
 
-/// Returns what is wrong with a group of instances; `None` stands for one that
-/// did not answer.
+/// Returns the problems of a control group, one text each. The gauges of an instance are `None` if
+/// the instance did not answer.
 pub fn find_problems(group: &[(String, Option<InstanceGauges>)]) -> Vec<String> {
     let mut findings = Vec::new();
     let mut leaders = Vec::new();
--- a/crates/cli/src/cmd/data.rs
+++ b/crates/cli/src/cmd/data.rs
@@ -1,4 +1,5 @@
-//! `wheelmast data`: look at the data folder of a control instance.
+//! `wheelmast data`: checks the data folder of a stopped control instance and prints the stored
+//! state of its replica.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -8,22 +9,23 @@
 use wheelmast_node::process::store::folder::DataFolder;
 use wheelmast_node::process::store::replica_store::ReplicaStore;
 
-/// The subcommand with its arguments.
+/// The parsed arguments of `wheelmast data`.
 pub struct DataCommand {
     folder: PathBuf,
 }
 
 impl DataCommand {
-    /// Returns the description of the arguments.
+    /// Returns the `clap` definition of the subcommand.
     pub fn command() -> Command {
         Command::new("data")
-            .about("Look at the data folder of a control instance")
+            .about("Inspect the data folder of a control instance")
             .subcommand_required(true)
             .subcommand(
                 Command::new("check")
-                    .about("Read the folder of an instance that is stopped, and report damage")
+                    .about("Read the data folder of a stopped instance and report corruption")
                     .after_help(
-                        "A torn tail, left by a loss of power, is cut as at a start.\n\n\
+                        "An incomplete last record, left by a power loss, is truncated, as when an \
+                         instance starts.\n\n\
                          Example:\n  wheelmast data check /var/lib/wheelmast",
                     )
                     .arg(
@@ -35,7 +37,7 @@
             )
     }
 
-    /// Reads the arguments.
+    /// Creates the command from its parsed arguments.
     ///
     /// # Errors
     ///
@@ -48,11 +50,12 @@
         })
     }
 
-    /// Reads the folder and prints what it holds.
+    /// Reads the data folder and prints the replica's hard state, log positions and members.
     ///
     /// # Errors
     ///
-    /// Fails on damage, with file and offset, and if another process uses it.
+    /// Fails if a file is corrupt (the error names file and offset) or if another process uses the
+    /// folder.
     pub fn run(&self) -> anyhow::Result<ExitCode> {
         let (folder, replica) = DataFolder::open_existing(&self.folder)?;
         let store = ReplicaStore::open(folder)?;
--- a/crates/cli/src/cmd/demo.rs
+++ b/crates/cli/src/cmd/demo.rs
@@ -1,4 +1,5 @@
-//! `wheelmast demo`: the whole system in one process, under load and faults.
+//! `wheelmast demo`: runs instances, fake upstream servers and callers in one process, injects
+//! faults, and checks every answer. A second run with another policy can be made for comparison.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -14,12 +15,14 @@
 use crate::demo::report::{print_run, DemoReport, RunReport};
 use crate::demo::run::{run_plan, RunPlan};
 
-/// Threads of the fake servers and the callers.
+/// Worker threads of the runtime that runs the fake servers and the callers.
 const RUNTIME_THREADS: usize = 4;
-/// Length of the run before a comparison.
+/// Length of the uncounted run before a comparison.
 const WARM_UP: Duration = Duration::from_secs(2);
-/// Word for all faults at once.
+/// Value of `--fault` that selects all faults.
 const ALL_FAULTS_NAME: &str = "all";
+/// Values of `--policy`: `table` is the policy under test, the others are run after it for
+/// comparison.
 const POLICIES: [&str; 6] = [
     "table",
     "baseline",
@@ -29,7 +32,7 @@
     "no-eject",
 ];
 
-/// The subcommand with its arguments.
+/// The parsed arguments of `wheelmast demo`.
 pub struct DemoCommand {
     plan: RunPlan,
     policy: String,
@@ -37,7 +40,7 @@
 }
 
 impl DemoCommand {
-    /// Returns the description of the arguments.
+    /// Returns the `clap` definition of the subcommand.
     pub fn command() -> Command {
         let faults = FAULTS.iter().map(|(name, _)| *name);
         let faults: Vec<&str> = faults.chain([ALL_FAULTS_NAME]).collect();
@@ -46,8 +49,8 @@
             .long_about(
                 "Run three instances, each in a failure domain of its own, and the fake \
                  upstream servers of one deployment, all in this process and on loopback. \
-                 Make requests, begin faults, and hold every answer against what the fake \
-                 servers really did. Ends with code 1 if a promise was broken.",
+                 Send requests, inject faults, and check every answer against what the fake \
+                 servers really did. Exits with code 1 if a guarantee was violated.",
             )
             .after_help(
                 "Examples:\n  \
@@ -61,7 +64,7 @@
                     .long("deployment")
                     .value_parser(DEPLOYMENT_NAMES)
                     .default_value(DEPLOYMENT_NAMES[0])
-                    .help("Whose services and sizes"),
+                    .help("Deployment whose services and sizes are used"),
             )
             .arg(
                 Arg::new("seconds")
@@ -69,7 +72,7 @@
                     .value_name("N")
                     .value_parser(clap::value_parser!(u64).range(1..=3600))
                     .default_value("10")
-                    .help("How long requests are made"),
+                    .help("How long requests are sent, in seconds"),
             )
             .arg(
                 Arg::new("rate")
@@ -77,27 +80,27 @@
                     .value_name("FACTOR")
                     .value_parser(clap::value_parser!(f64))
                     .default_value("1")
-                    .help("Factor on the deployment's request rates"),
+                    .help("Factor applied to the deployment's request rates"),
             )
             .arg(
                 Arg::new("fault")
                     .long("fault")
                     .action(ArgAction::Append)
                     .value_parser(faults)
-                    .help("A fault to begin during the run; may be repeated"),
+                    .help("A fault to inject during the run; may be repeated"),
             )
             .arg(
                 Arg::new("policy")
                     .long("policy")
                     .value_parser(POLICIES)
                     .default_value("table")
-                    .help("A policy to run beside the table's, for comparison"),
+                    .help("A policy to run after the table's, for comparison"),
             )
             .arg(
                 Arg::new("explain")
                     .long("explain")
                     .action(ArgAction::SetTrue)
-                    .help("Tell the decisions of the slowest request"),
+                    .help("Print the decisions of the slowest request"),
             )
             .arg(
                 Arg::new("json")
@@ -107,11 +110,11 @@
             )
     }
 
-    /// Reads the arguments.
+    /// Creates the command from its parsed arguments.
     ///
     /// # Errors
     ///
-    /// Fails if an argument is not what its parser promised.
+    /// Fails if an argument is missing or out of range.
     pub fn new(matches: &ArgMatches) -> anyhow::Result<DemoCommand> {
         let text = |name: &str| {
             let value = matches.get_one::<String>(name);
@@ -120,7 +123,7 @@
         let deployment = text("deployment")?;
         let rate = matches.get_one::<f64>("rate").copied().unwrap_or(1.0);
         if !(0.01..=100.0).contains(&rate) {
-            anyhow::bail!("could not take --rate {rate}: give a factor from 0.01 to 100");
+            anyhow::bail!("invalid --rate {rate}: expected a factor from 0.01 to 100");
         }
         let seconds = matches.get_one::<u64>("seconds").copied().unwrap_or(10);
         let json = matches.get_flag("json");
@@ -141,22 +144,23 @@
         })
     }
 
-    /// Runs the demo.
+    /// Runs the demo, and the comparison if one was requested, and prints the report. Returns
+    /// failure if a guarantee was violated.
     ///
     /// # Errors
     ///
-    /// Fails if the demo cannot be started.
+    /// Fails if a run of the demo cannot be started.
     pub fn run(&self) -> anyhow::Result<ExitCode> {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(RUNTIME_THREADS)
             .enable_all()
             .build()
-            .context("could not make a runtime")?;
+            .context("could not create a Tokio runtime")?;
         if self.policy != POLICIES[0] {
             runtime.block_on(self.warm_up())?;
         }
         let run = runtime.block_on(run_plan(&self.plan, LowestCostPolicy::default(), "table"))?;
-        // A runtime of its own for each run: the first one's servers end.
+        // Each run gets a new runtime; dropping this one stops the servers of the first run.
         drop(runtime);
         let baseline = self.run_baseline()?;
         let p99_ratio = baseline
@@ -175,8 +179,8 @@
         })
     }
 
-    /// Makes a short run that is not counted: what runs first in a process is
-    /// slower, whatever its policy, and would lose every comparison.
+    /// Makes a short run whose results are discarded. The first run in a process is slower whatever
+    /// its policy, so without this run the policy under test would lose every comparison.
     async fn warm_up(&self) -> anyhow::Result<()> {
         let plan = RunPlan {
             length: WARM_UP,
@@ -189,6 +193,8 @@
         Ok(())
     }
 
+    /// Runs the policy given with `--policy` and returns its report, or `None` if no comparison
+    /// was requested.
     fn run_baseline(&self) -> anyhow::Result<Option<RunReport>> {
         if self.policy == POLICIES[0] {
             return Ok(None);
@@ -197,7 +203,7 @@
             .worker_threads(RUNTIME_THREADS)
             .enable_all()
             .build()
-            .context("could not make a runtime")?;
+            .context("could not create a Tokio runtime")?;
         let name = self.policy.as_str();
         let plan = &self.plan;
         let report = runtime.block_on(async {
@@ -224,6 +230,7 @@
         Ok(Some(report))
     }
 
+    /// Prints the report as text or as one line of JSON.
     fn print(&self, report: &DemoReport) -> anyhow::Result<()> {
         if self.json {
             println!("{}", serde_json::to_string(report)?);
@@ -240,6 +247,7 @@
     }
 }
 
+/// Returns the faults given with `--fault`; `all` stands for every fault.
 fn read_faults(matches: &ArgMatches) -> Vec<FaultKind> {
     let named = matches.get_many::<String>("fault").unwrap_or_default();
     let mut faults = Vec::new();
--- a/crates/cli/src/cmd/domain.rs
+++ b/crates/cli/src/cmd/domain.rs
@@ -1,4 +1,5 @@
-//! `wheelmast domain`: take failure domains out of use and back.
+//! `wheelmast domain`: evacuates failure domains, so that their servers get no new requests, and
+//! returns them to use.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -11,35 +12,38 @@
 
 use crate::cmd::common::{instance_arg, instances, send_to_any_instance};
 
-/// What is to be done.
+/// The subcommand that was given, with its arguments.
 enum DomainAction {
+    /// Evacuate this failure domain.
     Out(String),
+    /// Return this failure domain to use.
     Back(String),
+    /// List the evacuated failure domains.
     List,
 }
 
-/// The subcommand with its arguments.
+/// The parsed arguments of `wheelmast domain`.
 pub struct DomainCommand {
     action: DomainAction,
     instances: Vec<SocketAddr>,
 }
 
-/// The failure domains out of use, as an instance lists them.
+/// Response of a control instance that lists the evacuated failure domains.
 #[derive(Debug, Deserialize)]
 struct EvacuationList {
     evacuated: Vec<String>,
 }
 
 impl DomainCommand {
-    /// Returns the description of the arguments.
+    /// Returns the `clap` definition of the subcommand.
     pub fn command() -> Command {
         let domain = || Arg::new("domain").value_name("DOMAIN").required(true);
         let instance = || instance_arg("Listener for operators of a control instance");
         Command::new("domain")
             .about("Take failure domains out of use and back")
             .after_help(
-                "The servers of a failure domain out of use get nothing new; what they run is \
-                 finished. An order may be repeated.\n\nExamples:\n  \
+                "The servers of a failure domain out of use get no new requests; requests that \
+                 are running are finished. A command may be repeated.\n\nExamples:\n  \
                  wheelmast domain out oulu-1 --instance 127.0.0.1:7401\n  \
                  wheelmast domain back oulu-1 --instance 127.0.0.1:7401\n  \
                  wheelmast domain list --instance 127.0.0.1:7401",
@@ -47,24 +51,24 @@
             .subcommand_required(true)
             .subcommand(
                 Command::new("out")
-                    .about("Send nothing more to its servers")
+                    .about("Stop sending requests to its servers")
                     .arg(domain())
                     .arg(instance()),
             )
             .subcommand(
                 Command::new("back")
-                    .about("Send to its servers again")
+                    .about("Send requests to its servers again")
                     .arg(domain())
                     .arg(instance()),
             )
             .subcommand(
                 Command::new("list")
-                    .about("Show which are out of use, confirmed by a quorum")
+                    .about("List the failure domains out of use, confirmed by a quorum")
                     .arg(instance()),
             )
     }
 
-    /// Reads the arguments.
+    /// Creates the command from its parsed arguments.
     ///
     /// # Errors
     ///
@@ -88,11 +92,11 @@
         })
     }
 
-    /// Does what was asked.
+    /// Runs the subcommand and prints its result.
     ///
     /// # Errors
     ///
-    /// Fails if no instance took the order, or one refused it.
+    /// Fails if no control instance accepts the command, or one rejects it.
     pub fn run(&self) -> anyhow::Result<ExitCode> {
         match &self.action {
             DomainAction::Out(domain) => {
@@ -115,6 +119,7 @@
         Ok(ExitCode::SUCCESS)
     }
 
+    /// Sends the evacuation (POST) or the return (DELETE) of a failure domain to a control instance.
     fn send_change(&self, method: Method, domain: &str) -> anyhow::Result<()> {
         let path = format!("{EVACUATIONS_PATH}/{domain}");
         send_to_any_instance(&self.instances, method, &path, "")?;
--- a/crates/cli/src/cmd/explain.rs
+++ b/crates/cli/src/cmd/explain.rs
@@ -1,4 +1,5 @@
-//! `wheelmast explain`: the decisions of one request, in order.
+//! `wheelmast explain`: prints the decisions made for one request in time order, from the memory
+//! of an instance or from log files.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,7 +13,7 @@
 use crate::cmd::common::{block_on, first_instance, instance_arg, json_arg, text};
 use crate::cmd::stories::read_request_log;
 
-/// The subcommand with its arguments.
+/// The parsed arguments of `wheelmast explain`.
 pub struct ExplainCommand {
     instance: Option<SocketAddr>,
     logs: Option<PathBuf>,
@@ -21,10 +22,10 @@
 }
 
 impl ExplainCommand {
-    /// Returns the description of the arguments.
+    /// Returns the `clap` definition of the subcommand.
     pub fn command() -> Command {
         Command::new("explain")
-            .about("Tell the decisions made for one request")
+            .about("Show the decisions made for one request")
             .after_help(
                 "Example:\n  \
                  wheelmast explain 289b5d36311b0b29-76 --instance 127.0.0.1:7401\n  \
@@ -32,7 +33,7 @@
             )
             .arg(Arg::new("request").value_name("REQUEST").required(true))
             .arg(
-                instance_arg("Listener for operators of the instance that was asked")
+                instance_arg("Listener for operators of the instance that received the request")
                     .required(false)
                     .required_unless_present("logs"),
             )
@@ -48,7 +49,7 @@
             .arg(json_arg())
     }
 
-    /// Reads the arguments.
+    /// Creates the command from its parsed arguments.
     ///
     /// # Errors
     ///
@@ -62,11 +63,12 @@
         })
     }
 
-    /// Asks for the decisions and prints them.
+    /// Reads the decisions from the logs if `--logs` is given, otherwise from the instance, and
+    /// prints them.
     ///
     /// # Errors
     ///
-    /// Fails if the instance does not know the request.
+    /// Fails if the logs or the instance hold no decisions for the request.
     pub fn run(&self) -> anyhow::Result<ExitCode> {
         if let Some(logs) = &self.logs {
             for line in read_request_log(&self.request, logs)? {
--- a/crates/cli/src/cmd/load.rs
+++ b/crates/cli/src/cmd/load.rs
@@ -1,4 +1,5 @@
-//! `wheelmast load`: open-loop load on one service.
+//! `wheelmast load`: sends open-loop load to one service, that is at a given rate whether or not
+//! earlier requests were answered, and reports outcomes and latencies.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -22,7 +23,7 @@
 use crate::demo::report::CountReport;
 use crate::demo::tally::{CallEnd, CallResult, CallTally};
 
-/// The subcommand with its arguments.
+/// The parsed arguments of `wheelmast load`.
 pub struct LoadCommand {
     instances: Vec<SocketAddr>,
     service: String,
@@ -33,7 +34,7 @@
     json: bool,
 }
 
-/// What a load run reports.
+/// Results of a load run, written as JSON.
 #[derive(Debug, Serialize)]
 struct LoadReport {
     service: String,
@@ -45,14 +46,14 @@
 }
 
 impl LoadCommand {
-    /// Returns the description of the arguments.
+    /// Returns the `clap` definition of the subcommand.
     pub fn command() -> Command {
         Command::new("load")
-            .about("Make requests at a rate, whatever became of the earlier ones")
+            .about("Send requests at a rate, whether or not earlier ones were answered")
             .long_about(
-                "Make requests of one service at a rate. Requests are due at random times \
-                 (a Poisson process) and latency counts from the moment a request was due, \
-                 so that a stall is not hidden by the requests it held up.",
+                "Send requests to one service at a rate. Requests are due at random times \
+                 (a Poisson process) and latency is measured from the moment a request was due, \
+                 so that the requests delayed by a stall do not hide it.",
             )
             .after_help(
                 "Example:\n  \
@@ -81,12 +82,12 @@
                     .long("report")
                     .value_name("FILE")
                     .value_parser(clap::value_parser!(PathBuf))
-                    .help("Write the result there as JSON"),
+                    .help("Write the results to this file as JSON"),
             )
             .arg(json_arg())
     }
 
-    /// Reads the arguments.
+    /// Creates the command from its parsed arguments.
     ///
     /// # Errors
     ///
@@ -94,7 +95,7 @@
     pub fn new(matches: &ArgMatches) -> anyhow::Result<LoadCommand> {
         let rate = matches.get_one::<f64>("rate").copied().unwrap_or(20.0);
         if !(0.1..=100_000.0).contains(&rate) {
-            anyhow::bail!("could not take --rate {rate}: give 0.1 to 100000");
+            anyhow::bail!("invalid --rate {rate}: expected 0.1 to 100000 per second");
         }
         let seconds = matches.get_one::<u64>("seconds").copied().unwrap_or(10);
         Ok(LoadCommand {
@@ -108,11 +109,11 @@
         })
     }
 
-    /// Makes the load and prints the result.
+    /// Sends the load and prints the results. Returns failure if a request got no response.
     ///
     /// # Errors
     ///
-    /// Fails if the report cannot be written.
+    /// Fails if the load cannot be sent or the report file cannot be written.
     pub fn run(&self) -> anyhow::Result<ExitCode> {
         let tally = block_on(self.send_requests())?;
         let report = LoadReport {
@@ -139,6 +140,8 @@
         })
     }
 
+    /// Sends requests to the instances in turn at the times of a Poisson process, waits for all
+    /// responses and returns their outcome counts.
     async fn send_requests(&self) -> anyhow::Result<CallTally> {
         let client = HttpClient::default();
         let tally = Arc::new(Mutex::new(CallTally::default()));
@@ -168,11 +171,11 @@
         }
         while calls.join_next().await.is_some() {}
         progress.finish_and_clear();
-        let tally = Arc::into_inner(tally).context("could not end the load")?;
+        let tally = Arc::into_inner(tally).context("a request of the load is still running")?;
         Ok(tally.into_inner().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Returns a bar that shows itself on a terminal only.
+    /// Returns a progress bar, which is drawn only if the output is a terminal.
     fn progress_bar(&self) -> ProgressBar {
         let progress = ProgressBar::new(self.length.as_millis() as u64);
         let style = ProgressStyle::with_template("{elapsed_precise} {wide_bar} {percent}%");
@@ -183,6 +186,7 @@
     }
 }
 
+/// Returns the outcome of one request. A failed exchange and an unreadable body count as cut off.
 fn classify_response(
     instance: SocketAddr,
     latency: Duration,
@@ -211,6 +215,7 @@
     result
 }
 
+/// Prints the outcome counts, latencies and mean coverage of a load run as text.
 fn print_report(report: &LoadReport) {
     let counts = &report.counts;
     println!(
--- a/crates/cli/src/cmd/measure.rs
+++ b/crates/cli/src/cmd/measure.rs
@@ -1,4 +1,5 @@
-//! `wheelmast measure`: the figures behind the capacity page.
+//! `wheelmast measure`: runs the measurements whose results are reported in `docs/CAPACITY.md` and
+//! `docs/MEASUREMENTS.md`.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -13,11 +14,11 @@
 use crate::measure::fleet::{FleetModel, FleetSize};
 use crate::measure::gossip::measure_gossip;
 
-/// Changes whose way to all instances is measured.
+/// Table changes whose time from submission until all instances apply them is measured.
 const MEASURED_CHANGES: u32 = 100;
-/// Submissions at a time.
+/// Numbers of concurrent submissions for which the throughput is measured.
 const IN_FLIGHT_COUNTS: [usize; 3] = [1, 16, 256];
-/// Members and servers for which the gossip is measured.
+/// Pairs (members, servers) for which the gossip load is measured.
 const GOSSIP_SIZES: [(usize, usize); 7] = [
     (7, 0),
     (50, 0),
@@ -27,7 +28,7 @@
     (150, 710),
     (570, 0),
 ];
-/// Sizes at which messages between entries and control instances are counted.
+/// Fleet sizes for which messages between entries and control instances are counted.
 const FLEET_SIZES: [FleetSize; 5] = [
     fleet_size(30, 6, 290),
     fleet_size(100, 6, 970),
@@ -35,9 +36,10 @@
     fleet_size(1_000, 24, 10_000),
     fleet_size(2_382, 24, 23_000),
 ];
-/// Length of a measurement of submissions.
+/// Length of one throughput measurement of submissions.
 const SUBMISSION_RUN_TIME: Duration = Duration::from_secs(3);
 
+/// Returns a fleet size with these numbers of entries, control instances and servers.
 const fn fleet_size(entries: usize, control: usize, servers: usize) -> FleetSize {
     FleetSize {
         entries,
@@ -46,23 +48,23 @@
     }
 }
 
-/// The subcommand with its arguments.
+/// The parsed arguments of `wheelmast measure`.
 pub struct MeasureCommand {
     measurement: String,
     folder: PathBuf,
 }
 
 impl MeasureCommand {
-    /// Returns the description of the arguments.
+    /// Returns the `clap` definition of the subcommand.
     pub fn command() -> Command {
         let folder = Arg::new("folder")
             .long("folder")
             .value_name("FOLDER")
             .value_parser(clap::value_parser!(PathBuf))
             .default_value(".")
-            .help("Where data folders are made, and removed again");
+            .help("Folder in which temporary data folders are created and removed");
         Command::new("measure")
-            .about("Measure what docs/CAPACITY.md and docs/MEASUREMENTS.md report")
+            .about("Run the measurements of docs/CAPACITY.md and docs/MEASUREMENTS.md")
             .subcommand_required(true)
             .after_help(
                 "Examples:\n  \
@@ -72,7 +74,7 @@
             .subcommand(Command::new("capacity").about("Slopes of time, memory and messages"))
             .subcommand(
                 Command::new("gossip")
-                    .about("Messages, bytes and time of members, by their number"),
+                    .about("Messages, bytes and CPU time per member, by number of members"),
             )
             .subcommand(
                 Command::new("fleet")
@@ -80,19 +82,19 @@
             )
             .subcommand(
                 Command::new("control")
-                    .about("The control group: spread, elections, claims, start")
+                    .about("The control group: dissemination, elections, claims, start-up")
                     .arg(folder),
             )
     }
 
-    /// Reads the arguments.
+    /// Creates the command from its parsed arguments.
     ///
     /// # Errors
     ///
     /// Fails if the subcommand is missing.
     pub fn new(matches: &ArgMatches) -> anyhow::Result<MeasureCommand> {
         let Some((measurement, matches)) = matches.subcommand() else {
-            bail!("could not find what to measure");
+            bail!("could not find a subcommand of measure");
         };
         let folder = matches.try_get_one::<PathBuf>("folder").ok().flatten();
         Ok(MeasureCommand {
@@ -101,11 +103,11 @@
         })
     }
 
-    /// Measures and prints.
+    /// Runs the chosen measurement and prints its results.
     ///
     /// # Errors
     ///
-    /// Fails if the measurement does.
+    /// Fails if the measurement fails.
     pub fn run(&self) -> anyhow::Result<ExitCode> {
         match self.measurement.as_str() {
             "capacity" => print_capacity()?,
@@ -116,6 +118,8 @@
         Ok(ExitCode::SUCCESS)
     }
 
+    /// Measures and prints start-up time, time until a change is applied everywhere, submission
+    /// throughput and recovery after a replica is killed.
     fn print_control(&self) -> anyhow::Result<()> {
         for changes in [1000, 10_000] {
             let elapsed_ms = measure_start(&self.folder, changes)?;
@@ -141,6 +145,7 @@
     }
 }
 
+/// Measures and prints the gossip load of an idle member for each of [`GOSSIP_SIZES`].
 fn print_gossip() -> anyhow::Result<()> {
     println!("members servers  messages/s    bytes/s  core %  (each member, idle)");
     for (members, servers) in GOSSIP_SIZES {
@@ -153,6 +158,7 @@
     Ok(())
 }
 
+/// Counts and prints messages and bytes per event for each of [`FLEET_SIZES`].
 fn print_fleet() -> anyhow::Result<()> {
     println!("event            entries control servers kind           messages        bytes  between regions");
     for size in FLEET_SIZES {
@@ -180,6 +186,7 @@
     Ok(())
 }
 
+/// Measures and prints the linear fits of time, memory and messages, and the sizes of messages.
 fn print_capacity() -> anyhow::Result<()> {
     for slope in measure_slopes()? {
         println!("{} ({} by {}):", slope.name, slope.unit, slope.per);
--- a/crates/cli/src/cmd/mod.rs
+++ b/crates/cli/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands, one in each file.
+//! The subcommands of `wheelmast`, one module each, and the code that they share.
 
 pub mod common;
 pub mod completions;
--- a/crates/cli/src/cmd/query.rs
+++ b/crates/cli/src/cmd/query.rs
@@ -1,4 +1,4 @@
-//! `wheelmast query`: one request to one service.
+//! `wheelmast query`: sends one request to one service and prints the answer or the refusal.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -13,7 +13,7 @@
     block_on, body_arg, first_instance, instance_arg, json_arg, service_arg, text,
 };
 
-/// The subcommand with its arguments.
+/// The parsed arguments of `wheelmast query`.
 pub struct QueryCommand {
     instance: SocketAddr,
     service: String,
@@ -23,10 +23,10 @@
 }
 
 impl QueryCommand {
-    /// Returns the description of the arguments.
+    /// Returns the `clap` definition of the subcommand.
     pub fn command() -> Command {
         Command::new("query")
-            .about("Make one request")
+            .about("Send one request")
             .after_help(
                 "Examples:\n  \
                  wheelmast query kiln-watch --instance 127.0.0.1:7400 --body '{\"term\":\"hot\"}'\n  \
@@ -42,32 +42,32 @@
                     .long("key")
                     .value_name("KEY")
                     .conflicts_with("submit")
-                    .help("Fetch the record of this key instead"),
+                    .help("Fetch the record with this key instead of searching"),
             )
             .arg(
                 Arg::new("submit")
                     .long("submit")
                     .value_name("JSON")
-                    .help("Submit this, to run at most once, instead"),
+                    .help("Submit this JSON instead of searching; it runs at most once"),
             )
             .arg(
                 Arg::new("idempotency-key")
                     .long("idempotency-key")
                     .value_name("KEY")
                     .requires("submit")
-                    .help("Key of the submission"),
+                    .help("Idempotency key of the submission"),
             )
             .arg(
                 Arg::new("deadline")
                     .long("deadline-ms")
                     .value_name("N")
                     .value_parser(clap::value_parser!(u64).range(1..=600_000))
-                    .help("Time the request may take; the table's if not given"),
+                    .help("Deadline in milliseconds; defaults to the service table's"),
             )
             .arg(json_arg())
     }
 
-    /// Reads the arguments.
+    /// Creates the command from its parsed arguments.
     ///
     /// # Errors
     ///
@@ -92,11 +92,11 @@
         })
     }
 
-    /// Makes the request and prints its outcome.
+    /// Sends the request and prints the response. Returns failure unless the status is 200.
     ///
     /// # Errors
     ///
-    /// Fails if the instance does not respond.
+    /// Fails if the instance does not respond or the response cannot be read.
     pub fn run(&self) -> anyhow::Result<ExitCode> {
         let client = HttpClient::default();
         let call = client.call(self.instance, &self.service, &self.call, self.deadline);
@@ -116,6 +116,7 @@
     }
 }
 
+/// Prints the coverage of an answer, its missing shards and its hits.
 fn print_answer(answer: &AnswerBody) {
     let coverage = &answer.coverage;
     println!(
@@ -141,6 +142,7 @@
     println!("request {}", answer.request);
 }
 
+/// Prints the reason of a refusal and when the request may be retried.
 fn print_problem(problem: &ProblemBody) {
     println!("refused: {}, outcome {}", problem.title, problem.outcome);
     if let Some(detail) = &problem.detail {
--- a/crates/cli/src/cmd/rollout.rs
+++ b/crates/cli/src/cmd/rollout.rs
@@ -1,4 +1,5 @@
-//! `wheelmast rollout`: move a service's requests to a new version.
+//! `wheelmast rollout`: starts a canary roll-out, which moves a service's requests to a new version
+//! of its servers, and shows its progress.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -12,20 +13,22 @@
 
 use crate::cmd::common::{instance_arg, instances, send_to_any_instance};
 
-/// What is to be done.
+/// The subcommand that was given, with its arguments.
 enum RolloutAction {
+    /// Start a roll-out to this version, which must finish within this duration.
     Start { version: String, duration: Duration },
+    /// Show the state of the service's last roll-out.
     Show,
 }
 
-/// The subcommand with its arguments.
+/// The parsed arguments of `wheelmast rollout`.
 pub struct RolloutCommand {
     action: RolloutAction,
     service: String,
     instances: Vec<SocketAddr>,
 }
 
-/// How far a roll-out is, as an instance tells it.
+/// State of a roll-out, as reported by a control instance.
 #[derive(Debug, Deserialize)]
 struct RolloutReport {
     state: String,
@@ -33,22 +36,23 @@
 }
 
 impl RolloutCommand {
-    /// Returns the description of the arguments.
+    /// Returns the `clap` definition of the subcommand.
     pub fn command() -> Command {
         let service = || Arg::new("service").value_name("SERVICE").required(true);
         let instance = || instance_arg("Listener for operators of a control instance");
         Command::new("rollout")
             .about("Move a service's requests to a new version")
             .after_help(
-                "A few requests try the new version; by how both versions answer, all requests \
-                 move to it or none. An order may be repeated.\n\nExamples:\n  \
+                "A few requests are sent to the new version as canaries. Depending on the \
+                 answers of both versions, all requests move to the new one or none do. \
+                 A command may be repeated.\n\nExamples:\n  \
                  wheelmast rollout start search v2 --seconds 60 --instance 127.0.0.1:7401\n  \
                  wheelmast rollout show search --instance 127.0.0.1:7401",
             )
             .subcommand_required(true)
             .subcommand(
                 Command::new("start")
-                    .about("Begin a roll-out; the servers of the new version run beside the old")
+                    .about("Start a roll-out; servers of both versions must be running")
                     .arg(service())
                     .arg(Arg::new("version").value_name("VERSION").required(true))
                     .arg(
@@ -57,19 +61,19 @@
                             .value_name("SECONDS")
                             .value_parser(clap::value_parser!(u64).range(1..))
                             .default_value("60")
-                            .help("Time that it may take"),
+                            .help("Time that the roll-out may take, in seconds"),
                     )
                     .arg(instance()),
             )
             .subcommand(
                 Command::new("show")
-                    .about("Show how far the last roll-out is, confirmed by a quorum")
+                    .about("Show the state of the last roll-out, confirmed by a quorum")
                     .arg(service())
                     .arg(instance()),
             )
     }
 
-    /// Reads the arguments.
+    /// Creates the command from its parsed arguments.
     ///
     /// # Errors
     ///
@@ -100,11 +104,11 @@
         })
     }
 
-    /// Does what was asked.
+    /// Runs the subcommand and prints its result.
     ///
     /// # Errors
     ///
-    /// Fails if no instance took the order, or one refused it.
+    /// Fails if no control instance accepts the command, or one rejects it.
     pub fn run(&self) -> anyhow::Result<ExitCode> {
         let service = &self.service;
         match &self.action {
--- a/crates/cli/src/cmd/route.rs
+++ b/crates/cli/src/cmd/route.rs
@@ -1,4 +1,5 @@
-//! `wheelmast route`: check, compare, apply and read the route table.
+//! `wheelmast route`: checks a route table file, compares it with the table in force, applies it,
+//! and shows the version in force at each control instance.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,22 +16,26 @@
 use crate::client::HttpClient;
 use crate::cmd::common::{block_on, instance_arg, instances};
 
-/// What is to be done.
+/// The subcommand that was given, with its arguments.
 enum RouteAction {
+    /// Check a file without contacting an instance.
     Check(PathBuf),
+    /// Show in which routes a file differs from the table in force.
     Plan(PathBuf),
+    /// Apply a file to the control group.
     Apply(PathBuf),
+    /// Show the version in force at each instance.
     Status,
 }
 
-/// The subcommand with its arguments.
+/// The parsed arguments of `wheelmast route`.
 pub struct RouteCommand {
     action: RouteAction,
     instances: Vec<SocketAddr>,
 }
 
 impl RouteCommand {
-    /// Returns the description of the arguments.
+    /// Returns the `clap` definition of the subcommand.
     pub fn command() -> Command {
         let file = || {
             Arg::new("file")
@@ -52,18 +57,18 @@
             .subcommand_required(true)
             .subcommand(
                 Command::new("check")
-                    .about("Report all findings")
+                    .about("Report all findings in a route table file")
                     .arg(file()),
             )
             .subcommand(
                 Command::new("plan")
-                    .about("Show what would change")
+                    .about("Show which routes would change")
                     .arg(file())
                     .arg(instance()),
             )
             .subcommand(
                 Command::new("apply")
-                    .about("Put it in force")
+                    .about("Apply a route table file")
                     .arg(file())
                     .arg(instance()),
             )
@@ -74,7 +79,7 @@
             )
     }
 
-    /// Reads the arguments.
+    /// Creates the command from its parsed arguments.
     ///
     /// # Errors
     ///
@@ -100,7 +105,7 @@
         Ok(RouteCommand { action, instances })
     }
 
-    /// Does what was asked.
+    /// Runs the subcommand and prints its result.
     ///
     /// # Errors
     ///
@@ -114,6 +119,7 @@
         }
     }
 
+    /// Checks the file and prints a summary, or all findings.
     fn check(&self, file: &Path) -> anyhow::Result<ExitCode> {
         match read_table(&read_file(file)?) {
             Ok(table) => {
@@ -128,6 +134,7 @@
         }
     }
 
+    /// Prints the routes in which the file differs from the table in force.
     fn plan(&self, file: &Path) -> anyhow::Result<ExitCode> {
         let new = match read_table(&read_file(file)?) {
             Ok(table) => table,
@@ -145,6 +152,7 @@
         Ok(ExitCode::SUCCESS)
     }
 
+    /// Checks the file and sends the table to the first instance.
     fn apply(&self, file: &Path) -> anyhow::Result<ExitCode> {
         let text = read_file(file)?;
         if let Err(findings) = read_table(&text) {
@@ -165,6 +173,7 @@
         Ok(ExitCode::SUCCESS)
     }
 
+    /// Prints the version in force at each instance. Returns failure if one cannot be read.
     fn status(&self) -> anyhow::Result<ExitCode> {
         let mut code = ExitCode::SUCCESS;
         for instance in &self.instances {
@@ -187,11 +196,13 @@
         Ok(code)
     }
 
+    /// Returns the first address given with `--instance`.
     fn first_instance(&self) -> anyhow::Result<SocketAddr> {
         let instance = self.instances.first().copied();
         instance.context("could not find --instance")
     }
 
+    /// Requests the route table in force from an instance and returns its JSON text.
     fn fetch_table(&self, instance: SocketAddr) -> anyhow::Result<Vec<u8>> {
         let reply = block_on(HttpClient::default().get(instance, ROUTES_PATH))?;
         if !reply.status.is_success() {
@@ -202,14 +213,17 @@
     }
 }
 
+/// Reads a route table file.
 fn read_file(file: &Path) -> anyhow::Result<Vec<u8>> {
     std::fs::read(file).with_context(|| format!("could not read table {}", file.display()))
 }
 
+/// Parses and validates a route table. Returns all findings if the table is invalid.
 fn read_table(text: &[u8]) -> Result<RouteTable, FindingList> {
     NativeDialect::read_table(text).and_then(RouteTable::check)
 }
 
+/// Prints findings to standard error and returns the exit code for failure.
 fn print_findings(file: &Path, findings: &FindingList) -> ExitCode {
     for finding in findings.items() {
         eprintln!("{}:{finding}", file.display());
@@ -217,7 +231,8 @@
     ExitCode::FAILURE
 }
 
-/// Returns a line for each route that is new, gone or other than before.
+/// Returns one line per route that was added (`+`), changed (`~`) or removed (`-`). Routes are
+/// matched by host and prefix.
 pub fn describe_changes(old: &RouteTable, new: &RouteTable) -> Vec<String> {
     let by_prefix = |table: &RouteTable| -> BTreeMap<(String, String), RouteRule> {
         let routes = table.routes().iter();
--- a/crates/cli/src/cmd/stories.rs
+++ b/crates/cli/src/cmd/stories.rs
@@ -1,4 +1,5 @@
-//! One request's story out of the logs of several processes.
+//! Collects the log lines of one request from the JSON logs of several processes and merges them
+//! in time order.
 
 use std::io::Read;
 use std::path::{Path, PathBuf};
@@ -6,26 +7,26 @@
 use anyhow::{bail, Context};
 use serde_json::{Map, Value};
 
-/// Fields of a log line that are not told beside its message.
+/// Fields of a log line that are not printed after its message.
 const OMITTED_FIELDS: [&str; 5] = ["timestamp", "level", "message", "target", "request"];
 
-/// One line about a request.
+/// One log line of a request.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestLogLine {
-    /// When it was written, by the process's own clock.
+    /// Timestamp of the line, by the clock of the process that wrote the line.
     pub at: String,
-    /// The file that it stood in.
+    /// Name of the process: the text before the JSON, or else the name of the log file.
     pub process: String,
-    /// What it says.
+    /// Message of the line, followed by its remaining fields.
     pub text: String,
 }
 
-/// Reads the lines about a request out of a file, a folder of files, or
-/// standard input (`-`), in the order of their times.
+/// Reads the log lines of a request from a file, a folder of files, or standard input (`-`), and
+/// returns them sorted by timestamp.
 ///
 /// # Errors
 ///
-/// Fails if a file cannot be read, or if no line tells of the request.
+/// Fails if a file cannot be read, or if no line belongs to the request.
 pub fn read_request_log(request: &str, place: &Path) -> anyhow::Result<Vec<RequestLogLine>> {
     let mut lines = Vec::new();
     for file in list_files(place)? {
@@ -35,15 +36,16 @@
     }
     if lines.is_empty() {
         bail!(
-            "could not find request {request} in {}; plain successes are told only now and then",
+            "could not find request {request} in {}; plain successes are logged only as a sample",
             place.display()
         );
     }
-    // Stable: the lines of a process keep their order.
+    // The sort is stable, so lines with equal timestamps from one process keep their order.
     lines.sort_by(|a, b| a.at.cmp(&b.at));
     Ok(lines)
 }
 
+/// Returns the files of a folder sorted by name, or the path itself if the path is no folder.
 fn list_files(place: &Path) -> anyhow::Result<Vec<PathBuf>> {
     if !place.is_dir() {
         return Ok(vec![place.to_path_buf()]);
@@ -61,6 +63,7 @@
     Ok(files)
 }
 
+/// Reads a log and returns the name of its process, taken from the file name, and its text.
 fn read_log(file: &Path) -> anyhow::Result<(String, String)> {
     let mut bytes = Vec::new();
     let read = if file == Path::new("-") {
@@ -76,8 +79,9 @@
     ))
 }
 
-/// Reads a line; what stands before the first brace (a stream that joins
-/// several processes may put a name there) tells the process.
+/// Parses a JSON log line; returns `None` if the line does not belong to the request. The last word
+/// before the first brace names the process, as in a stream that joins the logs of several
+/// processes; without such a word, `process` is used.
 fn read_line(process: &str, request: &str, line: &str) -> Option<RequestLogLine> {
     let (prefix, json) = line.split_at(line.find('{')?);
     let fields: Map<String, Value> = serde_json::from_str(json).ok()?;
--- a/crates/cli/src/cmd/table.rs
+++ b/crates/cli/src/cmd/table.rs
@@ -1,4 +1,5 @@
-//! `wheelmast table`: check, plan, apply, and look at the service table.
+//! `wheelmast table`: checks a service table file, compares it with the table in force, applies it,
+//! and shows versions in force and past versions.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,41 +14,52 @@
 use crate::client::{HttpClient, HttpResponse};
 use crate::cmd::common::{block_on, first_instance, instance_arg, instances, json_arg};
 
-/// The subcommand with its arguments.
+/// The parsed arguments of `wheelmast table`.
 pub struct TableCommand {
     action: TableAction,
     json: bool,
 }
 
+/// The subcommand that was given, with its arguments.
 enum TableAction {
+    /// Check a file without contacting an instance.
     Check(PathBuf),
+    /// Show in which cells a file differs from the table in force at an instance.
     Plan(PathBuf, SocketAddr),
+    /// Apply a file through an instance.
     Apply(PathBuf, SocketAddr, ApplyOptions),
+    /// Show the version in force at each instance.
     Status(Vec<SocketAddr>),
+    /// Show the last versions, as known to an instance.
     History(SocketAddr),
 }
 
+/// Options of `wheelmast table apply`.
 struct ApplyOptions {
+    /// Version the change is based on; `None` for the version in force.
     base: Option<u64>,
+    /// Identity of the change, by which a resent change is recognised; `None` for a random one.
     change: Option<String>,
     note: String,
+    /// The operators' token.
     token: Option<String>,
 }
 
+/// Returns the positional `FILE` argument.
 fn file_arg() -> Arg {
     Arg::new("file")
         .value_name("FILE")
         .required(true)
         .value_parser(clap::value_parser!(PathBuf))
-        .help("The table, as CSV")
+        .help("Service table as CSV")
 }
 
 impl TableCommand {
-    /// Returns the description of the arguments.
+    /// Returns the `clap` definition of the subcommand.
     pub fn command() -> Command {
         let instance = || instance_arg("Listener for operators of an instance");
         Command::new("table")
-            .about("Check, plan, apply and look at the service table")
+            .about("Check, compare, apply and show the service table")
             .subcommand_required(true)
             .after_help(
                 "Examples:\n  \
@@ -59,7 +71,7 @@
             )
             .subcommand(
                 Command::new("check")
-                    .about("Report every bad cell of a table file")
+                    .about("Report every invalid cell of a table file")
                     .arg(file_arg())
                     .arg(json_arg()),
             )
@@ -75,9 +87,10 @@
                     .about("Make a file the table in force everywhere")
                     .long_about(
                         "Make a file the table in force everywhere. A change names the version \
-                         it is based on; if another change was accepted since, it is refused \
-                         and shows what stands. A change that is resent with the same identity \
-                         gets its first outcome.",
+                         it is based on; if another change was accepted since, the change is \
+                         refused and the table in force is shown. A change that is resent with \
+                         the same identity \
+                         gets the outcome of the first attempt.",
                     )
                     .arg(file_arg())
                     .arg(instance())
@@ -86,20 +99,20 @@
                             .long("base")
                             .value_name("VERSION")
                             .value_parser(clap::value_parser!(u64))
-                            .help("Version the change is based on; the one in force if not given"),
+                            .help("Version the change is based on; defaults to the one in force"),
                     )
                     .arg(
                         Arg::new("change")
                             .long("change")
                             .value_name("ID")
-                            .help("Identity of the change; drawn if not given"),
+                            .help("Identity of the change; random if not given"),
                     )
                     .arg(
                         Arg::new("note")
                             .long("note")
                             .value_name("TEXT")
                             .default_value("")
-                            .help("Who makes it, and why"),
+                            .help("Who makes the change, and why"),
                     )
                     .arg(
                         Arg::new("token-file")
@@ -124,7 +137,7 @@
             )
     }
 
-    /// Reads the arguments.
+    /// Creates the command from its parsed arguments.
     ///
     /// # Errors
     ///
@@ -152,7 +165,7 @@
         })
     }
 
-    /// Does what was asked for.
+    /// Runs the subcommand and prints its result.
     ///
     /// # Errors
     ///
@@ -167,6 +180,7 @@
         }
     }
 
+    /// Checks the file and prints a summary, or all findings.
     fn check(&self, file: &Path) -> anyhow::Result<ExitCode> {
         match ServiceTable::parse(&read_file(file)?, 1) {
             Ok(table) => {
@@ -196,6 +210,7 @@
         }
     }
 
+    /// Prints the cells in which the file differs from the table in force.
     fn plan(&self, file: &Path, instance: SocketAddr) -> anyhow::Result<ExitCode> {
         let next = ServiceTable::parse(&read_file(file)?, 1)?;
         let status = block_on(read_status(instance))?;
@@ -226,6 +241,7 @@
         Ok(ExitCode::SUCCESS)
     }
 
+    /// Sends the file as a change to the instance. Returns failure unless the change is accepted.
     fn apply(
         &self,
         file: &Path,
@@ -268,6 +284,8 @@
         })
     }
 
+    /// Prints the version in force at each instance. Returns failure unless all instances have the
+    /// newest version.
     fn status(&self, instances: &[SocketAddr]) -> anyhow::Result<ExitCode> {
         let statuses = block_on(async {
             let mut statuses = Vec::new();
@@ -309,6 +327,7 @@
         })
     }
 
+    /// Prints the last versions of the table.
     fn history(&self, instance: SocketAddr) -> anyhow::Result<ExitCode> {
         let client = HttpClient::default();
         let response = block_on(client.get(instance, "/v1/table/history"))?;
@@ -327,6 +346,7 @@
     }
 }
 
+/// Returns the options of `apply`, with the token read from its file.
 fn apply_options(matches: &ArgMatches) -> anyhow::Result<ApplyOptions> {
     let token = match matches.get_one::<PathBuf>("token-file") {
         Some(path) => Some(read_file(path)?.trim().to_string()),
@@ -343,11 +363,12 @@
     })
 }
 
+/// Reads a text file.
 fn read_file(path: &Path) -> anyhow::Result<String> {
     std::fs::read_to_string(path).with_context(|| format!("could not read {}", path.display()))
 }
 
-/// Reads a response, or fails with the problem it tells.
+/// Parses the body of a successful response, or fails with the problem that the response names.
 fn read_body<T: serde::de::DeserializeOwned>(response: &HttpResponse) -> anyhow::Result<T> {
     if response.status.is_success() {
         return response.json();
@@ -356,11 +377,13 @@
     bail!("{}: {}", problem.title, problem.detail.unwrap_or_default())
 }
 
+/// Requests the version and the text of the table in force from an instance.
 async fn read_status(instance: SocketAddr) -> anyhow::Result<TableStatus> {
     let response = HttpClient::default().get(instance, "/v1/table").await?;
     read_body(&response)
 }
 
+/// Prints a changed cell with its old and new value.
 fn print_change(change: &CellChange) {
     let text = |value: &Option<String>| value.clone().unwrap_or_else(|| "(no row)".to_string());
     println!(
@@ -372,6 +395,7 @@
     );
 }
 
+/// Prints the outcome of a change: accepted, in conflict with a newer version, or rejected.
 fn print_apply(body: &ApplyBody) {
     match body {
         ApplyBody::Accepted { version } => println!("accepted as version {version}"),
--- a/crates/cli/src/cmd/watch.rs
+++ b/crates/cli/src/cmd/watch.rs
@@ -1,4 +1,5 @@
-//! `wheelmast watch`: decisions as they are made.
+//! `wheelmast watch`: prints the decisions of an instance (such as routing or hedging a request) as
+//! the instance makes them.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -10,7 +11,7 @@
 use crate::client::HttpClient;
 use crate::cmd::common::{block_on, first_instance, instance_arg, json_arg};
 
-/// The subcommand with its arguments.
+/// The parsed arguments of `wheelmast watch`.
 pub struct WatchCommand {
     instance: SocketAddr,
     part: Option<String>,
@@ -20,7 +21,7 @@
 }
 
 impl WatchCommand {
-    /// Returns the description of the arguments.
+    /// Returns the `clap` definition of the subcommand.
     pub fn command() -> Command {
         Command::new("watch")
             .about("Show decisions as an instance makes them")
@@ -34,25 +35,25 @@
                 Arg::new("part")
                     .long("part")
                     .value_name("PREFIX")
-                    .help("Only decisions of this part, such as route or hedge"),
+                    .help("Show only decisions of this component, such as route or hedge"),
             )
             .arg(
                 Arg::new("request")
                     .long("request")
                     .value_name("REQUEST")
-                    .help("Only decisions made for this request"),
+                    .help("Show only decisions made for this request"),
             )
             .arg(
                 Arg::new("count")
                     .long("count")
                     .value_name("N")
                     .value_parser(clap::value_parser!(u64).range(1..))
-                    .help("End after this many"),
+                    .help("Exit after this many decisions"),
             )
             .arg(json_arg())
     }
 
-    /// Reads the arguments.
+    /// Creates the command from its parsed arguments.
     ///
     /// # Errors
     ///
@@ -67,7 +68,7 @@
         })
     }
 
-    /// Prints decisions until the count is reached or the instance ends.
+    /// Prints decisions until the count is reached or the instance closes the stream.
     ///
     /// # Errors
     ///
@@ -77,6 +78,7 @@
         Ok(ExitCode::SUCCESS)
     }
 
+    /// Reads the stream of decisions, one JSON object per line, and prints the matching ones.
     async fn print_decisions(&self) -> anyhow::Result<()> {
         let client = HttpClient::default();
         let response = client
@@ -101,7 +103,7 @@
         Ok(())
     }
 
-    /// Prints a line if it passes the filters. Returns whether it did.
+    /// Prints a decision if it passes the filters. Returns whether the decision was printed.
     fn print_if_matching(&self, line: &[u8]) -> anyhow::Result<bool> {
         let decision: DecisionLine = serde_json::from_slice(line)?;
         let matches_part = self.part.as_ref().is_none_or(|part| *part == decision.part);
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! The `wheelmast` command, as a library for its binary and its tests.
+//! Library behind the `wheelmast` command, shared by its binary and its integration tests.
 
 pub mod app;
 pub mod client;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,5 @@
-//! `wheelmast`: the command of operators and newcomers.
+//! `wheelmast`: the command-line tool that operators use to query, control and monitor a
+//! deployment, and that runs a demo of the system in one process.
 
 use std::process::ExitCode;
 
--- a/crates/cli/tests/control.rs
+++ b/crates/cli/tests/control.rs
@@ -1,7 +1,8 @@
-//! What is said of a control group from its metrics.
+//! Tests the problems that `wheelmast control status` finds in the metrics of a control group.
 
 use wheelmast_cli::cmd::control::{find_problems, read_gauges, InstanceGauges};
 
+/// Metrics of a healthy leader, with two lines that are no gauges of `wheelmast`.
 const LEADER: &str = "# TYPE wheelmast_replica_leads gauge
 wheelmast_replica_up 1
 wheelmast_replica_leads 1
@@ -13,18 +14,21 @@
 other_thing 3
 ";
 
+/// A control group of three instances and the problems expected for the group.
 struct GroupCase {
     name: &'static str,
-    /// Replaced in the metrics of the second and third instance.
+    /// Text replaced in the leader's metrics, and its replacement, for the second and the third
+    /// instance.
     changes: [(&'static str, &'static str); 2],
     findings: &'static [&'static str],
 }
 
+/// Replacement that turns the metrics of a leader into those of a follower.
 const FOLLOWER: (&str, &str) = ("replica_leads 1", "replica_leads 0");
 
 const CASES: &[GroupCase] = &[
     GroupCase {
-        name: "sound",
+        name: "healthy",
         changes: [FOLLOWER, FOLLOWER],
         findings: &[],
     },
@@ -34,12 +38,12 @@
         findings: &["more than one leads: c0, c2"],
     },
     GroupCase {
-        name: "a disk that failed",
+        name: "failed disk",
         changes: [FOLLOWER, ("replica_up 1", "replica_up 0")],
         findings: &["c2: its replica stands still, see its disk"],
     },
     GroupCase {
-        name: "one that lags, and whose disk lags",
+        name: "follower with a slow disk and an old route table",
         changes: [
             FOLLOWER,
             (
--- a/crates/cli/tests/domain.rs
+++ b/crates/cli/tests/domain.rs
@@ -1,4 +1,4 @@
-//! Orders about failure domains, made at a stand-in for control instances.
+//! Tests `wheelmast domain` against a fake control instance, including retries.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -7,17 +7,17 @@
 
 use wheelmast_cli::app::{command, dispatch};
 
-/// Answers one connection after the other with these statuses, and tells the
-/// first line of each request.
+/// Starts an HTTP server that answers one connection after the other with these statuses. Returns
+/// its address and a channel that receives the first line of each request.
 fn start_fake_instance(statuses: &'static [u16]) -> (SocketAddr, Receiver<String>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
+    let address = listener.local_addr().expect("local address");
     let (request_sender, request_receiver) = channel();
     std::thread::spawn(move || {
         for status in statuses {
-            let (mut stream, _) = listener.accept().expect("a caller");
+            let (mut stream, _) = listener.accept().expect("connection");
             let mut bytes = [0; 1024];
-            let count = stream.read(&mut bytes).expect("a request");
+            let count = stream.read(&mut bytes).expect("read request");
             let text = String::from_utf8_lossy(&bytes[..count]).to_string();
             let _ = request_sender.send(text.lines().next().unwrap_or_default().to_string());
             let body = r#"{"evacuated":["north-1"]}"#;
@@ -25,13 +25,14 @@
             let answer = format!(
                 "HTTP/1.1 {status} x\r\nconnection: close\r\ncontent-length: {length}\r\n\r\n{body}"
             );
-            stream.write_all(answer.as_bytes()).expect("written");
+            stream.write_all(answer.as_bytes()).expect("write answer");
         }
     });
     (address, request_receiver)
 }
 
-struct OrderCase {
+/// A command line, the statuses with which the instance answers, and the expected requests.
+struct CommandCase {
     name: &'static str,
     args: &'static [&'static str],
     statuses: &'static [u16],
@@ -39,30 +40,30 @@
     succeeds: bool,
 }
 
-const CASES: &[OrderCase] = &[
-    OrderCase {
+const CASES: &[CommandCase] = &[
+    CommandCase {
         name: "out of use",
         args: &["out", "north-1"],
         statuses: &[200],
         expected_line: "POST /v1/evacuations/north-1 HTTP/1.1",
         succeeds: true,
     },
-    OrderCase {
-        name: "back, at the second try",
+    CommandCase {
+        name: "back, accepted at the second attempt",
         args: &["back", "north-1"],
         statuses: &[503, 200],
         expected_line: "DELETE /v1/evacuations/north-1 HTTP/1.1",
         succeeds: true,
     },
-    OrderCase {
+    CommandCase {
         name: "listed",
         args: &["list"],
         statuses: &[200],
         expected_line: "GET /v1/evacuations HTTP/1.1",
         succeeds: true,
     },
-    OrderCase {
-        name: "a clear no is not asked again",
+    CommandCase {
+        name: "a 4xx status is not retried",
         args: &["out", "nowhere"],
         statuses: &[404],
         expected_line: "POST /v1/evacuations/nowhere HTTP/1.1",
