--- a/crates/cli/src/cmd/stories.rs
+++ b/crates/cli/src/cmd/stories.rs
@@ -27,9 +27,9 @@
 /// # Errors
 ///
 /// Fails if a file cannot be read, or if no line belongs to the request.
-pub fn read_request_log(request: &str, place: &Path) -> anyhow::Result<Vec<RequestLogLine>> {
+pub fn read_request_log(request: &str, source: &Path) -> anyhow::Result<Vec<RequestLogLine>> {
     let mut lines = Vec::new();
-    for file in list_files(place)? {
+    for file in list_files(source)? {
         let (process, text) = read_log(&file)?;
         let matching_lines = text.lines().filter(|line| line.contains(request));
         lines.extend(matching_lines.filter_map(|line| read_line(&process, request, line)));
@@ -37,7 +37,7 @@
     if lines.is_empty() {
         bail!(
             "could not find request {request} in {}; plain successes are logged only as a sample",
-            place.display()
+            source.display()
         );
     }
     // The sort is stable, so lines with equal timestamps from one process keep their order.
@@ -46,12 +46,12 @@
 }
 
 /// Returns the files of a folder sorted by name, or the path itself if the path is no folder.
-fn list_files(place: &Path) -> anyhow::Result<Vec<PathBuf>> {
-    if !place.is_dir() {
-        return Ok(vec![place.to_path_buf()]);
+fn list_files(source: &Path) -> anyhow::Result<Vec<PathBuf>> {
+    if !source.is_dir() {
+        return Ok(vec![source.to_path_buf()]);
     }
-    let entries = std::fs::read_dir(place)
-        .with_context(|| format!("could not read folder {}", place.display()))?;
+    let entries = std::fs::read_dir(source)
+        .with_context(|| format!("could not read folder {}", source.display()))?;
     let mut files = Vec::new();
     for entry in entries {
         let path = entry?.path();
@@ -66,12 +66,12 @@
 /// Reads a log and returns the name of its process, taken from the file name, and its text.
 fn read_log(file: &Path) -> anyhow::Result<(String, String)> {
     let mut bytes = Vec::new();
-    let read = if file == Path::new("-") {
+    let result = if file == Path::new("-") {
         std::io::stdin().read_to_end(&mut bytes).map(|_| ())
     } else {
-        std::fs::read(file).map(|read| bytes = read)
+        std::fs::read(file).map(|content| bytes = content)
     };
-    read.with_context(|| format!("could not read log {}", file.display()))?;
+    result.with_context(|| format!("could not read log {}", file.display()))?;
     let process = file.file_stem().unwrap_or_default();
     Ok((
         process.to_string_lossy().to_string(),
