--- a/crates/cli/src/cmd/common.rs
+++ b/crates/cli/src/cmd/common.rs
@@ -1,4 +1,4 @@
-//! Arguments that several subcommands share.
+//! Arguments, runtime set-up and retries that several subcommands share.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,15 +7,15 @@
 use clap::{Arg, ArgAction, ArgMatches};
 use hyper::Method;
 
-use crate::client::{HttpClient, WholeResponse};
+use crate::client::{HttpClient, HttpResponse};
 
-/// Rounds over all instances before an order is given up: an election takes
-/// about a second.
-const ROUNDS: usize = 6;
-/// Pause between two rounds.
+/// Attempts at each control instance before a command fails. With [`ROUND_PAUSE`] the attempts
+/// outlast a leader election, which takes about a second.
+const MAX_ROUNDS: usize = 6;
+/// Delay between two rounds of attempts.
 const ROUND_PAUSE: Duration = Duration::from_millis(400);
 
-/// Returns the argument that names instances by the address they listen on.
+/// Returns the `--instance` argument: the listener addresses of one or more instances.
 pub fn instance_arg(help: &'static str) -> Arg {
     Arg::new("instance")
         .long("instance")
@@ -28,21 +28,21 @@
         .help(help)
 }
 
-/// Returns the argument that names a service.
+/// Returns the positional `SERVICE` argument.
 pub fn service_arg() -> Arg {
     Arg::new("service").value_name("SERVICE").required(true)
 }
 
-/// Returns the argument for what is searched for.
+/// Returns the `--body` argument: the JSON body of a search.
 pub fn body_arg() -> Arg {
     Arg::new("body")
         .long("body")
         .value_name("JSON")
         .default_value("{}")
-        .help("What to search for")
+        .help("JSON body of the search")
 }
 
-/// Returns the argument for output as JSON.
+/// Returns the `--json` flag, which switches the output to JSON.
 pub fn json_arg() -> Arg {
     Arg::new("json")
         .long("json")
@@ -50,17 +50,17 @@
         .help("Print JSON")
 }
 
-/// Returns the instances named.
+/// Returns the addresses given with `--instance`.
 pub fn instances(matches: &ArgMatches) -> Vec<SocketAddr> {
     let named = matches.get_many::<SocketAddr>("instance");
     named.unwrap_or_default().copied().collect()
 }
 
-/// Returns the first instance named.
+/// Returns the first address given with `--instance`.
 ///
 /// # Errors
 ///
-/// Fails if none is.
+/// Fails if no instance was given.
 pub fn first_instance(matches: &ArgMatches) -> anyhow::Result<SocketAddr> {
     let instance = instances(matches).first().copied();
     instance.context("could not find --instance")
@@ -70,17 +70,17 @@
 ///
 /// # Errors
 ///
-/// Fails if it was not given.
+/// Fails if the argument was not given.
 pub fn text(matches: &ArgMatches, name: &str) -> anyhow::Result<String> {
     let value = matches.get_one::<String>(name).cloned();
     value.with_context(|| format!("could not find {name}"))
 }
 
-/// Runs a future on a runtime of its own.
+/// Runs a future to completion on a new Tokio runtime with two worker threads.
 ///
 /// # Errors
 ///
-/// Fails as the future does, or if there is no runtime to be had.
+/// Fails if the future fails or the runtime cannot be created.
 pub fn block_on<T>(
     future: impl std::future::Future<Output = anyhow::Result<T>>,
 ) -> anyhow::Result<T> {
@@ -88,41 +88,45 @@
         .worker_threads(2)
         .enable_all()
         .build()
-        .context("could not make a runtime")?
+        .context("could not create a Tokio runtime")?
         .block_on(future)
 }
 
-/// Asks one control instance after the other until one says yes; a clear no ends
-/// it.
+/// Sends a request to one control instance after the other until one accepts it.
+///
+/// A response with a 4xx status is final. Other failures, such as a missing leader, are retried
+/// for several rounds over all instances.
 ///
 /// # Errors
 ///
-/// Fails if none said yes.
-pub fn ask_one_of(
+/// Fails if an instance rejects the request with a 4xx status, or none accepts it.
+pub fn send_to_any_instance(
     instances: &[SocketAddr],
     method: Method,
     path: &str,
     body: &str,
-) -> anyhow::Result<WholeResponse> {
+) -> anyhow::Result<HttpResponse> {
     let client = HttpClient::default();
-    let mut last = None;
-    for round in 0..ROUNDS {
+    let mut last_failure = None;
+    for round in 0..MAX_ROUNDS {
         if round > 0 {
             std::thread::sleep(ROUND_PAUSE);
         }
         for instance in instances {
-            let reply = block_on(client.order(*instance, method.clone(), path, body));
+            let reply = block_on(client.send_with_method(*instance, method.clone(), path, body));
             match reply {
                 Ok(reply) if reply.status.is_success() => return Ok(reply),
                 Ok(reply) if reply.status.is_client_error() => {
                     let text = String::from_utf8_lossy(&reply.body);
                     bail!("{instance} refused {method} {path}: {text}");
                 }
-                Ok(reply) => last = Some(format!("{instance} said {}", reply.status)),
-                Err(error) => last = Some(format!("{error:#}")),
+                Ok(reply) => {
+                    last_failure = Some(format!("{instance} responded with {}", reply.status))
+                }
+                Err(error) => last_failure = Some(format!("{error:#}")),
             }
         }
     }
-    let last = last.unwrap_or_else(|| "no instance named".to_string());
-    bail!("could not make {method} {path}: {last}")
+    let last_failure = last_failure.unwrap_or_else(|| "no instance given".to_string());
+    bail!("no instance accepted {method} {path}: {last_failure}")
 }
--- a/crates/cli/src/cmd/domain.rs
+++ b/crates/cli/src/cmd/domain.rs
@@ -1,4 +1,5 @@
-//! `wheelmast domain`: take failure domains out of use and back.
+//! `wheelmast domain`: evacuates failure domains, so that their servers get no new requests, and
+//! returns them to use.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -9,37 +10,40 @@
 use serde::Deserialize;
 use wheelmast_wire::native::EVACUATIONS_PATH;
 
-use crate::cmd::common::{ask_one_of, instance_arg, instances};
+use crate::cmd::common::{instance_arg, instances, send_to_any_instance};
 
-/// What is to be done.
-enum DomainStep {
+/// The subcommand that was given, with its arguments.
+enum DomainAction {
+    /// Evacuate this failure domain.
     Out(String),
+    /// Return this failure domain to use.
     Back(String),
+    /// List the evacuated failure domains.
     List,
 }
 
-/// The subcommand with its arguments.
+/// The parsed arguments of `wheelmast domain`.
 pub struct DomainCommand {
-    step: DomainStep,
+    action: DomainAction,
     instances: Vec<SocketAddr>,
 }
 
-/// The failure domains out of use, as an instance lists them.
+/// Response of a control instance that lists the evacuated failure domains.
 #[derive(Debug, Deserialize)]
-struct EvacuatedList {
+struct EvacuationList {
     evacuated: Vec<String>,
 }
 
 impl DomainCommand {
-    /// Returns the description of the arguments.
+    /// Returns the `clap` definition of the subcommand.
     pub fn command() -> Command {
         let domain = || Arg::new("domain").value_name("DOMAIN").required(true);
         let instance = || instance_arg("Listener for operators of a control instance");
         Command::new("domain")
             .about("Take failure domains out of use and back")
             .after_help(
-                "The servers of a failure domain out of use get nothing new; what they run is \
-                 finished. An order may be repeated.\n\nExamples:\n  \
+                "The servers of a failure domain out of use get no new requests; requests that \
+                 are running are finished. A command may be repeated.\n\nExamples:\n  \
                  wheelmast domain out oulu-1 --instance 127.0.0.1:7401\n  \
                  wheelmast domain back oulu-1 --instance 127.0.0.1:7401\n  \
                  wheelmast domain list --instance 127.0.0.1:7401",
@@ -47,24 +51,24 @@
             .subcommand_required(true)
             .subcommand(
                 Command::new("out")
-                    .about("Send nothing more to its servers")
+                    .about("Stop sending requests to its servers")
                     .arg(domain())
                     .arg(instance()),
             )
             .subcommand(
                 Command::new("back")
-                    .about("Send to its servers again")
+                    .about("Send requests to its servers again")
                     .arg(domain())
                     .arg(instance()),
             )
             .subcommand(
                 Command::new("list")
-                    .about("Show which are out of use, confirmed by a quorum")
+                    .about("List the failure domains out of use, confirmed by a quorum")
                     .arg(instance()),
             )
     }
 
-    /// Reads the arguments.
+    /// Creates the command from its parsed arguments.
     ///
     /// # Errors
     ///
@@ -77,35 +81,36 @@
             let domain = matches.get_one::<String>("domain").cloned();
             domain.context("could not find DOMAIN")
         };
-        let step = match name {
-            "out" => DomainStep::Out(domain()?),
-            "back" => DomainStep::Back(domain()?),
-            _ => DomainStep::List,
+        let action = match name {
+            "out" => DomainAction::Out(domain()?),
+            "back" => DomainAction::Back(domain()?),
+            _ => DomainAction::List,
         };
         Ok(DomainCommand {
-            step,
+            action,
             instances: instances(matches),
         })
     }
 
-    /// Does what was asked.
+    /// Runs the subcommand and prints its result.
     ///
     /// # Errors
     ///
-    /// Fails if no instance took the order, or one refused it.
+    /// Fails if no control instance accepts the command, or one rejects it.
     pub fn run(&self) -> anyhow::Result<ExitCode> {
-        match &self.step {
-            DomainStep::Out(domain) => {
-                self.order(Method::POST, domain)?;
+        match &self.action {
+            DomainAction::Out(domain) => {
+                self.send_change(Method::POST, domain)?;
                 println!("{domain}: out of use");
             }
-            DomainStep::Back(domain) => {
-                self.order(Method::DELETE, domain)?;
+            DomainAction::Back(domain) => {
+                self.send_change(Method::DELETE, domain)?;
                 println!("{domain}: in use");
             }
-            DomainStep::List => {
-                let list: EvacuatedList =
-                    ask_one_of(&self.instances, Method::GET, EVACUATIONS_PATH, "")?.json()?;
+            DomainAction::List => {
+                let list: EvacuationList =
+                    send_to_any_instance(&self.instances, Method::GET, EVACUATIONS_PATH, "")?
+                        .json()?;
                 for domain in list.evacuated {
                     println!("{domain}");
                 }
@@ -114,9 +119,10 @@
         Ok(ExitCode::SUCCESS)
     }
 
-    fn order(&self, method: Method, domain: &str) -> anyhow::Result<()> {
+    /// Sends the evacuation (POST) or the return (DELETE) of a failure domain to a control instance.
+    fn send_change(&self, method: Method, domain: &str) -> anyhow::Result<()> {
         let path = format!("{EVACUATIONS_PATH}/{domain}");
-        ask_one_of(&self.instances, method, &path, "")?;
+        send_to_any_instance(&self.instances, method, &path, "")?;
         Ok(())
     }
 }
--- a/crates/cli/src/cmd/watch.rs
+++ b/crates/cli/src/cmd/watch.rs
@@ -1,4 +1,5 @@
-//! `wheelmast watch`: decisions as they are made.
+//! `wheelmast watch`: prints the decisions of an instance (such as routing or hedging a request) as
+//! the instance makes them.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -10,7 +11,7 @@
 use crate::client::HttpClient;
 use crate::cmd::common::{block_on, first_instance, instance_arg, json_arg};
 
-/// The subcommand with its arguments.
+/// The parsed arguments of `wheelmast watch`.
 pub struct WatchCommand {
     instance: SocketAddr,
     part: Option<String>,
@@ -20,7 +21,7 @@
 }
 
 impl WatchCommand {
-    /// Returns the description of the arguments.
+    /// Returns the `clap` definition of the subcommand.
     pub fn command() -> Command {
         Command::new("watch")
             .about("Show decisions as an instance makes them")
@@ -34,25 +35,25 @@
                 Arg::new("part")
                     .long("part")
                     .value_name("PREFIX")
-                    .help("Only decisions of this part, such as route or hedge"),
+                    .help("Show only decisions of this component, such as route or hedge"),
             )
             .arg(
                 Arg::new("request")
                     .long("request")
                     .value_name("REQUEST")
-                    .help("Only decisions made for this request"),
+                    .help("Show only decisions made for this request"),
             )
             .arg(
                 Arg::new("count")
                     .long("count")
                     .value_name("N")
                     .value_parser(clap::value_parser!(u64).range(1..))
-                    .help("End after this many"),
+                    .help("Exit after this many decisions"),
             )
             .arg(json_arg())
     }
 
-    /// Reads the arguments.
+    /// Creates the command from its parsed arguments.
     ///
     /// # Errors
     ///
@@ -67,30 +68,33 @@
         })
     }
 
-    /// Prints decisions until the count is reached or the instance ends.
+    /// Prints decisions until the count is reached or the instance closes the stream.
     ///
     /// # Errors
     ///
     /// Fails if the instance cannot be reached.
     pub fn run(&self) -> anyhow::Result<ExitCode> {
-        block_on(self.follow())?;
+        block_on(self.print_decisions())?;
         Ok(ExitCode::SUCCESS)
     }
 
-    async fn follow(&self) -> anyhow::Result<()> {
+    /// Reads the stream of decisions, one JSON object per line, and prints the matching ones.
+    async fn print_decisions(&self) -> anyhow::Result<()> {
         let client = HttpClient::default();
-        let response = client.open(self.instance, "/v1/decisions/stream").await?;
+        let response = client
+            .open_stream(self.instance, "/v1/decisions/stream")
+            .await?;
         let mut body = response.into_body();
-        let mut rest = Vec::new();
+        let mut unread = Vec::new();
         let mut shown = 0;
         while let Some(frame) = body.frame().await {
             let Ok(bytes) = frame?.into_data() else {
                 continue;
             };
-            rest.extend_from_slice(&bytes);
-            while let Some(end) = rest.iter().position(|byte| *byte == b'\n') {
-                let line: Vec<u8> = rest.drain(..=end).collect();
-                shown += u64::from(self.show(&line)?);
+            unread.extend_from_slice(&bytes);
+            while let Some(end) = unread.iter().position(|byte| *byte == b'\n') {
+                let line: Vec<u8> = unread.drain(..=end).collect();
+                shown += u64::from(self.print_if_matching(&line)?);
                 if self.count == Some(shown) {
                     return Ok(());
                 }
@@ -99,12 +103,12 @@
         Ok(())
     }
 
-    /// Prints a line if it passes the filters. Returns whether it did.
-    fn show(&self, line: &[u8]) -> anyhow::Result<bool> {
+    /// Prints a decision if it passes the filters. Returns whether the decision was printed.
+    fn print_if_matching(&self, line: &[u8]) -> anyhow::Result<bool> {
         let decision: DecisionLine = serde_json::from_slice(line)?;
-        let is_part = self.part.as_ref().is_none_or(|part| *part == decision.part);
-        let is_request = self.request.is_none() || self.request == decision.request;
-        if !is_part || !is_request {
+        let matches_part = self.part.as_ref().is_none_or(|part| *part == decision.part);
+        let matches_request = self.request.is_none() || self.request == decision.request;
+        if !matches_part || !matches_request {
             return Ok(false);
         }
         if self.json {
