--- a/crates/cli/src/cmd/demo.rs
+++ b/crates/cli/src/cmd/demo.rs
@@ -131,10 +131,10 @@
                 length: Duration::from_secs(seconds),
                 faults: read_faults(matches),
                 rate_factor: rate,
-                kills: false,
-                explains: matches.get_flag("explain"),
+                should_kill: false,
+                should_explain_slowest: matches.get_flag("explain"),
                 safety_checks: EntrySafetyChecks::default(),
-                prints: !json,
+                should_print_progress: !json,
             },
             policy: text("policy")?.clone(),
             json,
@@ -181,8 +181,8 @@
         let plan = RunPlan {
             length: WARM_UP,
             faults: Vec::new(),
-            prints: false,
-            explains: false,
+            should_print_progress: false,
+            should_explain_slowest: false,
             ..self.plan.clone()
         };
         run_plan(&plan, LowestCostPolicy::default(), "warm-up").await?;
--- a/crates/cli/src/cmd/load.rs
+++ b/crates/cli/src/cmd/load.rs
@@ -18,9 +18,9 @@
 use crate::cmd::common::{
     block_on, body_arg, instance_arg, instances, json_arg, service_arg, text,
 };
-use crate::demo::arrival::pause;
+use crate::demo::arrival::draw_interval;
 use crate::demo::report::CountReport;
-use crate::demo::tally::{CallEnd, CallResult, CallTally};
+use crate::demo::tally::{CallOutcome, CallResult, CallStats};
 
 /// The subcommand with its arguments.
 pub struct LoadCommand {
@@ -119,7 +119,7 @@
             service: self.service.clone(),
             rate: self.rate,
             seconds: self.length.as_secs(),
-            cut_off: tally.count(CallEnd::CutOff),
+            cut_off: tally.count(CallOutcome::CutOff),
             counts: CountReport::new(&tally),
         };
         let text = serde_json::to_string_pretty(&report)?;
@@ -139,16 +139,16 @@
         })
     }
 
-    async fn make_load(&self) -> anyhow::Result<CallTally> {
+    async fn make_load(&self) -> anyhow::Result<CallStats> {
         let client = HttpClient::default();
-        let tally = Arc::new(Mutex::new(CallTally::default()));
+        let tally = Arc::new(Mutex::new(CallStats::default()));
         let bar = self.progress_bar();
         let turn = AtomicU64::new(0);
         let begin = Instant::now();
         let mut due = begin;
         let mut calls = tokio::task::JoinSet::new();
         loop {
-            due += pause(self.rate);
+            due += draw_interval(self.rate);
             if due >= begin + self.length {
                 break;
             }
@@ -190,7 +190,7 @@
 ) -> CallResult {
     let mut result = CallResult {
         service: "",
-        end: CallEnd::CutOff,
+        outcome: CallOutcome::CutOff,
         answered: 0,
         asked: 0,
         latency,
@@ -203,10 +203,10 @@
     };
     if response.status == StatusCode::OK {
         if let Ok(answer) = response.json::<AnswerBody>() {
-            result.take_answer(&answer);
+            result.record_answer(&answer);
         }
     } else if let Ok(problem) = response.json::<ProblemBody>() {
-        result.take_problem(&problem);
+        result.record_problem(&problem);
     }
     result
 }
--- a/crates/cli/src/cmd/measure.rs
+++ b/crates/cli/src/cmd/measure.rs
@@ -8,8 +8,8 @@
 use clap::{Arg, ArgMatches, Command};
 
 use crate::cmd::common::block_on;
-use crate::measure::capacity::{measure_slopes, message_sizes};
-use crate::measure::control::{measure_start, MeasuredGroup};
+use crate::measure::capacity::{measure_message_sizes, measure_slopes};
+use crate::measure::control::{measure_replica_open, MeasuredGroup};
 use crate::measure::fleet::{FleetModel, FleetSize};
 use crate::measure::gossip::measure_gossip;
 
@@ -118,7 +118,7 @@
 
     fn print_control(&self) -> anyhow::Result<()> {
         for changes in [1000, 10_000] {
-            let took = measure_start(&self.folder, changes)?;
+            let took = measure_replica_open(&self.folder, changes)?;
             println!("start after {changes} changes: {took:.1} ms");
         }
         let mut group = MeasuredGroup::start(&self.folder)?;
@@ -133,7 +133,7 @@
                 let rate = group.measure_claims(in_flight, CLAIM_TIME).await?;
                 println!("keyed submissions, {in_flight} in flight: {rate:.0} a second");
             }
-            for (node, took) in group.measure_kills().await?.iter().enumerate() {
+            for (node, took) in group.measure_failovers().await?.iter().enumerate() {
                 println!("replica {node} ended: next change accepted after {took:.0} ms");
             }
             Ok(())
@@ -158,10 +158,10 @@
     for size in FLEET_SIZES {
         let model = FleetModel::new(size);
         let events = [
-            ("a second", model.idle_second()?),
-            ("a server leaves", model.server_leaves()?),
-            ("a server comes", model.server_comes()?),
-            ("an entry joins", model.entry_joins()?),
+            ("a second", model.count_idle_second()?),
+            ("a server leaves", model.count_server_leave()?),
+            ("a server comes", model.count_server_join()?),
+            ("an entry joins", model.count_entry_join()?),
         ];
         for (event, counts) in events {
             for (kind, count) in counts {
@@ -172,7 +172,7 @@
                     size.servers,
                     count.messages,
                     count.bytes,
-                    count.far_bytes
+                    count.cross_region_bytes
                 );
             }
         }
@@ -195,7 +195,7 @@
             slope.fit.residual * 100.0
         );
     }
-    for (name, bytes) in message_sizes()? {
+    for (name, bytes) in measure_message_sizes()? {
         println!("{name}: {bytes} bytes");
     }
     Ok(())
--- a/crates/cli/src/demo/balancer.rs
+++ b/crates/cli/src/demo/balancer.rs
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub struct DemoBalancer {
     targets: Vec<BalancerTarget>,
-    turn: AtomicUsize,
+    next_index: AtomicUsize,
 }
 
 impl DemoBalancer {
@@ -40,21 +40,21 @@
         });
         Arc::new(DemoBalancer {
             targets: targets.collect(),
-            turn: AtomicUsize::new(0),
+            next_index: AtomicUsize::new(0),
         })
     }
 
     /// Returns the instance whose turn it is.
     pub fn next(&self) -> &BalancerTarget {
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
+        let next_index = self.next_index.fetch_add(1, Ordering::Relaxed);
         let count = self.targets.len();
-        let mut turns = (0..count).map(|step| &self.targets[(turn + step) % count]);
-        let ready = turns.find(|target| target.ready.load(Ordering::Relaxed));
-        ready.unwrap_or(&self.targets[turn % count])
+        let mut candidates = (0..count).map(|step| &self.targets[(next_index + step) % count]);
+        let ready = candidates.find(|target| target.ready.load(Ordering::Relaxed));
+        ready.unwrap_or(&self.targets[next_index % count])
     }
 
     /// Asks all instances over and over whether they are ready.
-    pub async fn probe(self: Arc<Self>) {
+    pub async fn poll_readiness(self: Arc<Self>) {
         let client = HttpClient::default();
         let mut ticks = tokio::time::interval(PROBE_INTERVAL);
         loop {
--- a/crates/cli/src/demo/port.rs
+++ b/crates/cli/src/demo/port.rs
@@ -8,12 +8,12 @@
 /// First port that is taken: under those that systems give to connections.
 const FIRST_PORT: u16 = 20_000;
 /// Number of ports to choose from.
-const PORTS: u16 = 10_000;
+const PORT_COUNT: u16 = 10_000;
 /// Ports that may be found taken.
-const MOST_TRIES: u16 = 200;
+const MAX_ATTEMPTS: u16 = 200;
 
 /// Ports chosen by this process so far, from a place of its own.
-static CHOSEN: AtomicU16 = AtomicU16::new(0);
+static NEXT_OFFSET: AtomicU16 = AtomicU16::new(0);
 
 /// Returns an address for a listener that is opened again later. A port that the
 /// system chose could be given to a connection while the listener is closed.
@@ -22,10 +22,10 @@
 ///
 /// Fails if no port is free.
 pub fn choose_address(source: IpAddr) -> anyhow::Result<SocketAddr> {
-    let place = (std::process::id() % u32::from(PORTS)) as u16;
-    for _ in 0..MOST_TRIES {
-        let number = CHOSEN.fetch_add(1, Ordering::Relaxed);
-        let offset = (u32::from(place) + u32::from(number)) % u32::from(PORTS);
+    let process_offset = (std::process::id() % u32::from(PORT_COUNT)) as u16;
+    for _ in 0..MAX_ATTEMPTS {
+        let number = NEXT_OFFSET.fetch_add(1, Ordering::Relaxed);
+        let offset = (u32::from(process_offset) + u32::from(number)) % u32::from(PORT_COUNT);
         let address = SocketAddr::new(source, FIRST_PORT + offset as u16);
         if TcpListener::bind(address).is_ok() {
             return Ok(address);
--- a/crates/cli/src/demo/report.rs
+++ b/crates/cli/src/demo/report.rs
@@ -4,7 +4,7 @@
 use wheelmast_fake::checker::ViolationCounts;
 use wheelmast_wire::prelude::DecisionLine;
 
-use crate::demo::tally::{CallEnd, CallTally};
+use crate::demo::tally::{CallOutcome, CallStats};
 
 /// The counts of one service, or of all.
 #[derive(Debug, Clone, Serialize)]
@@ -29,13 +29,13 @@
 
 impl CountReport {
     /// Returns the report of some counts.
-    pub fn new(tally: &CallTally) -> CountReport {
+    pub fn new(tally: &CallStats) -> CountReport {
         CountReport {
             queries: tally.total(),
-            complete: tally.count(CallEnd::Complete),
-            partial: tally.count(CallEnd::Partial),
-            refused: tally.count(CallEnd::Refused),
-            unknown: tally.count(CallEnd::Unknown),
+            complete: tally.count(CallOutcome::Complete),
+            partial: tally.count(CallOutcome::Partial),
+            refused: tally.count(CallOutcome::Refused),
+            unknown: tally.count(CallOutcome::Unknown),
             p50_ms: tally.quantile_ms(0.5),
             p99_ms: tally.quantile_ms(0.99),
             coverage_mean: tally.coverage_mean(),
@@ -55,7 +55,7 @@
 
 /// The decisions of the slowest request.
 #[derive(Debug, Clone, Serialize)]
-pub struct SlowStory {
+pub struct SlowRequestTrace {
     /// Service asked.
     pub service: String,
     /// Identity of the request.
@@ -93,7 +93,7 @@
     pub violations: ViolationCounts,
     /// The slowest request, if it was asked for.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub slowest: Option<SlowStory>,
+    pub slowest: Option<SlowRequestTrace>,
     /// Refusals by problem.
     pub problems: std::collections::BTreeMap<String, u64>,
     /// Counts by service.
@@ -165,8 +165,8 @@
     for (problem, count) in &report.problems {
         println!("refused, {problem}: {count}");
     }
-    if let Some(story) = &report.slowest {
-        print_story(story);
+    if let Some(trace) = &report.slowest {
+        print_trace(trace);
     }
     let violations = report.violations;
     println!(
@@ -183,15 +183,15 @@
     );
 }
 
-fn print_story(story: &SlowStory) {
+fn print_trace(trace: &SlowRequestTrace) {
     println!(
         "slowest: {} {} took {:.1} ms",
-        story.service, story.request, story.latency_ms
+        trace.service, trace.request, trace.latency_ms
     );
-    if story.decisions.is_empty() {
+    if trace.decisions.is_empty() {
         println!("  its decisions were not sampled");
     }
-    for line in &story.decisions {
+    for line in &trace.decisions {
         println!("  {:>10.1} ms  {}", line.at_ms, line.text);
     }
 }
--- a/crates/cli/src/demo/run.rs
+++ b/crates/cli/src/demo/run.rs
@@ -18,18 +18,18 @@
 use crate::client::HttpClient;
 use crate::demo::balancer::DemoBalancer;
 use crate::demo::port::choose_address;
-use crate::demo::report::{CountReport, RunReport, ServiceReport, SlowStory};
-use crate::demo::schedule::span_of;
-use crate::demo::tally::{CallEnd, SlowCall, TallyBook};
+use crate::demo::report::{CountReport, RunReport, ServiceReport, SlowRequestTrace};
+use crate::demo::schedule::fault_span;
+use crate::demo::tally::{CallOutcome, RunStats, SlowCall};
 use crate::demo::traffic::{make_traffic, TrafficContext};
 use crate::measure::cpu::thread_times_ms;
 
 /// Time the instances get to learn of all servers.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time between two looks whether they have.
-const LEARN_INTERVAL: Duration = Duration::from_millis(50);
+const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time between a crash and the start after it.
-const CRASH_GAP: Duration = Duration::from_millis(300);
+const RESTART_DELAY: Duration = Duration::from_millis(300);
 /// Time before a graceful leave refuses anything.
 const DRAIN_NOTICE: Duration = Duration::from_millis(400);
 
@@ -47,11 +47,11 @@
     /// Guards of the instances; all on but in tests.
     pub safety_checks: EntrySafetyChecks,
     /// Whether the restart of an instance is abrupt; only in tests.
-    pub kills: bool,
+    pub should_kill: bool,
     /// Whether the story of the slowest request is told.
-    pub explains: bool,
+    pub should_explain_slowest: bool,
     /// Whether a line is printed each second.
-    pub prints: bool,
+    pub should_print_progress: bool,
 }
 
 /// Runs a plan under a policy.
@@ -64,14 +64,14 @@
     P: RoutePolicy + Clone + Send + 'static,
 {
     let world = FakeWorld::start(plan.deployment.clone()).await?;
-    let mut stage = DemoStage::start(plan, world, policy)?;
-    stage.wait_learned().await?;
-    stage.play(plan).await?;
-    stage.close(plan, name).await
+    let mut demo_run = DemoRun::start(plan, world, policy)?;
+    demo_run.wait_until_servers_known().await?;
+    demo_run.run_load(plan).await?;
+    demo_run.finish(plan, name).await
 }
 
 /// The instances and the deployment of a run.
-struct DemoStage<P> {
+struct DemoRun<P> {
     world: Arc<FakeWorld>,
     instances: Vec<InstanceHandle>,
     settings: Vec<InstanceSettings>,
@@ -79,11 +79,11 @@
     policy: P,
     safety_checks: EntrySafetyChecks,
     context: Arc<TrafficContext>,
-    probe: tokio::task::JoinHandle<()>,
+    poll_readiness: tokio::task::JoinHandle<()>,
 }
 
-impl<P: RoutePolicy + Clone + Send + 'static> DemoStage<P> {
-    fn start(plan: &RunPlan, world: FakeWorld, policy: P) -> anyhow::Result<DemoStage<P>> {
+impl<P: RoutePolicy + Clone + Send + 'static> DemoRun<P> {
+    fn start(plan: &RunPlan, world: FakeWorld, policy: P) -> anyhow::Result<DemoRun<P>> {
         let table = ServiceTable::parse(plan.deployment.table, 1)?;
         let mut instances = Vec::new();
         let mut all_settings = Vec::new();
@@ -108,17 +108,17 @@
             all_settings.push(settings);
         }
         let balancer = DemoBalancer::new(&instances);
-        let probe = tokio::spawn(balancer.clone().probe());
+        let poll_readiness = tokio::spawn(balancer.clone().poll_readiness());
         let context = Arc::new(TrafficContext {
             balancer,
             ledger: world.ledger.clone(),
-            book: TallyBook::default(),
+            stats: RunStats::default(),
             table: table.clone(),
             client: HttpClient::default(),
             run: rand::random(),
             count: AtomicU64::new(0),
         });
-        Ok(DemoStage {
+        Ok(DemoRun {
             world: Arc::new(world),
             instances,
             settings: all_settings,
@@ -126,12 +126,12 @@
             policy,
             safety_checks: plan.safety_checks,
             context,
-            probe,
+            poll_readiness,
         })
     }
 
     /// Waits until every instance knows every server.
-    async fn wait_learned(&self) -> anyhow::Result<()> {
+    async fn wait_until_servers_known(&self) -> anyhow::Result<()> {
         let until = Instant::now() + READY_TIMEOUT;
         for instance in &self.instances {
             loop {
@@ -142,14 +142,14 @@
                 if Instant::now() > until {
                     anyhow::bail!("could not learn of all servers within {READY_TIMEOUT:?}");
                 }
-                tokio::time::sleep(LEARN_INTERVAL).await;
+                tokio::time::sleep(STATUS_POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
     /// Makes traffic, begins and ends faults, and prints a line a second.
-    async fn play(&mut self, plan: &RunPlan) -> anyhow::Result<()> {
+    async fn run_load(&mut self, plan: &RunPlan) -> anyhow::Result<()> {
         let begin = Instant::now();
         let until = begin + plan.length;
         let mut traffic = tokio::task::JoinSet::new();
@@ -158,19 +158,19 @@
             rate.rate *= plan.rate_factor;
             traffic.spawn(make_traffic(self.context.clone(), rate, until));
         }
-        let faults = tokio::spawn(play_faults(
+        let faults = tokio::spawn(inject_faults(
             self.world.clone(),
             plan.faults.clone(),
             begin,
             plan.length,
         ));
         let printer = plan
-            .prints
-            .then(|| tokio::spawn(print_seconds(self.context.clone(), begin)));
+            .should_print_progress
+            .then(|| tokio::spawn(print_progress(self.context.clone(), begin)));
         if plan.faults.contains(&FaultKind::RestartEntry) {
-            let span = span_of(FaultKind::RestartEntry);
+            let span = fault_span(FaultKind::RestartEntry);
             tokio::time::sleep_until((begin + plan.length.mul_f64(span.begin)).into()).await;
-            self.restart_first(plan.kills).await?;
+            self.restart_first(plan.should_kill).await?;
         }
         while traffic.join_next().await.is_some() {}
         faults.abort();
@@ -181,10 +181,10 @@
     }
 
     /// Asks the instance of the slowest request for its decisions.
-    async fn explain(&self, slowest: &SlowCall) -> anyhow::Result<SlowStory> {
+    async fn explain(&self, slowest: &SlowCall) -> anyhow::Result<SlowRequestTrace> {
         let path = format!("/v1/explain/{}", slowest.request);
         let response = self.context.client.get(slowest.operators, &path).await?;
-        Ok(SlowStory {
+        Ok(SlowRequestTrace {
             service: slowest.service.to_string(),
             request: slowest.request.clone(),
             latency_ms: slowest.latency.as_secs_f64() * 1e3,
@@ -193,11 +193,11 @@
     }
 
     /// Ends the first instance by its graceful way and starts it anew.
-    async fn restart_first(&mut self, kills: bool) -> anyhow::Result<()> {
+    async fn restart_first(&mut self, should_kill: bool) -> anyhow::Result<()> {
         let first = self.instances.remove(0);
-        if kills {
+        if should_kill {
             first.kill();
-            tokio::time::sleep(CRASH_GAP).await;
+            tokio::time::sleep(RESTART_DELAY).await;
         } else {
             first.shut_down().await;
         }
@@ -211,11 +211,11 @@
         Ok(())
     }
 
-    async fn close(self, plan: &RunPlan, name: &str) -> anyhow::Result<RunReport> {
-        self.probe.abort();
+    async fn finish(self, plan: &RunPlan, name: &str) -> anyhow::Result<RunReport> {
+        self.poll_readiness.abort();
         let threads = thread_times_ms("wm-");
-        let slowest = match self.context.book.slowest() {
-            Some(slowest) if plan.explains => Some(self.explain(&slowest).await?),
+        let slowest = match self.context.stats.slowest() {
+            Some(slowest) if plan.should_explain_slowest => Some(self.explain(&slowest).await?),
             _ => None,
         };
         for instance in self.instances {
@@ -223,8 +223,8 @@
         }
         let context = Arc::into_inner(self.context).context("could not end the traffic")?;
         let ledger = self.world.ledger.clone();
-        let mut result = context.book.finish();
-        for term in &result.once_terms {
+        let mut result = context.stats.finish();
+        for term in &result.single_run_terms {
             check_once(&ledger, term, &mut result.violations);
         }
         result.violations.work_after_leaving = ledger.work_after_leaving();
@@ -287,24 +287,24 @@
 }
 
 /// Begins and ends each fault at its time.
-async fn play_faults(
+async fn inject_faults(
     world: Arc<FakeWorld>,
     faults: Vec<FaultKind>,
     begin: Instant,
     length: Duration,
 ) {
-    let mut moments: Vec<(Instant, FaultKind, bool)> = Vec::new();
+    let mut events: Vec<(Instant, FaultKind, bool)> = Vec::new();
     for kind in faults {
-        let span = span_of(kind);
-        moments.push((begin + length.mul_f64(span.begin), kind, true));
+        let span = fault_span(kind);
+        events.push((begin + length.mul_f64(span.begin), kind, true));
         if span.end < 1.0 {
-            moments.push((begin + length.mul_f64(span.end), kind, false));
+            events.push((begin + length.mul_f64(span.end), kind, false));
         }
     }
-    moments.sort_by_key(|(at, ..)| *at);
-    for (at, kind, begins) in moments {
+    events.sort_by_key(|(at, ..)| *at);
+    for (at, kind, is_begin) in events {
         tokio::time::sleep_until(at.into()).await;
-        if begins {
+        if is_begin {
             fault::begin(&world, kind);
         } else {
             fault::end(&world, kind);
@@ -312,23 +312,23 @@
     }
 }
 
-async fn print_seconds(context: Arc<TrafficContext>, begin: Instant) {
+async fn print_progress(context: Arc<TrafficContext>, begin: Instant) {
     let mut ticks = tokio::time::interval(Duration::from_secs(1));
     ticks.tick().await;
     loop {
         ticks.tick().await;
-        let second = context.book.take_second();
+        let recent = context.stats.take_recent();
         println!(
             "{:>3} s  {:>5} queries  {:>5} complete  {:>4} partial  {:>4} refused  \
              p50 {:>6.1} ms  p99 {:>7.1} ms  coverage {:.4}",
             begin.elapsed().as_secs(),
-            second.total(),
-            second.count(CallEnd::Complete),
-            second.count(CallEnd::Partial),
-            second.count(CallEnd::Refused) + second.count(CallEnd::Unknown),
-            second.quantile_ms(0.5),
-            second.quantile_ms(0.99),
-            second.coverage_mean()
+            recent.total(),
+            recent.count(CallOutcome::Complete),
+            recent.count(CallOutcome::Partial),
+            recent.count(CallOutcome::Refused) + recent.count(CallOutcome::Unknown),
+            recent.quantile_ms(0.5),
+            recent.quantile_ms(0.99),
+            recent.coverage_mean()
         );
     }
 }
--- a/crates/cli/src/demo/schedule.rs
+++ b/crates/cli/src/demo/schedule.rs
@@ -12,7 +12,7 @@
 }
 
 /// Returns the span of a fault.
-pub fn span_of(fault: FaultKind) -> FaultSpan {
+pub fn fault_span(fault: FaultKind) -> FaultSpan {
     let (begin, end) = match fault {
         FaultKind::Straggler
         | FaultKind::LyingHealth
--- a/crates/cli/src/demo/tally.rs
+++ b/crates/cli/src/demo/tally.rs
@@ -11,13 +11,13 @@
 use wheelmast_wire::prelude::{AnswerBody, ProblemBody};
 
 /// Longest latency told apart, in microseconds.
-const LONGEST_MICROS: u64 = 60_000_000;
+const MAX_LATENCY_MICROS: u64 = 60_000_000;
 /// Significant digits of a latency.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// How one request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// Every shard is in the answer.
     Complete,
     /// Some shards are.
@@ -36,7 +36,7 @@
     /// Service asked.
     pub service: &'static str,
     /// How it ended.
-    pub end: CallEnd,
+    pub outcome: CallOutcome,
     /// Shards that answered.
     pub answered: u32,
     /// Shards that were asked.
@@ -53,29 +53,29 @@
 
 impl CallResult {
     /// Takes what an answer says.
-    pub fn take_answer(&mut self, answer: &AnswerBody) {
+    pub fn record_answer(&mut self, answer: &AnswerBody) {
         self.request = Some(answer.request.clone());
         self.answered = answer.coverage.answered;
         self.asked = answer.coverage.asked;
-        self.end = if answer.coverage.missing.is_empty() {
-            CallEnd::Complete
+        self.outcome = if answer.coverage.missing.is_empty() {
+            CallOutcome::Complete
         } else {
-            CallEnd::Partial
+            CallOutcome::Partial
         };
     }
 
     /// Takes what a problem says.
-    pub fn take_problem(&mut self, problem: &ProblemBody) {
+    pub fn record_problem(&mut self, problem: &ProblemBody) {
         if let Some(coverage) = &problem.coverage {
             self.asked = coverage.asked;
             self.answered = coverage.answered;
         }
         self.request = problem.request.clone();
         self.problem = Some(problem.title.clone());
-        self.end = if problem.outcome == OUTCOME_NOT_RUN {
-            CallEnd::Refused
+        self.outcome = if problem.outcome == OUTCOME_NOT_RUN {
+            CallOutcome::Refused
         } else {
-            CallEnd::Unknown
+            CallOutcome::Unknown
         };
     }
 }
@@ -95,9 +95,9 @@
 
 /// Counts over many requests.
 #[derive(Debug)]
-pub struct CallTally {
+pub struct CallStats {
     /// Requests by how they ended.
-    pub ends: HashMap<CallEndKey, u64>,
+    pub outcome_counts: HashMap<CallOutcomeKey, u64>,
     /// Latencies in microseconds.
     pub latency: Histogram<u64>,
     /// Refusals by problem.
@@ -108,14 +108,14 @@
     coverage_count: u64,
 }
 
-/// Key of [`CallTally::ends`].
-pub type CallEndKey = u8;
+/// Key of [`CallStats::outcome_counts`].
+pub type CallOutcomeKey = u8;
 
-impl Default for CallTally {
+impl Default for CallStats {
     fn default() -> Self {
-        let latency = Histogram::new_with_bounds(1, LONGEST_MICROS, DIGITS);
-        CallTally {
-            ends: HashMap::new(),
+        let latency = Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS);
+        CallStats {
+            outcome_counts: HashMap::new(),
             latency: latency.expect("the bounds are constants that fit"),
             problems: BTreeMap::new(),
             asked: 0,
@@ -125,30 +125,36 @@
     }
 }
 
-impl CallTally {
+impl CallStats {
     /// Adds one request.
     pub fn add(&mut self, result: &CallResult) {
-        *self.ends.entry(result.end as CallEndKey).or_default() += 1;
+        *self
+            .outcome_counts
+            .entry(result.outcome as CallOutcomeKey)
+            .or_default() += 1;
         self.latency
             .saturating_record(result.latency.as_micros().max(1) as u64);
         if let Some(problem) = &result.problem {
             *self.problems.entry(problem.clone()).or_default() += 1;
         }
         self.asked += u64::from(result.asked);
-        let is_answer = matches!(result.end, CallEnd::Complete | CallEnd::Partial);
+        let is_answer = matches!(result.outcome, CallOutcome::Complete | CallOutcome::Partial);
         let fraction = f64::from(result.answered) / f64::from(result.asked.max(1));
         self.coverage_sum += if is_answer { fraction } else { 0.0 };
         self.coverage_count += 1;
     }
 
     /// Returns the number of requests that ended this way.
-    pub fn count(&self, end: CallEnd) -> u64 {
-        self.ends.get(&(end as CallEndKey)).copied().unwrap_or(0)
+    pub fn count(&self, outcome: CallOutcome) -> u64 {
+        self.outcome_counts
+            .get(&(outcome as CallOutcomeKey))
+            .copied()
+            .unwrap_or(0)
     }
 
     /// Returns the number of requests.
     pub fn total(&self) -> u64 {
-        self.ends.values().sum()
+        self.outcome_counts.values().sum()
     }
 
     /// Returns a quantile of the latency in milliseconds.
@@ -163,17 +169,17 @@
 }
 
 #[derive(Debug, Default)]
-struct BookState {
-    all: CallTally,
-    services: BTreeMap<&'static str, CallTally>,
-    second: CallTally,
+struct RunStatsState {
+    all: CallStats,
+    services: BTreeMap<&'static str, CallStats>,
+    recent: CallStats,
     violations: ViolationCounts,
-    once_terms: Vec<String>,
+    single_run_terms: Vec<String>,
     slowest: Option<SlowCall>,
 }
 
-impl BookState {
-    fn note_slow(&mut self, result: &CallResult) {
+impl RunStatsState {
+    fn update_slowest(&mut self, result: &CallResult) {
         let Some(request) = &result.request else {
             return;
         };
@@ -192,12 +198,12 @@
 
 /// All counts of a demo's run.
 #[derive(Debug, Default)]
-pub struct TallyBook {
-    state: Mutex<BookState>,
+pub struct RunStats {
+    state: Mutex<RunStatsState>,
 }
 
-impl TallyBook {
-    fn state(&self) -> MutexGuard<'_, BookState> {
+impl RunStats {
+    fn state(&self) -> MutexGuard<'_, RunStatsState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -205,24 +211,24 @@
     pub fn add(&self, result: &CallResult, check: impl FnOnce(&mut ViolationCounts)) {
         let mut state = self.state();
         state.all.add(result);
-        state.second.add(result);
+        state.recent.add(result);
         let service = state.services.entry(result.service).or_default();
         service.add(result);
-        state.note_slow(result);
-        if result.end == CallEnd::CutOff {
+        state.update_slowest(result);
+        if result.outcome == CallOutcome::CutOff {
             state.violations.cut_off += 1;
         }
         check(&mut state.violations);
     }
 
     /// Remembers a request that must have run at most once at the end.
-    pub fn remember_once(&self, term: String) {
-        self.state().once_terms.push(term);
+    pub fn register_single_run(&self, term: String) {
+        self.state().single_run_terms.push(term);
     }
 
     /// Takes the counts since the last call, for a line a second.
-    pub fn take_second(&self) -> CallTally {
-        std::mem::take(&mut self.state().second)
+    pub fn take_recent(&self) -> CallStats {
+        std::mem::take(&mut self.state().recent)
     }
 
     /// Returns the slowest request so far.
@@ -231,27 +237,27 @@
     }
 
     /// Ends the run and returns its counts.
-    pub fn finish(self) -> TallyResult {
+    pub fn finish(self) -> RunStatsResult {
         let state = self.state.into_inner();
         let state = state.unwrap_or_else(PoisonError::into_inner);
-        TallyResult {
+        RunStatsResult {
             all: state.all,
             services: state.services,
             violations: state.violations,
-            once_terms: state.once_terms,
+            single_run_terms: state.single_run_terms,
         }
     }
 }
 
 /// The counts of an ended run.
 #[derive(Debug)]
-pub struct TallyResult {
+pub struct RunStatsResult {
     /// Over all services.
-    pub all: CallTally,
+    pub all: CallStats,
     /// By service.
-    pub services: BTreeMap<&'static str, CallTally>,
+    pub services: BTreeMap<&'static str, CallStats>,
     /// Broken promises so far.
     pub violations: ViolationCounts,
     /// Requests that must have run at most once.
-    pub once_terms: Vec<String>,
+    pub single_run_terms: Vec<String>,
 }
--- a/crates/cli/src/demo/traffic.rs
+++ b/crates/cli/src/demo/traffic.rs
@@ -13,9 +13,9 @@
 use wheelmast_wire::prelude::{AnswerBody, ProblemBody};
 
 use crate::client::{HttpClient, ServiceCall, WholeResponse};
-use crate::demo::arrival::pause;
+use crate::demo::arrival::draw_interval;
 use crate::demo::balancer::DemoBalancer;
-use crate::demo::tally::{CallEnd, CallResult, TallyBook};
+use crate::demo::tally::{CallOutcome, CallResult, RunStats};
 
 /// What all callers of a run share.
 #[derive(Debug)]
@@ -25,7 +25,7 @@
     /// What the fakes did.
     pub ledger: Arc<FakeLedger>,
     /// Where results are counted.
-    pub book: TallyBook,
+    pub stats: RunStats,
     /// Tells the kind of each service.
     pub table: ServiceTable,
     /// Sends the requests.
@@ -41,7 +41,7 @@
     let mut due = Instant::now();
     let mut calls = tokio::task::JoinSet::new();
     loop {
-        due += pause(rate.rate);
+        due += draw_interval(rate.rate);
         if due >= until {
             break;
         }
@@ -59,7 +59,7 @@
     let (call, shape) = match kind {
         Some(RequestKind::Fetch) => (ServiceCall::Fetch(term.clone()), AnswerShape::Single),
         Some(RequestKind::NonRepeatable) => {
-            context.book.remember_once(term.clone());
+            context.stats.register_single_run(term.clone());
             let key = Some(term.clone());
             (ServiceCall::Submit { json, key }, AnswerShape::Single)
         }
@@ -72,7 +72,7 @@
         .await;
     let result = CallResult {
         service,
-        end: CallEnd::CutOff,
+        outcome: CallOutcome::CutOff,
         answered: 0,
         asked: 0,
         latency: due.elapsed(),
@@ -80,10 +80,10 @@
         request: None,
         operators: target.operators,
     };
-    record(&context, &term, shape, result, response);
+    record_response(&context, &term, shape, result, response);
 }
 
-fn record(
+fn record_response(
     context: &TrafficContext,
     term: &str,
     shape: AnswerShape,
@@ -94,19 +94,19 @@
     match response {
         Ok(response) if response.status == StatusCode::OK => {
             if let Ok(answer) = response.json::<AnswerBody>() {
-                result.take_answer(&answer);
+                result.record_answer(&answer);
                 check_answer(&context.ledger, term, shape, &answer, &mut found);
             }
         }
         Ok(response) => {
             if let Ok(problem) = response.json::<ProblemBody>() {
-                result.take_problem(&problem);
+                result.record_problem(&problem);
                 check_problem(&context.ledger, term, &problem, &mut found);
             }
         }
         Err(error) => tracing::warn!("demo: {error:#}"),
     }
-    context.book.add(&result, |counts| {
+    context.stats.add(&result, |counts| {
         counts.mixed_snapshot += found.mixed_snapshot;
         counts.false_coverage += found.false_coverage;
         counts.foreign_answer += found.foreign_answer;
--- a/crates/cli/src/measure/capacity.rs
+++ b/crates/cli/src/measure/capacity.rs
@@ -40,36 +40,36 @@
 /// Fails if a message cannot be encoded.
 pub fn measure_slopes() -> anyhow::Result<Vec<MeasuredSlope>> {
     Ok(vec![
-        slope(
+        measure_slope(
             "decisions of a query",
             "us",
             "shard",
             &[20, 60, 120, 240],
-            query_micros,
+            measure_query_micros,
         ),
-        slope(
+        measure_slope(
             "roster memory",
             "bytes",
             "server",
             &[1350, 2700, 5400, 10_800],
-            roster_bytes,
+            measure_roster_bytes,
         ),
-        slope(
+        measure_slope(
             "gossip memory",
             "bytes",
             "server",
             &[2700, 5400, 10_800, 18_000],
-            gossip_bytes,
+            measure_gossip_bytes,
         ),
-        slope("table push", "bytes", "service", &[4, 40, 400], |size| {
-            table_push_bytes(size).unwrap_or(0) as f64
+        measure_slope("table push", "bytes", "service", &[4, 40, 400], |size| {
+            encoded_table_bytes(size).unwrap_or(0) as f64
         }),
-        slope(
+        measure_slope(
             "state of the fence",
             "bytes",
             "claim",
             &[1000, 10_000, 50_000],
-            |size| claim_bytes(size).unwrap_or(0) as f64,
+            |size| encoded_claim_bytes(size).unwrap_or(0) as f64,
         ),
     ])
 }
@@ -79,7 +79,7 @@
 /// # Errors
 ///
 /// Fails if a message cannot be encoded.
-pub fn message_sizes() -> anyhow::Result<Vec<(&'static str, usize)>> {
+pub fn measure_message_sizes() -> anyhow::Result<Vec<(&'static str, usize)>> {
     let heartbeat = PeerRequest::Replica {
         from: u64::MAX,
         message: ReplicaMessage::Append {
@@ -124,7 +124,7 @@
     ])
 }
 
-fn slope(
+fn measure_slope(
     name: &'static str,
     unit: &'static str,
     per: &'static str,
@@ -181,7 +181,7 @@
 }
 
 /// Returns a machine that knows `servers` servers in groups of two.
-fn machine(servers: u32) -> EntryMachine<LowestCostPolicy> {
+fn build_entry_machine(servers: u32) -> EntryMachine<LowestCostPolicy> {
     let options = EntryOptions::builder().decisions_per_second(0).build();
     let mut machine = EntryMachine::new(options, LowestCostPolicy::default());
     let mut out = Vec::new();
@@ -191,13 +191,13 @@
     }
     let shards = servers / 2;
     for index in 0..servers {
-        let news = server_news(index, shards);
-        machine.step(Duration::ZERO, EntryInput::Announce(news), &mut out);
+        let announcement = build_server_announcement(index, shards);
+        machine.step(Duration::ZERO, EntryInput::Announce(announcement), &mut out);
     }
     machine
 }
 
-fn server_news(index: u32, shards: u32) -> UpstreamAnnouncement {
+fn build_server_announcement(index: u32, shards: u32) -> UpstreamAnnouncement {
     UpstreamAnnouncement {
         name: format!("search-{index}").into(),
         upstream: "search".into(),
@@ -222,19 +222,19 @@
 }
 
 fn first_server() -> ServerKey {
-    let machine = machine(2);
+    let machine = build_entry_machine(2);
     let first = machine.roster().servers().next().map(|(key, _)| key);
     first.expect("two servers were announced")
 }
 
 /// Returns the median time of all decisions of a query, in microseconds.
-fn query_micros(shards: u32) -> f64 {
-    const ROUNDS: u64 = 2000;
-    let mut machine = machine(shards * 2);
+fn measure_query_micros(shards: u32) -> f64 {
+    const ROUND_COUNT: u64 = 2000;
+    let mut machine = build_entry_machine(shards * 2);
     let mut times = Vec::new();
-    let mut orders = Vec::new();
-    let mut ends = Vec::new();
-    for round in 0..ROUNDS {
+    let mut actions = Vec::new();
+    let mut reply_actions = Vec::new();
+    for round in 0..ROUND_COUNT {
         let now = Duration::from_millis(round * 10);
         let request = QueryRequest {
             call: CallTag(round),
@@ -243,29 +243,29 @@
             body: Arc::new(body()),
         };
         let begin = Instant::now();
-        machine.step(now, EntryInput::Submit(request), &mut orders);
-        for action in orders.drain(..) {
+        machine.step(now, EntryInput::Submit(request), &mut actions);
+        for action in actions.drain(..) {
             if let EntryAction::Send(order) = action {
                 let now = now + Duration::from_millis(4);
                 machine.step(
                     now,
                     EntryInput::Reply(AttemptReply::with_no_hits(&order)),
-                    &mut ends,
+                    &mut reply_actions,
                 );
             }
         }
         times.push(begin.elapsed().as_secs_f64() * 1e6);
-        black_box(&ends);
-        ends.clear();
+        black_box(&reply_actions);
+        reply_actions.clear();
     }
     times.sort_by(f64::total_cmp);
     times[times.len() / 2]
 }
 
 /// Returns the memory of a gossip that knows `servers` servers.
-fn gossip_bytes(servers: u32) -> f64 {
-    const MACHINES: usize = 8;
-    let own = MemberState {
+fn measure_gossip_bytes(servers: u32) -> f64 {
+    const MACHINE_COUNT: usize = 8;
+    let local_member = MemberState {
         name: "instance-0".into(),
         address: ([127, 0, 0, 1], 7403).into(),
         domain: "domain-0".into(),
@@ -274,11 +274,11 @@
     };
     let before = resident_bytes();
     let mut machines = Vec::new();
-    for _ in 0..MACHINES {
-        let mut machine = GossipMachine::new(own.clone(), Vec::new(), 1, Duration::ZERO);
+    for _ in 0..MACHINE_COUNT {
+        let mut machine = GossipMachine::new(local_member.clone(), Vec::new(), 1, Duration::ZERO);
         for server in 0..servers {
             let mut out = Vec::new();
-            let input = GossipInput::Announced(server_news(server, servers / 2));
+            let input = GossipInput::Announced(build_server_announcement(server, servers / 2));
             machine.step(Duration::ZERO, input, &mut out);
         }
         machines.push(machine);
@@ -286,23 +286,25 @@
     let after = resident_bytes();
     black_box(&machines);
     std::mem::forget(machines);
-    (after - before) / MACHINES as f64
+    (after - before) / MACHINE_COUNT as f64
 }
 
 /// Returns the memory of a roster, out of the growth of the process over
 /// several of them.
-fn roster_bytes(servers: u32) -> f64 {
-    const MACHINES: usize = 8;
+fn measure_roster_bytes(servers: u32) -> f64 {
+    const MACHINE_COUNT: usize = 8;
     let before = resident_bytes();
-    let machines: Vec<_> = (0..MACHINES).map(|_| machine(servers)).collect();
+    let machines: Vec<_> = (0..MACHINE_COUNT)
+        .map(|_| build_entry_machine(servers))
+        .collect();
     let after = resident_bytes();
     black_box(&machines);
     // Not given back before the next size is measured, which would hide it.
     std::mem::forget(machines);
-    (after - before) / MACHINES as f64
+    (after - before) / MACHINE_COUNT as f64
 }
 
-fn table_push_bytes(services: u32) -> anyhow::Result<usize> {
+fn encoded_table_bytes(services: u32) -> anyhow::Result<usize> {
     let mut text = "service,kind\n".to_string();
     for service in 0..services {
         text.push_str(&format!("service-{service:04},query\n"));
@@ -317,7 +319,7 @@
     Ok(encode(&PeerRequest::Table(table))?.len())
 }
 
-fn claim_bytes(claims: u32) -> anyhow::Result<usize> {
+fn encoded_claim_bytes(claims: u32) -> anyhow::Result<usize> {
     let mut state = ControlState::default();
     for claim in 0..claims {
         state.apply(&ControlCommand::Claim(ClaimRequest {
--- a/crates/cli/src/measure/control.rs
+++ b/crates/cli/src/measure/control.rs
@@ -22,11 +22,11 @@
 use crate::client::{HttpClient, ServiceCall};
 
 /// Instances of the group.
-const INSTANCES: usize = 7;
+const INSTANCE_COUNT: usize = 7;
 /// How many of them are replicas.
-const REPLICAS: usize = 5;
+const REPLICA_COUNT: usize = 5;
 /// Longest time for anything that must come about.
-const PATIENCE: Duration = Duration::from_secs(20);
+const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 /// First port of the instances.
 const FIRST_PORT: u16 = 17_400;
 
@@ -52,29 +52,29 @@
     SocketAddr::new(ip, FIRST_PORT + port)
 }
 
-fn cluster_of(folder: &Path, node: usize) -> ClusterSettings {
-    let others = (0..INSTANCES).filter(|other| *other != node);
+fn cluster_settings(folder: &Path, node: usize) -> ClusterSettings {
+    let others = (0..INSTANCE_COUNT).filter(|other| *other != node);
     let peers = others.map(|other| PeerSettings {
         name: format!("m{other}"),
         address: address(other, 3),
-        is_replica: other < REPLICAS,
+        is_replica: other < REPLICA_COUNT,
     });
     ClusterSettings {
         cluster: "measured".into(),
         listen: address(node, 3),
         peers: peers.collect(),
         key: KeySource::Key("measured-group-key".into()),
-        data_folder: (node < REPLICAS).then(|| folder.join(format!("data-{node}"))),
+        data_folder: (node < REPLICA_COUNT).then(|| folder.join(format!("data-{node}"))),
     }
 }
 
-fn settings_of(folder: &Path, node: usize) -> InstanceSettings {
+fn instance_settings(folder: &Path, node: usize) -> InstanceSettings {
     InstanceSettings::builder(format!("m{node}"))
         .domain(format!("d{}", node % 3))
         .callers(address(node, 0))
         .operators(address(node, 1))
         .upstreams(address(node, 2))
-        .cluster(cluster_of(folder, node))
+        .cluster(cluster_settings(folder, node))
         .drain_notice(Duration::ZERO)
         .log_decisions(false)
         .build()
@@ -92,13 +92,16 @@
             .with_context(|| format!("could not make {}", folder.display()))?;
         let mut group = MeasuredGroup {
             folder,
-            running: (0..INSTANCES).map(|_| None).collect(),
+            running: (0..INSTANCE_COUNT).map(|_| None).collect(),
             client: HttpClient::default(),
             version: 0,
         };
-        for node in 0..INSTANCES {
-            if node < REPLICAS {
-                initialize_data_folder(&cluster_of(&group.folder, node), &format!("m{node}"))?;
+        for node in 0..INSTANCE_COUNT {
+            if node < REPLICA_COUNT {
+                initialize_data_folder(
+                    &cluster_settings(&group.folder, node),
+                    &format!("m{node}"),
+                )?;
             }
             group.start_node(node)?;
         }
@@ -107,7 +110,7 @@
 
     fn start_node(&mut self, node: usize) -> anyhow::Result<()> {
         self.running[node] = Some(InstanceHandle::start(InstanceSetup {
-            settings: settings_of(&self.folder, node),
+            settings: instance_settings(&self.folder, node),
             table: None,
             policy: LowestCostPolicy::default(),
             safety_checks: EntrySafetyChecks::default(),
@@ -115,7 +118,7 @@
         Ok(())
     }
 
-    async fn apply(&mut self, node: usize) -> anyhow::Result<()> {
+    async fn apply_change(&mut self, node: usize) -> anyhow::Result<()> {
         let change = TableChange {
             base: self.version,
             change: format!("{:016x}", rand::random::<u64>()),
@@ -124,23 +127,23 @@
                   order,non-repeatable,order,single,1\n"
                 .into(),
         };
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + STEP_TIMEOUT;
         loop {
             let response = self
                 .client
                 .post(address(node, 1), "/v1/table", &change, None);
             if let Ok(response) = response.await {
                 if response.status.is_success() {
-                    return self.take_outcome(response.json()?);
+                    return self.record_version(response.json()?);
                 }
             }
             if Instant::now() > until {
-                bail!("could not apply a change in {PATIENCE:?}");
+                bail!("could not apply a change in {STEP_TIMEOUT:?}");
             }
         }
     }
 
-    fn take_outcome(&mut self, body: ApplyBody) -> anyhow::Result<()> {
+    fn record_version(&mut self, body: ApplyBody) -> anyhow::Result<()> {
         match body {
             ApplyBody::Accepted { version } => {
                 self.version = version;
@@ -151,9 +154,9 @@
     }
 
     /// Waits until the last version is in force at all running instances.
-    async fn wait_everywhere(&self) -> anyhow::Result<()> {
-        let until = Instant::now() + PATIENCE;
-        for node in (0..INSTANCES).filter(|node| self.running[*node].is_some()) {
+    async fn wait_until_applied_everywhere(&self) -> anyhow::Result<()> {
+        let until = Instant::now() + STEP_TIMEOUT;
+        for node in (0..INSTANCE_COUNT).filter(|node| self.running[*node].is_some()) {
             loop {
                 let response = self.client.get(address(node, 1), "/v1/table").await?;
                 let status: TableStatus = response.json()?;
@@ -175,12 +178,12 @@
     ///
     /// Fails if a change is not accepted.
     pub async fn measure_apply(&mut self, changes: u32) -> anyhow::Result<Histogram<u64>> {
-        self.apply(INSTANCES - 1).await?;
+        self.apply_change(INSTANCE_COUNT - 1).await?;
         let mut times = Histogram::new(3)?;
         for _ in 0..changes {
             let begin = Instant::now();
-            self.apply(INSTANCES - 1).await?;
-            self.wait_everywhere().await?;
+            self.apply_change(INSTANCE_COUNT - 1).await?;
+            self.wait_until_applied_everywhere().await?;
             times.record(begin.elapsed().as_micros() as u64)?;
         }
         Ok(times)
@@ -192,19 +195,19 @@
     /// # Errors
     ///
     /// Fails if no leader is found.
-    pub async fn measure_kills(&mut self) -> anyhow::Result<Vec<f64>> {
+    pub async fn measure_failovers(&mut self) -> anyhow::Result<Vec<f64>> {
         let mut times = Vec::new();
-        for node in 0..REPLICAS {
-            self.apply(INSTANCES - 1).await?;
-            self.wait_everywhere().await?;
+        for node in 0..REPLICA_COUNT {
+            self.apply_change(INSTANCE_COUNT - 1).await?;
+            self.wait_until_applied_everywhere().await?;
             let begin = Instant::now();
             if let Some(instance) = self.running[node].take() {
                 instance.kill();
             }
-            self.apply(INSTANCES - 1).await?;
+            self.apply_change(INSTANCE_COUNT - 1).await?;
             times.push(begin.elapsed().as_secs_f64() * 1e3);
             self.start_node(node)?;
-            self.wait_everywhere().await?;
+            self.wait_until_applied_everywhere().await?;
         }
         Ok(times)
     }
@@ -230,7 +233,7 @@
                         json: "{}".into(),
                         key: Some(format!("{:016x}", rand::random::<u64>())),
                     };
-                    let node = worker % INSTANCES;
+                    let node = worker % INSTANCE_COUNT;
                     let sent = client.call(address(node, 0), "order", &call, None);
                     count += u64::from(sent.await.is_ok());
                 }
@@ -251,15 +254,15 @@
 /// # Errors
 ///
 /// Fails if the folder cannot be written.
-pub fn measure_start(parent: &Path, changes: u64) -> anyhow::Result<f64> {
+pub fn measure_replica_open(parent: &Path, changes: u64) -> anyhow::Result<f64> {
     let folder = parent.join(format!("wheelmast-start-{}-{changes}", std::process::id()));
     let cluster = ClusterSettings {
         data_folder: Some(folder.clone()),
-        ..cluster_of(&folder, 0)
+        ..cluster_settings(&folder, 0)
     };
     initialize_data_folder(&cluster, "m0")?;
     let opened = open_replica(&cluster, "m0", ProcessClock::start())?;
-    let mut duty = opened.context("could not open the folder")?;
+    let mut replica = opened.context("could not open the folder")?;
     for index in 1..=changes {
         let entry = LogEntry {
             term: 1,
@@ -271,16 +274,17 @@
                 csv: "service,kind\nsearch,query\n".into(),
             },
         };
-        duty.store.persist(&ReplicaAction::PersistEntry(entry))?;
+        replica.store.persist(&ReplicaAction::PersistEntry(entry))?;
     }
-    duty.store
+    replica
+        .store
         .persist(&ReplicaAction::PersistCommitIndex(changes))?;
-    duty.store.sync()?;
-    drop(duty);
+    replica.store.sync()?;
+    drop(replica);
     let begin = Instant::now();
     let opened = open_replica(&cluster, "m0", ProcessClock::start())?;
     let took = begin.elapsed().as_secs_f64() * 1e3;
-    let version = opened.map(|duty| duty.machine.state().version());
+    let version = opened.map(|replica| replica.machine.state().version());
     std::fs::remove_dir_all(&folder)?;
     if version != Some(changes) {
         bail!("could not read {changes} changes back, found {version:?}");
--- a/crates/cli/src/measure/cpu.rs
+++ b/crates/cli/src/measure/cpu.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 /// Clock ticks a second in `/proc`; fixed by Linux's interface.
-const TICKS: f64 = 100.0;
+const TICKS_PER_S: f64 = 100.0;
 
 /// Returns the processor time so far, in milliseconds, of all threads whose
 /// name begins with `prefix`, by the rest of the name. Empty where there is no
@@ -35,17 +35,17 @@
     let mut fields = tail.split_whitespace().skip(11);
     let user: f64 = fields.next()?.parse().ok()?;
     let system: f64 = fields.next()?.parse().ok()?;
-    Some((name, (user + system) * 1000.0 / TICKS))
+    Some((name, (user + system) * 1000.0 / TICKS_PER_S))
 }
 
 /// Returns the resident memory of this process in bytes; 0 where there is no
 /// `/proc`.
 pub fn resident_bytes() -> f64 {
-    const PAGE: f64 = 4096.0;
+    const PAGE_BYTES: f64 = 4096.0;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text
         .split_whitespace()
         .nth(1)
         .and_then(|word| word.parse().ok());
-    pages.unwrap_or(0.0) * PAGE
+    pages.unwrap_or(0.0) * PAGE_BYTES
 }
--- a/crates/cli/src/measure/fit.rs
+++ b/crates/cli/src/measure/fit.rs
@@ -46,9 +46,9 @@
         residual: 0.0,
     };
     for point in points {
-        let off =
+        let relative_error =
             (fit.at(point.size) - point.value).abs() / point.value.abs().max(f64::MIN_POSITIVE);
-        fit.residual = fit.residual.max(off);
+        fit.residual = fit.residual.max(relative_error);
     }
     fit
 }
--- a/crates/cli/src/measure/fleet.rs
+++ b/crates/cli/src/measure/fleet.rs
@@ -26,11 +26,11 @@
     ("south-2", "south"),
 ];
 /// Bytes before each message.
-const FRAME_HEAD: usize = 4;
+const FRAME_HEADER_BYTES: usize = 4;
 /// Signs of life a second that an entry sends on a connection.
 const PINGS_PER_S: f64 = 1.25;
 /// Signs of life a second that a control instance sends on a connection.
-const HERES_PER_S: f64 = 1.0;
+const STATE_REPORTS_PER_S: f64 = 1.0;
 /// Control instances that have a vote, where two losses are borne.
 const VOTERS: usize = 5;
 /// Greetings a second of an instance with a vote to another control instance.
@@ -59,7 +59,7 @@
     /// Bytes, as encoded.
     pub bytes: f64,
     /// Bytes between regions among them.
-    pub far_bytes: f64,
+    pub cross_region_bytes: f64,
 }
 
 /// What an event, or a second without any, costs.
@@ -72,7 +72,7 @@
     entries: Vec<EntryPeer>,
     control: Vec<(SocketAddr, &'static str)>,
     /// Control instances that each entry is connected to; the first is its source.
-    lines: Vec<Vec<usize>>,
+    connections: Vec<Vec<usize>>,
 }
 
 impl FleetModel {
@@ -84,7 +84,7 @@
             .map(|place| (address(place), domain_of(place)))
             .collect();
         let entries: Vec<EntryPeer> = (0..size.entries).map(entry).collect();
-        let lines = entries.iter().map(|entry| {
+        let connections = entries.iter().map(|entry| {
             let candidates = control.iter().map(|(address, domain)| ControlCandidate {
                 address: *address,
                 place: Some((*domain, regions.proximity(&entry.domain, domain))),
@@ -95,13 +95,13 @@
             let place = |chosen| control.iter().position(|(address, _)| *address == chosen);
             chosen.into_iter().filter_map(place).collect()
         });
-        let lines = lines.collect();
+        let connections = connections.collect();
         FleetModel {
             size,
             regions,
             entries,
             control,
-            lines,
+            connections,
         }
     }
 
@@ -110,16 +110,16 @@
     /// # Errors
     ///
     /// Fails if a message can't be encoded.
-    pub fn idle_second(&self) -> anyhow::Result<EventCounts> {
+    pub fn count_idle_second(&self) -> anyhow::Result<EventCounts> {
         let mut counts = EventCounts::new();
-        let here = GroupMessage::Here {
+        let state_report = GroupMessage::Here {
             domain: DOMAINS[0].0.into(),
             settled: true,
             fresh: false,
             version: 40,
         };
-        self.to_entries(&mut counts, &GroupMessage::Ping, PINGS_PER_S)?;
-        self.to_entries(&mut counts, &here, HERES_PER_S)?;
+        self.count_to_entries(&mut counts, &GroupMessage::Ping, PINGS_PER_S)?;
+        self.count_to_entries(&mut counts, &state_report, STATE_REPORTS_PER_S)?;
         let known = self.control.iter().map(|(address, _)| *address);
         let hello = GroupMessage::Hello {
             from: member(0),
@@ -133,7 +133,7 @@
         let voters = self.size.control.min(VOTERS);
         let learners = self.size.control - voters;
         let hellos = HELLOS_PER_S * voters as f64 + LEARNER_HELLOS_PER_S * learners as f64;
-        self.to_control(&mut counts, &hello, hellos)?;
+        self.count_to_control(&mut counts, &hello, hellos)?;
         let heartbeat = GroupMessage::Replica {
             from: u64::MAX,
             to: u64::MAX,
@@ -149,7 +149,7 @@
             },
         };
         // Each is answered.
-        self.to_control(&mut counts, &heartbeat, HEARTBEATS_PER_S * 2.0)?;
+        self.count_to_control(&mut counts, &heartbeat, HEARTBEATS_PER_S * 2.0)?;
         Ok(counts)
     }
 
@@ -158,20 +158,20 @@
     /// # Errors
     ///
     /// Fails if a message can't be encoded.
-    pub fn server_leaves(&self) -> anyhow::Result<EventCounts> {
+    pub fn count_server_leave(&self) -> anyhow::Result<EventCounts> {
         let mut counts = EventCounts::new();
         let notice = ServerAnnouncement {
             standing: ServerLifecycle::Draining,
             ..server(1)
         };
         let lifecycle_only = GroupMessage::Notices(vec![notice.lifecycle_only()]);
-        self.to_entries(&mut counts, &lifecycle_only, 1.0)?;
-        let keep = GroupMessage::Keep {
+        self.count_to_entries(&mut counts, &lifecycle_only, 1.0)?;
+        let observation = GroupMessage::Keep {
             tag: 400,
             notice: Box::new(notice),
         };
-        self.to_control(&mut counts, &keep, 1.0)?;
-        self.to_control(&mut counts, &GroupMessage::Kept(400), 1.0)?;
+        self.count_to_control(&mut counts, &observation, 1.0)?;
+        self.count_to_control(&mut counts, &GroupMessage::Kept(400), 1.0)?;
         Ok(counts)
     }
 
@@ -180,7 +180,7 @@
     /// # Errors
     ///
     /// Fails if a message can't be encoded.
-    pub fn server_comes(&self) -> anyhow::Result<EventCounts> {
+    pub fn count_server_join(&self) -> anyhow::Result<EventCounts> {
         let mut counts = EventCounts::new();
         let notice = server(1);
         let renewal = GroupMessage::Renewals {
@@ -188,11 +188,17 @@
             servers: vec![(notice.id.clone(), notice.position())],
         };
         let notices = GroupMessage::Notices(vec![notice]);
-        for (entry, lines) in self.entries.iter().zip(&self.lines) {
-            self.count(&mut counts, &notices, &entry.domain, lines.first(), 1.0)?;
+        for (entry, connections) in self.entries.iter().zip(&self.connections) {
+            self.count_message(
+                &mut counts,
+                &notices,
+                &entry.domain,
+                connections.first(),
+                1.0,
+            )?;
         }
-        self.to_control(&mut counts, &notices, 1.0)?;
-        self.to_control(&mut counts, &renewal, 1.0)?;
+        self.count_to_control(&mut counts, &notices, 1.0)?;
+        self.count_to_control(&mut counts, &renewal, 1.0)?;
         Ok(counts)
     }
 
@@ -201,9 +207,10 @@
     /// # Errors
     ///
     /// Fails if a message can't be encoded.
-    pub fn entry_joins(&self) -> anyhow::Result<EventCounts> {
+    pub fn count_entry_join(&self) -> anyhow::Result<EventCounts> {
         let mut counts = EventCounts::new();
-        let (Some(joined), Some(lines)) = (self.entries.first(), self.lines.first()) else {
+        let (Some(joined), Some(connections)) = (self.entries.first(), self.connections.first())
+        else {
             return Ok(counts);
         };
         let members = |joined: Vec<EntryPeer>| GroupMessage::Members {
@@ -218,14 +225,26 @@
             GroupMessage::Notices(notices),
         ];
         for message in &whole {
-            self.count(&mut counts, message, &joined.domain, lines.first(), 1.0)?;
+            self.count_message(
+                &mut counts,
+                message,
+                &joined.domain,
+                connections.first(),
+                1.0,
+            )?;
         }
         // The others of its failure domain are told of it; of other domains some.
-        let news = members(vec![joined.clone()]);
-        for (entry, lines) in self.entries.iter().zip(&self.lines).skip(1) {
-            let hears = select_known_peers(entry, &self.entries).contains(&joined);
-            if hears || entry.domain == joined.domain {
-                self.count(&mut counts, &news, &entry.domain, lines.first(), 1.0)?;
+        let update = members(vec![joined.clone()]);
+        for (entry, connections) in self.entries.iter().zip(&self.connections).skip(1) {
+            let is_in_view = select_known_peers(entry, &self.entries).contains(&joined);
+            if is_in_view || entry.domain == joined.domain {
+                self.count_message(
+                    &mut counts,
+                    &update,
+                    &entry.domain,
+                    connections.first(),
+                    1.0,
+                )?;
             }
         }
         let followers = GroupMessage::Followers {
@@ -233,56 +252,57 @@
             joined: vec![(joined.clone(), true)],
             left: Vec::new(),
         };
-        self.to_control(&mut counts, &followers, lines.len() as f64)?;
+        self.count_to_control(&mut counts, &followers, connections.len() as f64)?;
         Ok(counts)
     }
 
     /// Counts messages on all connections of entries.
-    fn to_entries(
+    fn count_to_entries(
         &self,
         counts: &mut EventCounts,
         message: &GroupMessage,
         times: f64,
     ) -> anyhow::Result<()> {
-        for (entry, lines) in self.entries.iter().zip(&self.lines) {
-            for line in lines {
-                self.count(counts, message, &entry.domain, Some(line), times)?;
+        for (entry, connections) in self.entries.iter().zip(&self.connections) {
+            for connection in connections {
+                self.count_message(counts, message, &entry.domain, Some(connection), times)?;
             }
         }
         Ok(())
     }
 
     /// Counts messages of one control instance to all others.
-    fn to_control(
+    fn count_to_control(
         &self,
         counts: &mut EventCounts,
         message: &GroupMessage,
         times: f64,
     ) -> anyhow::Result<()> {
         for place in 1..self.control.len() {
-            self.count(counts, message, DOMAINS[0].0, Some(&place), times)?;
+            self.count_message(counts, message, DOMAINS[0].0, Some(&place), times)?;
         }
         Ok(())
     }
 
     /// Counts a message between a failure domain and a control instance.
-    fn count(
+    fn count_message(
         &self,
         counts: &mut EventCounts,
         message: &GroupMessage,
         domain: &str,
-        line: Option<&usize>,
+        connection: Option<&usize>,
         times: f64,
     ) -> anyhow::Result<()> {
-        let Some((_, other)) = line.and_then(|line| self.control.get(*line)) else {
+        let Some((_, other)) = connection.and_then(|connection| self.control.get(*connection))
+        else {
             return Ok(());
         };
-        let bytes = times * (encode(message)?.len() + FRAME_HEAD) as f64;
+        let bytes = times * (encode(message)?.len() + FRAME_HEADER_BYTES) as f64;
         let count = counts.entry(message.kind()).or_default();
         count.messages += times;
         count.bytes += bytes;
         if self.regions.proximity(domain, other) == DomainProximity::Elsewhere {
-            count.far_bytes += bytes;
+            count.cross_region_bytes += bytes;
         }
         Ok(())
     }
--- a/crates/cli/src/measure/gossip.rs
+++ b/crates/cli/src/measure/gossip.rs
@@ -15,11 +15,11 @@
 /// Time between two steps of the clock.
 const TICK: Duration = Duration::from_millis(25);
 /// Longest time the members get to settle.
-const SETTLE_TIME: Duration = Duration::from_secs(240);
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(240);
 /// Time that is measured.
 const MEASURED_TIME: Duration = Duration::from_secs(10);
 /// Time between two announcements of a server.
-const RENEW_TIME: Duration = Duration::from_secs(1);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What one member costs in a second.
 #[derive(Debug, Clone, Copy)]
@@ -33,21 +33,21 @@
 }
 
 /// Members joined by a network that loses nothing.
-struct QuietNet {
+struct LosslessNetwork {
     machines: Vec<GossipMachine>,
-    places: HashMap<SocketAddr, usize>,
-    wire: Vec<(SocketAddr, GossipMessage)>,
+    indices_by_address: HashMap<SocketAddr, usize>,
+    messages_in_flight: Vec<(SocketAddr, GossipMessage)>,
     now: Duration,
     messages: u64,
     bytes: u64,
-    counts: bool,
+    is_counting: bool,
 }
 
 fn address(node: usize) -> SocketAddr {
     SocketAddr::from(([127, 1, (node / 250) as u8, (node % 250) as u8 + 1], 7403))
 }
 
-fn news(server: usize, sequence: u64) -> UpstreamAnnouncement {
+fn build_announcement(server: usize, sequence: u64) -> UpstreamAnnouncement {
     UpstreamAnnouncement {
         name: format!("kiln-watch-{server}").into(),
         upstream: "kiln-watch".into(),
@@ -71,10 +71,10 @@
     }
 }
 
-impl QuietNet {
-    fn new(members: usize) -> QuietNet {
+impl LosslessNetwork {
+    fn new(members: usize) -> LosslessNetwork {
         let machines = (0..members).map(|node| {
-            let own = MemberState {
+            let local_member = MemberState {
                 name: format!("instance-{node}"),
                 address: address(node),
                 domain: format!("domain-{}", node % 6),
@@ -82,46 +82,46 @@
                 standing: MemberLifecycle::Alive,
             };
             let seeds = (0..3).filter(|seed| *seed != node).map(address).collect();
-            GossipMachine::new(own, seeds, node as u64, Duration::ZERO)
+            GossipMachine::new(local_member, seeds, node as u64, Duration::ZERO)
         });
-        QuietNet {
+        LosslessNetwork {
             machines: machines.collect(),
-            places: (0..members).map(|node| (address(node), node)).collect(),
-            wire: Vec::new(),
+            indices_by_address: (0..members).map(|node| (address(node), node)).collect(),
+            messages_in_flight: Vec::new(),
             now: Duration::ZERO,
             messages: 0,
             bytes: 0,
-            counts: false,
+            is_counting: false,
         }
     }
 
-    fn input(&mut self, node: usize, input: GossipInput) -> anyhow::Result<()> {
+    fn step_machine(&mut self, node: usize, step_machine: GossipInput) -> anyhow::Result<()> {
         let mut out = Vec::new();
-        self.machines[node].step(self.now, input, &mut out);
+        self.machines[node].step(self.now, step_machine, &mut out);
         for action in out {
             let GossipAction::Send { to, message } = action else {
                 continue;
             };
-            if self.counts {
+            if self.is_counting {
                 let request = PeerRequest::Gossip(Box::new(message.clone()));
                 self.messages += 1;
                 self.bytes += encode(&request)?.len() as u64;
             }
-            self.wire.push((to, message));
+            self.messages_in_flight.push((to, message));
         }
         Ok(())
     }
 
     fn tick(&mut self) -> anyhow::Result<()> {
         self.now += TICK;
-        for (to, message) in std::mem::take(&mut self.wire) {
-            if let Some(node) = self.places.get(&to).copied() {
-                self.input(node, GossipInput::Message(message))?;
+        for (to, message) in std::mem::take(&mut self.messages_in_flight) {
+            if let Some(node) = self.indices_by_address.get(&to).copied() {
+                self.step_machine(node, GossipInput::Message(message))?;
             }
         }
         for node in 0..self.machines.len() {
             if self.machines[node].next_wake() <= self.now {
-                self.input(node, GossipInput::Wake)?;
+                self.step_machine(node, GossipInput::Wake)?;
             }
         }
         Ok(())
@@ -130,13 +130,16 @@
     /// Runs for a time while each server announces itself somewhere.
     fn run(&mut self, time: Duration, servers: usize, rng: &mut SmallRng) -> anyhow::Result<()> {
         let until = self.now + time;
-        let ticks = RENEW_TIME.as_millis() / TICK.as_millis();
+        let ticks = ANNOUNCE_INTERVAL.as_millis() / TICK.as_millis();
         let mut tick = 0;
         while self.now < until {
             for server in (tick % ticks as usize..servers).step_by(ticks as usize) {
                 let node = rng.random_range(0..self.machines.len());
                 let sequence = self.now.as_millis() as u64;
-                self.input(node, GossipInput::Announced(news(server, sequence)))?;
+                self.step_machine(
+                    node,
+                    GossipInput::Announced(build_announcement(server, sequence)),
+                )?;
             }
             self.tick()?;
             tick += 1;
@@ -145,19 +148,19 @@
     }
 }
 
-impl QuietNet {
+impl LosslessNetwork {
     /// Runs until all know all and nothing is left to be told.
-    fn settle(&mut self, servers: usize, rng: &mut SmallRng) -> anyhow::Result<()> {
-        let until = self.now + SETTLE_TIME;
+    fn wait_until_converged(&mut self, servers: usize, rng: &mut SmallRng) -> anyhow::Result<()> {
+        let until = self.now + CONVERGENCE_TIMEOUT;
         while self.now < until {
-            self.run(RENEW_TIME, servers, rng)?;
+            self.run(ANNOUNCE_INTERVAL, servers, rng)?;
             let members = self.machines.len();
-            let is_settled = |machine: &GossipMachine| {
+            let has_converged = |machine: &GossipMachine| {
                 machine.others().count() + 1 == members
                     && machine.server_count() == servers
                     && machine.is_queue_empty()
             };
-            if self.machines.iter().all(is_settled) {
+            if self.machines.iter().all(has_converged) {
                 return Ok(());
             }
         }
@@ -173,17 +176,17 @@
 /// other.
 pub fn measure_gossip(members: usize, servers: usize) -> anyhow::Result<GossipLoad> {
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut net = QuietNet::new(members);
-    net.settle(0, &mut rng)?;
-    net.settle(servers, &mut rng)?;
-    net.counts = true;
+    let mut network = LosslessNetwork::new(members);
+    network.wait_until_converged(0, &mut rng)?;
+    network.wait_until_converged(servers, &mut rng)?;
+    network.is_counting = true;
     let begin = Instant::now();
-    net.run(MEASURED_TIME, servers, &mut rng)?;
+    network.run(MEASURED_TIME, servers, &mut rng)?;
     let spent = begin.elapsed().as_secs_f64();
     let seconds = MEASURED_TIME.as_secs_f64() * members as f64;
     Ok(GossipLoad {
-        messages: net.messages as f64 / seconds,
-        bytes: net.bytes as f64 / seconds,
+        messages: network.messages as f64 / seconds,
+        bytes: network.bytes as f64 / seconds,
         core_percent: spent / seconds * 100.0,
     })
 }
--- a/crates/cli/tests/demo.rs
+++ b/crates/cli/tests/demo.rs
@@ -14,9 +14,9 @@
     deployment: fn() -> FakeDeployment,
     seconds: u64,
     faults: Vec<FaultKind>,
-    off: fn(&mut EntrySafetyChecks),
+    disable_check: fn(&mut EntrySafetyChecks),
     rate_factor: f64,
-    kills: bool,
+    should_kill: bool,
     check: fn(&ViolationCounts) -> bool,
 }
 
@@ -27,9 +27,9 @@
             deployment: kivela,
             seconds: 3,
             faults: Vec::new(),
-            off: |_| (),
+            disable_check: |_| (),
             rate_factor: 1.0,
-            kills: false,
+            should_kill: false,
             check: |counts| counts.total() == 0,
         }
     }
@@ -37,16 +37,16 @@
 
 fn run_case(case: &DemoCase) -> RunReport {
     let mut safety_checks = EntrySafetyChecks::default();
-    (case.off)(&mut safety_checks);
+    (case.disable_check)(&mut safety_checks);
     let plan = RunPlan {
         deployment: (case.deployment)(),
         length: Duration::from_secs(case.seconds),
         faults: case.faults.clone(),
         rate_factor: case.rate_factor,
         safety_checks,
-        kills: case.kills,
-        explains: false,
-        prints: false,
+        should_kill: case.should_kill,
+        should_explain_slowest: false,
+        should_print_progress: false,
     };
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
@@ -103,21 +103,21 @@
         DemoCase {
             name: "snapshot",
             faults: vec![FaultKind::WrongSnapshot],
-            off: |safety_checks| safety_checks.snapshot = false,
+            disable_check: |safety_checks| safety_checks.snapshot = false,
             check: |counts| counts.mixed_snapshot > 0,
             ..DemoCase::default()
         },
         DemoCase {
             name: "shard",
             faults: vec![FaultKind::WrongShard],
-            off: |safety_checks| safety_checks.shard = false,
+            disable_check: |safety_checks| safety_checks.shard = false,
             check: |counts| counts.false_coverage > 0,
             ..DemoCase::default()
         },
         DemoCase {
             name: "identity",
             faults: vec![FaultKind::Crossed],
-            off: |safety_checks| safety_checks.reply_identity = false,
+            disable_check: |safety_checks| safety_checks.reply_identity = false,
             check: |counts| counts.foreign_answer > 0,
             ..DemoCase::default()
         },
@@ -126,7 +126,7 @@
             seconds: 6,
             rate_factor: 4.0,
             faults: vec![FaultKind::Broken],
-            off: |safety_checks| safety_checks.single_run = false,
+            disable_check: |safety_checks| safety_checks.single_run = false,
             check: |counts| counts.double_run > 0,
             ..DemoCase::default()
         },
@@ -135,7 +135,7 @@
             seconds: 6,
             rate_factor: 4.0,
             faults: vec![FaultKind::Broken],
-            off: |safety_checks| safety_checks.not_run_claim = false,
+            disable_check: |safety_checks| safety_checks.not_run_claim = false,
             check: |counts| counts.false_not_run > 0,
             ..DemoCase::default()
         },
@@ -143,7 +143,7 @@
             name: "graceful leave",
             faults: vec![FaultKind::RestartEntry],
             rate_factor: 4.0,
-            kills: true,
+            should_kill: true,
             check: |counts| counts.cut_off > 0,
             ..DemoCase::default()
         },
@@ -159,7 +159,7 @@
         name: "drain",
         seconds: 12,
         faults: vec![FaultKind::Drain],
-        off: |safety_checks| safety_checks.drain = false,
+        disable_check: |safety_checks| safety_checks.drain = false,
         check: |counts| counts.work_after_leaving > 0,
         ..DemoCase::default()
     }]);
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -4,7 +4,7 @@
 
 /// By how much a cost may exceed the growth of the fleet: entries don't fall to
 /// regions in exactly equal parts.
-const SLACK: f64 = 1.1;
+const GROWTH_TOLERANCE: f64 = 1.1;
 
 fn size(entries: usize, control: usize) -> FleetSize {
     FleetSize {
@@ -26,9 +26,9 @@
     /// Kinds that are counted for this.
     kinds: &'static [&'static str],
     /// Most messages for each entry.
-    most_each: f64,
+    max_messages_per_entry: f64,
     /// Whether any of it may cross regions.
-    crosses: bool,
+    crosses_regions: bool,
 }
 
 #[test]
@@ -36,24 +36,24 @@
     let cases = [
         GrowthCase {
             name: "signs of life",
-            event: FleetModel::idle_second,
+            event: FleetModel::count_idle_second,
             kinds: &["ping", "here"],
-            most_each: 4.5,
-            crosses: false,
+            max_messages_per_entry: 4.5,
+            crosses_regions: false,
         },
         GrowthCase {
             name: "a server that leaves",
-            event: FleetModel::server_leaves,
+            event: FleetModel::count_server_leave,
             kinds: &["notices"],
-            most_each: 2.0,
-            crosses: false,
+            max_messages_per_entry: 2.0,
+            crosses_regions: false,
         },
         GrowthCase {
             name: "an entry that joins, told to the others of its domain",
-            event: FleetModel::entry_joins,
+            event: FleetModel::count_entry_join,
             kinds: &["members"],
-            most_each: 0.6,
-            crosses: false,
+            max_messages_per_entry: 0.6,
+            crosses_regions: false,
         },
     ];
     for case in cases {
@@ -63,9 +63,17 @@
             for kind in case.kinds {
                 let count = counts[kind];
                 let each = count.messages / entries as f64;
-                assert!(each <= case.most_each, "{}, {entries}: {each}", case.name);
-                let crosses = count.far_bytes > 0.0;
-                assert_eq!(crosses, case.crosses, "{}, {entries}", case.name);
+                assert!(
+                    each <= case.max_messages_per_entry,
+                    "{}, {entries}: {each}",
+                    case.name
+                );
+                let crosses_regions = count.cross_region_bytes > 0.0;
+                assert_eq!(
+                    crosses_regions, case.crosses_regions,
+                    "{}, {entries}",
+                    case.name
+                );
             }
         }
     }
@@ -75,9 +83,9 @@
 fn control_instances_cost_entries_nothing() {
     let few = FleetModel::new(size(300, 6));
     let many = FleetModel::new(size(300, 24));
-    let pings = |model: &FleetModel| model.idle_second().expect("counted")["ping"].bytes;
-    assert!(pings(&many) <= pings(&few) * SLACK);
-    let leaves = |model: &FleetModel| bytes(&model.server_leaves().expect("counted"));
+    let pings = |model: &FleetModel| model.count_idle_second().expect("counted")["ping"].bytes;
+    assert!(pings(&many) <= pings(&few) * GROWTH_TOLERANCE);
+    let leaves = |model: &FleetModel| bytes(&model.count_server_leave().expect("counted"));
     // The words between control instances come on top.
     assert!(leaves(&many) <= leaves(&few) * 1.5);
 }
