--- a/crates/cli/src/demo/balancer.rs
+++ b/crates/cli/src/demo/balancer.rs
@@ -1,4 +1,5 @@
-//! A stand-in for the platform's balancer: takes turns among ready instances.
+//! Stand-in for the platform's load balancer: round robin over the instances that
+//! report themselves ready.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -10,20 +11,20 @@
 
 use crate::client::HttpClient;
 
-/// Interval at which the balancer asks instances whether they are ready.
+/// Interval between two readiness checks of the same instance.
 const PROBE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// One instance behind the balancer.
+/// An instance behind the balancer.
 #[derive(Debug)]
 pub struct BalancerTarget {
-    /// Where callers reach it.
+    /// Address of the instance's listener for callers.
     pub address: SocketAddr,
-    /// Where operators reach it.
+    /// Address of the instance's listener for operators.
     pub operators: SocketAddr,
     ready: AtomicBool,
 }
 
-/// The balancer.
+/// Round-robin balancer over the instances of a demo run.
 #[derive(Debug)]
 pub struct DemoBalancer {
     targets: Vec<BalancerTarget>,
@@ -31,7 +32,8 @@
 }
 
 impl DemoBalancer {
-    /// Returns a balancer over instances.
+    /// Creates a balancer that treats all given instances as ready until the first
+    /// readiness check.
     pub fn new(instances: &[InstanceHandle]) -> Arc<DemoBalancer> {
         let targets = instances.iter().map(|instance| BalancerTarget {
             address: instance.callers,
@@ -44,7 +46,8 @@
         })
     }
 
-    /// Returns the instance whose turn it is.
+    /// Returns the next ready instance in round-robin order, or the next instance
+    /// if none is ready.
     pub fn next(&self) -> &BalancerTarget {
         let next_index = self.next_index.fetch_add(1, Ordering::Relaxed);
         let count = self.targets.len();
@@ -53,7 +56,8 @@
         ready.unwrap_or(&self.targets[next_index % count])
     }
 
-    /// Asks all instances over and over whether they are ready.
+    /// Polls `/ready` of all instances in an endless loop and records which of them
+    /// are ready.
     pub async fn poll_readiness(self: Arc<Self>) {
         let client = HttpClient::default();
         let mut ticks = tokio::time::interval(PROBE_INTERVAL);
--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -1,5 +1,6 @@
-//! The demo: instances and a fake deployment in one process, under load and
-//! faults, checked against what the fakes really did.
+//! The demo: runs instances and a fake deployment in one process under load and
+//! injected faults. Each answer is compared with the fake servers' own record of
+//! the work that they did.
 
 pub mod arrival;
 pub mod balancer;
--- a/crates/cli/src/demo/port.rs
+++ b/crates/cli/src/demo/port.rs
@@ -1,26 +1,30 @@
-//! Ports of a run's instances.
+//! Choice of listener ports for the instances of a demo run.
 
 use std::net::{IpAddr, SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU16, Ordering};
 
 use anyhow::bail;
 
-/// First port that is taken: under those that systems give to connections.
+/// Lowest port to choose from. The range lies below the ephemeral ports that
+/// operating systems assign to outgoing connections.
 const FIRST_PORT: u16 = 20_000;
-/// Number of ports to choose from.
+/// Number of ports in the range.
 const PORT_COUNT: u16 = 10_000;
-/// Ports that may be found taken.
+/// Maximum number of ports that are tried per address.
 const MAX_ATTEMPTS: u16 = 200;
 
-/// Ports chosen by this process so far, from a place of its own.
+/// Offset of the next port to try, relative to this process's first port. Each
+/// process starts at a port derived from its process id, so that processes running
+/// at the same time seldom try the same ports.
 static NEXT_OFFSET: AtomicU16 = AtomicU16::new(0);
 
-/// Returns an address for a listener that is opened again later. A port that the
-/// system chose could be given to a connection while the listener is closed.
+/// Returns an address with a free port for a listener that is closed and reopened
+/// later. An ephemeral port chosen by the system would not do: the system could
+/// assign that port to an outgoing connection while the listener is closed.
 ///
 /// # Errors
 ///
-/// Fails if no port is free.
+/// Fails if none of the [`MAX_ATTEMPTS`] ports that are tried is free.
 pub fn choose_address(source: IpAddr) -> anyhow::Result<SocketAddr> {
     let process_offset = (std::process::id() % u32::from(PORT_COUNT)) as u16;
     for _ in 0..MAX_ATTEMPTS {
--- a/crates/cli/src/demo/report.rs
+++ b/crates/cli/src/demo/report.rs
@@ -1,4 +1,4 @@
-//! What a run of the demo reports.
+//! Report of a demo run, as JSON fields and as a printed table.
 
 use serde::Serialize;
 use wheelmast_fake::checker::ViolationCounts;
@@ -6,29 +6,30 @@
 
 use crate::demo::tally::{CallOutcome, CallStats};
 
-/// The counts of one service, or of all.
+/// Request counts, latency and coverage of one service or of all services.
 #[derive(Debug, Clone, Serialize)]
 pub struct CountReport {
-    /// Requests made.
+    /// Number of requests made.
     pub queries: u64,
-    /// Complete answers.
+    /// Answers that include every shard.
     pub complete: u64,
-    /// Partial answers.
+    /// Answers that omit at least one shard.
     pub partial: u64,
-    /// Refusals that say "not run".
+    /// Refusals that state that the request was not run.
     pub refused: u64,
-    /// Refusals whose outcome is unknown.
+    /// Refusals of requests that may have run.
     pub unknown: u64,
     /// Median latency in milliseconds.
     pub p50_ms: f64,
     /// 99th percentile of the latency in milliseconds.
     pub p99_ms: f64,
-    /// Mean coverage (0 to 1); a refusal counts as none.
+    /// Mean coverage: fraction (0 to 1) of the shards that answered. A refusal
+    /// counts as 0.
     pub coverage_mean: f64,
 }
 
 impl CountReport {
-    /// Returns the report of some counts.
+    /// Creates the report from the collected statistics.
     pub fn new(tally: &CallStats) -> CountReport {
         CountReport {
             queries: tally.total(),
@@ -43,85 +44,89 @@
     }
 }
 
-/// The report of a service.
+/// Counts of one service.
 #[derive(Debug, Clone, Serialize)]
 pub struct ServiceReport {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Its counts.
+    /// Counts over the service's requests.
     #[serde(flatten)]
     pub counts: CountReport,
 }
 
-/// The decisions of the slowest request.
+/// Trace of the slowest request: the decisions that its entry instance made.
 #[derive(Debug, Clone, Serialize)]
 pub struct SlowRequestTrace {
-    /// Service asked.
+    /// Name of the service that was called.
     pub service: String,
-    /// Identity of the request.
+    /// Request id.
     pub request: String,
-    /// Time it took, in milliseconds.
+    /// Latency of the request in milliseconds.
     pub latency_ms: f64,
-    /// Its decisions; none if they were not sampled.
+    /// Decisions in the order of time; empty if the request was not sampled.
     pub decisions: Vec<DecisionLine>,
 }
 
-/// The report of one run under one policy.
+/// Report of one run with one routing policy.
 #[derive(Debug, Clone, Serialize)]
 pub struct RunReport {
-    /// The deployment.
+    /// Name of the fake deployment.
     pub deployment: String,
-    /// The policy.
+    /// Name of the routing policy.
     pub policy: String,
-    /// The faults.
+    /// Names of the injected faults.
     pub faults: Vec<String>,
     /// Counts over all services.
     #[serde(flatten)]
     pub counts: CountReport,
-    /// Subqueries beyond one for each shard asked, as part of those.
+    /// Extra subqueries (beyond one per requested shard), divided by the number of
+    /// requested shards.
     pub extra_load_ratio: f64,
-    /// Subqueries that reached the servers.
+    /// Number of subqueries that reached the fake servers.
     pub subqueries: u64,
-    /// Subqueries cancelled at work.
+    /// Number of subqueries cancelled while a fake server was running them.
     pub cancelled: u64,
-    /// Connections over a server's limit.
+    /// Number of connections refused because the fake server was at its limit.
     pub refused_connections: u64,
-    /// Processor time of the instances' threads, by duty, in microseconds for
-    /// each subquery.
+    /// Processor time of the instances' threads in microseconds per subquery, by
+    /// the role in the thread's name.
     pub cpu_us_per_subquery: std::collections::BTreeMap<String, f64>,
-    /// Broken promises.
+    /// Violations of the guarantees that instances give to callers and servers.
     pub violations: ViolationCounts,
-    /// The slowest request, if it was asked for.
+    /// Trace of the slowest request, if the plan asks for one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub slowest: Option<SlowRequestTrace>,
-    /// Refusals by problem.
+    /// Number of refusals by the title of the problem.
     pub problems: std::collections::BTreeMap<String, u64>,
-    /// Counts by service.
+    /// Counts of each service.
     pub services: Vec<ServiceReport>,
 }
 
-/// The report of the demo.
+/// Report of the demo: the run itself and the optional baseline run.
 #[derive(Debug, Clone, Serialize)]
 pub struct DemoReport {
-    /// The run under the table's policy.
+    /// The run with the routing policy of the service table.
     #[serde(flatten)]
     pub run: RunReport,
-    /// The run under a baseline, if one was asked for.
+    /// The run with a baseline policy, if the command asks for one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub baseline: Option<RunReport>,
-    /// The table's 99th percentile as part of the baseline's.
+    /// 99th percentile of the latency with the table's policy, divided by that with
+    /// the baseline policy.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub p99_ratio: Option<f64>,
 }
 
 impl DemoReport {
-    /// Tells whether all promises were kept, by the table's policy.
+    /// Returns whether the run with the table's policy had no violations. The
+    /// baseline run is not considered.
     pub fn is_clean(&self) -> bool {
         self.run.violations.total() == 0
     }
 }
 
-/// Prints a run as a table.
+/// Prints the report of a run: a table of counts per service, then load,
+/// processor time, refusals and violations.
 pub fn print_run(report: &RunReport) {
     println!(
         "\n{} under policy {}, faults: {}",
@@ -183,6 +188,7 @@
     );
 }
 
+/// Prints the decisions made for the slowest request.
 fn print_trace(trace: &SlowRequestTrace) {
     println!(
         "slowest: {} {} took {:.1} ms",
@@ -196,6 +202,7 @@
     }
 }
 
+/// Prints one line of the table of counts.
 fn print_counts(name: &str, counts: &CountReport) {
     println!(
         "{:<14}{:>9}{:>10}{:>9}{:>9}{:>9}{:>10.1}{:>10.1}{:>10.4}",
--- a/crates/cli/src/demo/run.rs
+++ b/crates/cli/src/demo/run.rs
@@ -1,4 +1,5 @@
-//! One run of the demo: a deployment, three instances, load, faults.
+//! One run of the demo: starts a fake deployment and one instance per failure
+//! domain, sends load, injects faults and builds the report.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::atomic::AtomicU64;
@@ -24,41 +25,45 @@
 use crate::demo::traffic::{make_traffic, TrafficContext};
 use crate::measure::cpu::thread_times_ms;
 
-/// Time the instances get to learn of all servers.
+/// Time limit for the instances to learn of all servers before the load starts.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time between two looks whether they have.
+/// Interval between two status requests while waiting for that.
 const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between a crash and the start after it.
+/// Time between the abrupt end of an instance and its restart.
 const RESTART_DELAY: Duration = Duration::from_millis(300);
-/// Time before a graceful leave refuses anything.
+/// Time during which a leaving instance still accepts requests, so that the
+/// balancer can notice the leave.
 const DRAIN_NOTICE: Duration = Duration::from_millis(400);
 
-/// What a run is made with.
+/// Parameters of a run.
 #[derive(Debug, Clone)]
 pub struct RunPlan {
-    /// The deployment.
+    /// Fake deployment that serves the requests.
     pub deployment: FakeDeployment,
-    /// How long requests are made.
+    /// Time during which requests are sent.
     pub length: Duration,
-    /// Faults to begin and end.
+    /// Faults to inject.
     pub faults: Vec<FaultKind>,
-    /// Factor on the rates of the deployment.
+    /// Factor by which the deployment's request rates are multiplied.
     pub rate_factor: f64,
-    /// Guards of the instances; all on but in tests.
+    /// Safety checks of the instances. Only tests switch some of them off.
     pub safety_checks: EntrySafetyChecks,
-    /// Whether the restart of an instance is abrupt; only in tests.
+    /// Whether [`FaultKind::RestartEntry`] kills the instance instead of shutting
+    /// it down gracefully. Only tests set this.
     pub should_kill: bool,
-    /// Whether the story of the slowest request is told.
+    /// Whether the report includes the trace of the slowest request.
     pub should_explain_slowest: bool,
-    /// Whether a line is printed each second.
+    /// Whether a line of statistics is printed each second.
     pub should_print_progress: bool,
 }
 
-/// Runs a plan under a policy.
+/// Runs a plan with a routing policy and returns the report. `name` is the
+/// policy's name in the report.
 ///
 /// # Errors
 ///
-/// Fails if the instances or the fake servers cannot be started.
+/// Fails if the instances or the fake servers cannot be started, or if an instance
+/// does not learn of all servers within [`READY_TIMEOUT`].
 pub async fn run_plan<P>(plan: &RunPlan, policy: P, name: &str) -> anyhow::Result<RunReport>
 where
     P: RoutePolicy + Clone + Send + 'static,
@@ -70,7 +75,7 @@
     demo_run.finish(plan, name).await
 }
 
-/// The instances and the deployment of a run.
+/// The instances and the fake deployment of a run in progress.
 struct DemoRun<P> {
     world: Arc<FakeWorld>,
     instances: Vec<InstanceHandle>,
@@ -83,6 +88,8 @@
 }
 
 impl<P: RoutePolicy + Clone + Send + 'static> DemoRun<P> {
+    /// Starts one instance per failure domain and announces the fake servers to
+    /// each instance.
     fn start(plan: &RunPlan, world: FakeWorld, policy: P) -> anyhow::Result<DemoRun<P>> {
         let table = ServiceTable::parse(plan.deployment.table, 1)?;
         let mut instances = Vec::new();
@@ -148,7 +155,8 @@
         Ok(())
     }
 
-    /// Makes traffic, begins and ends faults, and prints a line a second.
+    /// Sends the load, injects the faults and prints the progress if the plan asks
+    /// for that. Returns after the last response.
     async fn run_load(&mut self, plan: &RunPlan) -> anyhow::Result<()> {
         let begin = Instant::now();
         let until = begin + plan.length;
@@ -180,7 +188,8 @@
         Ok(())
     }
 
-    /// Asks the instance of the slowest request for its decisions.
+    /// Fetches the decisions made for the slowest request from the instance that
+    /// served the request.
     async fn explain(&self, slowest: &SlowCall) -> anyhow::Result<SlowRequestTrace> {
         let path = format!("/v1/explain/{}", slowest.request);
         let response = self.context.client.get(slowest.operators, &path).await?;
@@ -192,7 +201,8 @@
         })
     }
 
-    /// Ends the first instance by its graceful way and starts it anew.
+    /// Stops the first instance and starts it again with the same settings. The
+    /// stop is abrupt if `should_kill` is set, else graceful.
     async fn restart_first(&mut self, should_kill: bool) -> anyhow::Result<()> {
         let first = self.instances.remove(0);
         if should_kill {
@@ -211,6 +221,8 @@
         Ok(())
     }
 
+    /// Shuts the instances down, runs the checks that need the whole run and builds
+    /// the report.
     async fn finish(self, plan: &RunPlan, name: &str) -> anyhow::Result<RunReport> {
         self.poll_readiness.abort();
         let threads = thread_times_ms("wm-");
@@ -258,6 +270,8 @@
     }
 }
 
+/// Returns the settings of the instance in a failure domain. `source` is the local
+/// address of its listeners and outgoing connections.
 fn instance_settings(
     domain: &str,
     source: IpAddr,
@@ -276,17 +290,19 @@
     Ok(settings)
 }
 
+/// Returns the outer name of a fault.
 fn fault_name(fault: FaultKind) -> String {
     let mut faults = FAULTS.iter();
     let found = faults.find(|(_, kind)| *kind == fault);
     found.map_or_else(String::new, |(name, _)| name.to_string())
 }
 
+/// Fetches the status of an instance from its operator address.
 async fn read_status(client: &HttpClient, address: SocketAddr) -> anyhow::Result<InstanceStatus> {
     client.get(address, "/v1/status").await?.json()
 }
 
-/// Begins and ends each fault at its time.
+/// Begins and ends each fault at the times given by [`fault_span`].
 async fn inject_faults(
     world: Arc<FakeWorld>,
     faults: Vec<FaultKind>,
@@ -312,6 +328,7 @@
     }
 }
 
+/// Prints a line of statistics each second, in an endless loop.
 async fn print_progress(context: Arc<TrafficContext>, begin: Instant) {
     let mut ticks = tokio::time::interval(Duration::from_secs(1));
     ticks.tick().await;
--- a/crates/cli/src/demo/schedule.rs
+++ b/crates/cli/src/demo/schedule.rs
@@ -1,17 +1,18 @@
-//! When faults begin and end in a run.
+//! Schedule of the injected faults within a run.
 
 use wheelmast_fake::fault::FaultKind;
 
-/// The part of a run (0 to 1) over which a fault is on.
+/// Interval of a run during which a fault is active. Both ends are fractions
+/// (0 to 1) of the run's length.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FaultSpan {
-    /// When it begins.
+    /// Start of the fault.
     pub begin: f64,
-    /// When it ends; 1 for not before the run does.
+    /// End of the fault. With 1, the fault stays active until the run ends.
     pub end: f64,
 }
 
-/// Returns the span of a fault.
+/// Returns the interval during which a fault is active.
 pub fn fault_span(fault: FaultKind) -> FaultSpan {
     let (begin, end) = match fault {
         FaultKind::Straggler
--- a/crates/cli/src/demo/tally.rs
+++ b/crates/cli/src/demo/tally.rs
@@ -1,4 +1,5 @@
-//! Counting what the demo's callers got.
+//! Statistics of requests as the demo's callers see them: outcomes, latency,
+//! coverage and violations of guarantees.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -10,49 +11,50 @@
 use wheelmast_wire::caller::OUTCOME_NOT_RUN;
 use wheelmast_wire::prelude::{AnswerBody, ProblemBody};
 
-/// Longest latency told apart, in microseconds.
+/// Upper bound of the latency histogram in microseconds. Longer latencies are
+/// recorded as this value.
 const MAX_LATENCY_MICROS: u64 = 60_000_000;
-/// Significant digits of a latency.
+/// Significant decimal digits that the latency histogram keeps.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// How one request ended.
+/// Outcome of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// Every shard is in the answer.
+    /// The answer includes every shard.
     Complete,
-    /// Some shards are.
+    /// The answer omits at least one shard.
     Partial,
-    /// It was refused and did not run.
+    /// The request was refused and did not run.
     Refused,
-    /// It was refused, and it may have run.
+    /// The request was refused but may have run.
     Unknown,
-    /// There was no response.
+    /// No usable response arrived.
     CutOff,
 }
 
-/// One request as its caller saw it.
+/// Result of one request as its caller saw it.
 #[derive(Debug, Clone)]
 pub struct CallResult {
-    /// Service asked.
+    /// Name of the service that was called.
     pub service: &'static str,
-    /// How it ended.
+    /// Outcome of the request.
     pub outcome: CallOutcome,
-    /// Shards that answered.
+    /// Number of shards that answered.
     pub answered: u32,
-    /// Shards that were asked.
+    /// Number of shards that the request covers.
     pub asked: u32,
-    /// Time from the moment the request was due.
+    /// Time from the moment the request was due until its response.
     pub latency: Duration,
-    /// Problem named in a refusal.
+    /// Title of the problem in a refusal.
     pub problem: Option<String>,
-    /// Identity of the request, if a response named it.
+    /// Request id, if the response contains one.
     pub request: Option<String>,
-    /// Where operators reach the instance that was asked.
+    /// Operator address of the instance that the request was sent to.
     pub operators: SocketAddr,
 }
 
 impl CallResult {
-    /// Takes what an answer says.
+    /// Records the request id, coverage and outcome of an answer.
     pub fn record_answer(&mut self, answer: &AnswerBody) {
         self.request = Some(answer.request.clone());
         self.answered = answer.coverage.answered;
@@ -64,7 +66,7 @@
         };
     }
 
-    /// Takes what a problem says.
+    /// Records the request id, coverage, title and outcome of a refusal.
     pub fn record_problem(&mut self, problem: &ProblemBody) {
         if let Some(coverage) = &problem.coverage {
             self.asked = coverage.asked;
@@ -80,35 +82,35 @@
     }
 }
 
-/// A slow request, to be explained.
+/// The slowest request so far, with all that is needed to fetch its decisions.
 #[derive(Debug, Clone)]
 pub struct SlowCall {
-    /// Service asked.
+    /// Name of the service that was called.
     pub service: &'static str,
-    /// Identity of the request.
+    /// Request id.
     pub request: String,
-    /// Time it took.
+    /// Latency of the request.
     pub latency: Duration,
-    /// Where operators reach the instance that was asked.
+    /// Operator address of the instance that the request was sent to.
     pub operators: SocketAddr,
 }
 
-/// Counts over many requests.
+/// Statistics over many requests.
 #[derive(Debug)]
 pub struct CallStats {
-    /// Requests by how they ended.
+    /// Number of requests by outcome.
     pub outcome_counts: HashMap<CallOutcomeKey, u64>,
-    /// Latencies in microseconds.
+    /// Histogram of latencies in microseconds.
     pub latency: Histogram<u64>,
-    /// Refusals by problem.
+    /// Number of refusals by the title of the problem.
     pub problems: BTreeMap<String, u64>,
-    /// Shards asked, over all requests.
+    /// Sum of the shards that the requests cover.
     pub asked: u64,
     coverage_sum: f64,
     coverage_count: u64,
 }
 
-/// Key of [`CallStats::outcome_counts`].
+/// Key of [`CallStats::outcome_counts`]: a [`CallOutcome`] as a number.
 pub type CallOutcomeKey = u8;
 
 impl Default for CallStats {
@@ -126,7 +128,7 @@
 }
 
 impl CallStats {
-    /// Adds one request.
+    /// Adds the result of one request.
     pub fn add(&mut self, result: &CallResult) {
         *self
             .outcome_counts
@@ -144,7 +146,7 @@
         self.coverage_count += 1;
     }
 
-    /// Returns the number of requests that ended this way.
+    /// Returns the number of requests with the given outcome.
     pub fn count(&self, outcome: CallOutcome) -> u64 {
         self.outcome_counts
             .get(&(outcome as CallOutcomeKey))
@@ -152,7 +154,7 @@
             .unwrap_or(0)
     }
 
-    /// Returns the number of requests.
+    /// Returns the number of all requests.
     pub fn total(&self) -> u64 {
         self.outcome_counts.values().sum()
     }
@@ -162,12 +164,13 @@
         self.latency.value_at_quantile(quantile) as f64 / 1e3
     }
 
-    /// Returns the mean coverage; a refusal counts as none.
+    /// Returns the mean coverage (0 to 1). A refusal counts as 0.
     pub fn coverage_mean(&self) -> f64 {
         self.coverage_sum / self.coverage_count.max(1) as f64
     }
 }
 
+/// Statistics behind the lock of [`RunStats`].
 #[derive(Debug, Default)]
 struct RunStatsState {
     all: CallStats,
@@ -179,12 +182,13 @@
 }
 
 impl RunStatsState {
+    /// Replaces the slowest request if `result` took longer.
     fn update_slowest(&mut self, result: &CallResult) {
         let Some(request) = &result.request else {
             return;
         };
         let longest = self.slowest.as_ref().map_or(Duration::ZERO, |s| s.latency);
-        // One that was sent to a single server tells little.
+        // A request for a single shard is skipped: its trace shows few decisions.
         if result.asked > 1 && result.latency > longest {
             self.slowest = Some(SlowCall {
                 service: result.service,
@@ -196,7 +200,7 @@
     }
 }
 
-/// All counts of a demo's run.
+/// Statistics of a demo run, shared by all of its callers.
 #[derive(Debug, Default)]
 pub struct RunStats {
     state: Mutex<RunStatsState>,
@@ -207,7 +211,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds one request and the promises it broke.
+    /// Adds the result of one request. `check` adds the violations found in its
+    /// response.
     pub fn add(&self, result: &CallResult, check: impl FnOnce(&mut ViolationCounts)) {
         let mut state = self.state();
         state.all.add(result);
@@ -221,12 +226,13 @@
         check(&mut state.violations);
     }
 
-    /// Remembers a request that must have run at most once at the end.
+    /// Registers the search term of a request that must not run more than once.
+    /// This is checked after the run.
     pub fn register_single_run(&self, term: String) {
         self.state().single_run_terms.push(term);
     }
 
-    /// Takes the counts since the last call, for a line a second.
+    /// Returns the statistics since the previous call and resets them.
     pub fn take_recent(&self) -> CallStats {
         std::mem::take(&mut self.state().recent)
     }
@@ -236,7 +242,7 @@
         self.state().slowest.clone()
     }
 
-    /// Ends the run and returns its counts.
+    /// Returns the final statistics of the run.
     pub fn finish(self) -> RunStatsResult {
         let state = self.state.into_inner();
         let state = state.unwrap_or_else(PoisonError::into_inner);
@@ -249,15 +255,15 @@
     }
 }
 
-/// The counts of an ended run.
+/// Final statistics of a run.
 #[derive(Debug)]
 pub struct RunStatsResult {
-    /// Over all services.
+    /// Statistics over all services.
     pub all: CallStats,
-    /// By service.
+    /// Statistics of each service.
     pub services: BTreeMap<&'static str, CallStats>,
-    /// Broken promises so far.
+    /// Violations found while the run was going on.
     pub violations: ViolationCounts,
-    /// Requests that must have run at most once.
+    /// Search terms of the requests that must not run more than once.
     pub single_run_terms: Vec<String>,
 }
--- a/crates/cli/src/demo/traffic.rs
+++ b/crates/cli/src/demo/traffic.rs
@@ -1,5 +1,5 @@
-//! Open-loop traffic: requests are due at random times, whatever became of
-//! the earlier ones, and latency counts from the moment they were due.
+//! Open-loop traffic: requests are sent at random times that do not depend on
+//! earlier responses. Latency is measured from the moment a request was due.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -17,26 +17,27 @@
 use crate::demo::balancer::DemoBalancer;
 use crate::demo::tally::{CallOutcome, CallResult, RunStats};
 
-/// What all callers of a run share.
+/// State shared by all callers of a run.
 #[derive(Debug)]
 pub struct TrafficContext {
-    /// Chooses the instance.
+    /// Chooses the instance that a request is sent to.
     pub balancer: Arc<DemoBalancer>,
-    /// What the fakes did.
+    /// Record of the work that the fake servers did; responses are checked
+    /// against it.
     pub ledger: Arc<FakeLedger>,
-    /// Where results are counted.
+    /// Statistics of the results.
     pub stats: RunStats,
-    /// Tells the kind of each service.
+    /// Service table, which holds the request kind of each service.
     pub table: ServiceTable,
-    /// Sends the requests.
+    /// HTTP client that sends the requests.
     pub client: HttpClient,
-    /// Distinguishes the terms of this run.
+    /// Random number that makes the search terms of this run unique.
     pub run: u64,
-    /// Counts the requests.
+    /// Number of requests made so far.
     pub count: AtomicU64,
 }
 
-/// Makes requests of one service until `until`, and waits for the last.
+/// Sends requests to one service until `until`, then waits for all responses.
 pub async fn make_traffic(context: Arc<TrafficContext>, rate: ServiceRate, until: Instant) {
     let mut due = Instant::now();
     let mut calls = tokio::task::JoinSet::new();
@@ -51,6 +52,8 @@
     while calls.join_next().await.is_some() {}
 }
 
+/// Sends one request and records its result. `due` is the time at which the
+/// request was scheduled.
 async fn make_request(context: Arc<TrafficContext>, service: &'static str, due: Instant) {
     let count = context.count.fetch_add(1, Ordering::Relaxed);
     let term = format!("t{}-{count}", context.run);
@@ -83,6 +86,8 @@
     record_response(&context, &term, shape, result, response);
 }
 
+/// Checks a response against the fake servers' record and adds the result to the
+/// statistics.
 fn record_response(
     context: &TrafficContext,
     term: &str,
--- a/crates/cli/src/measure/fit.rs
+++ b/crates/cli/src/measure/fit.rs
@@ -1,33 +1,34 @@
-//! Straight lines through measured points.
+//! Least-squares fit of a straight line through measured points.
 
-/// A measured point: a size and what was measured at it.
+/// A measured value at one size.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SizePoint {
-    /// The size.
+    /// Size, for example a number of servers.
     pub size: f64,
-    /// What was measured.
+    /// Value measured at this size.
     pub value: f64,
 }
 
 /// A straight line fitted by least squares.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LineFit {
-    /// Growth for each unit of size.
+    /// Growth of the value per unit of size.
     pub slope: f64,
     /// Value at size 0.
     pub offset: f64,
-    /// Largest distance of a point from the line, as a part of the point.
+    /// Largest relative error: the distance of a point's value from the line,
+    /// divided by that value.
     pub residual: f64,
 }
 
 impl LineFit {
-    /// Returns the value of the line at a size.
+    /// Returns the line's value at `size`.
     pub fn at(&self, size: f64) -> f64 {
         self.offset + self.slope * size
     }
 }
 
-/// Fits a line through points of two or more sizes.
+/// Fits a line through the points, which must have at least two different sizes.
 pub fn fit_line(points: &[SizePoint]) -> LineFit {
     let count = points.len() as f64;
     let mean_size = points.iter().map(|point| point.size).sum::<f64>() / count;
--- a/crates/cli/src/measure/mod.rs
+++ b/crates/cli/src/measure/mod.rs
@@ -1,4 +1,5 @@
-//! Measurements behind `docs/CAPACITY.md` and `docs/MEASUREMENTS.md`.
+//! Measurements that give the figures in `docs/CAPACITY.md` and
+//! `docs/MEASUREMENTS.md`.
 
 pub mod capacity;
 pub mod control;
