--- a/crates/cli/src/demo/report.rs
+++ b/crates/cli/src/demo/report.rs
@@ -30,16 +30,16 @@
 
 impl CountReport {
     /// Creates the report from the collected statistics.
-    pub fn new(tally: &CallStats) -> CountReport {
+    pub fn new(stats: &CallStats) -> CountReport {
         CountReport {
-            queries: tally.total(),
-            complete: tally.count(CallOutcome::Complete),
-            partial: tally.count(CallOutcome::Partial),
-            refused: tally.count(CallOutcome::Refused),
-            unknown: tally.count(CallOutcome::Unknown),
-            p50_ms: tally.quantile_ms(0.5),
-            p99_ms: tally.quantile_ms(0.99),
-            coverage_mean: tally.coverage_mean(),
+            queries: stats.total(),
+            complete: stats.count(CallOutcome::Complete),
+            partial: stats.count(CallOutcome::Partial),
+            refused: stats.count(CallOutcome::Refused),
+            unknown: stats.count(CallOutcome::Unknown),
+            p50_ms: stats.quantile_ms(0.5),
+            p99_ms: stats.quantile_ms(0.99),
+            coverage_mean: stats.coverage_mean(),
         }
     }
 }
--- a/crates/cli/src/demo/run.rs
+++ b/crates/cli/src/demo/run.rs
@@ -27,12 +27,13 @@
 
 /// Time limit for the instances to learn of all servers before the load starts.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Interval between two status requests while waiting for that.
+/// Interval between two status requests to an instance that does not know all servers
+/// yet.
 const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time between the abrupt end of an instance and its restart.
 const RESTART_DELAY: Duration = Duration::from_millis(300);
-/// Time during which a leaving instance still accepts requests, so that the
-/// balancer can notice the leave.
+/// Time during shutdown between the first "not ready" answer of an instance and its
+/// first refused request. It spans several readiness checks of the balancer.
 const DRAIN_NOTICE: Duration = Duration::from_millis(400);
 
 /// Parameters of a run.
@@ -261,9 +262,9 @@
             services: result
                 .services
                 .iter()
-                .map(|(service, tally)| ServiceReport {
+                .map(|(service, stats)| ServiceReport {
                     service: service.to_string(),
-                    counts: CountReport::new(tally),
+                    counts: CountReport::new(stats),
                 })
                 .collect(),
         })
--- a/crates/cli/src/measure/capacity.rs
+++ b/crates/cli/src/measure/capacity.rs
@@ -1,4 +1,6 @@
-//! Slopes by which the capacity page is worked out.
+//! Measures how decision time, memory and message sizes grow with the deployment.
+//! Each growth rate is the slope of a line fitted through several sizes; the
+//! capacity page is computed from these slopes.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -18,22 +20,22 @@
 use crate::measure::cpu::resident_bytes;
 use crate::measure::fit::{fit_line, LineFit, SizePoint};
 
-/// One slope: what was measured over which sizes.
+/// Growth of one measured value with the size of the deployment.
 #[derive(Debug)]
 pub struct MeasuredSlope {
-    /// What was measured.
+    /// Name of the measured value.
     pub name: &'static str,
-    /// Unit of the value.
+    /// Unit of the measured value.
     pub unit: &'static str,
-    /// Unit of the size.
+    /// What the size counts, for example servers.
     pub per: &'static str,
-    /// The points.
+    /// Measured values, one per size.
     pub points: Vec<SizePoint>,
-    /// The line through them.
+    /// Line fitted through the points.
     pub fit: LineFit,
 }
 
-/// Measures all slopes.
+/// Measures the slopes of all values.
 ///
 /// # Errors
 ///
@@ -74,7 +76,8 @@
     ])
 }
 
-/// Sizes of messages that do not grow, in bytes.
+/// Returns the encoded sizes, in bytes, of messages whose size does not depend on
+/// the deployment.
 ///
 /// # Errors
 ///
@@ -124,6 +127,7 @@
     ])
 }
 
+/// Measures a value at each size and fits a line through the results.
 fn measure_slope(
     name: &'static str,
     unit: &'static str,
@@ -147,6 +151,7 @@
     }
 }
 
+/// Returns the body of a typical query.
 fn body() -> RequestBody {
     RequestBody {
         kind: RequestKind::Query,
@@ -155,6 +160,7 @@
     }
 }
 
+/// Returns a typical announcement of a server that holds two snapshots.
 fn announcement() -> AnnouncementBody {
     AnnouncementBody {
         server: "kiln-watch-17-1".into(),
@@ -180,7 +186,7 @@
     }
 }
 
-/// Returns a machine that knows `servers` servers in groups of two.
+/// Returns an entry's state machine that knows `servers` servers, two per shard.
 fn build_entry_machine(servers: u32) -> EntryMachine<LowestCostPolicy> {
     let options = EntryOptions::builder().decisions_per_second(0).build();
     let mut machine = EntryMachine::new(options, LowestCostPolicy::default());
@@ -197,6 +203,8 @@
     machine
 }
 
+/// Returns the announcement of server `index`, which holds one of `shards` shards.
+/// The number of shards is capped at 4000.
 fn build_server_announcement(index: u32, shards: u32) -> UpstreamAnnouncement {
     UpstreamAnnouncement {
         name: format!("search-{index}").into(),
@@ -221,13 +229,15 @@
     }
 }
 
+/// Returns the key of some server, for use in a subquery.
 fn first_server() -> ServerKey {
     let machine = build_entry_machine(2);
     let first = machine.roster().servers().next().map(|(key, _)| key);
     first.expect("two servers were announced")
 }
 
-/// Returns the median time of all decisions of a query, in microseconds.
+/// Returns the median time, in microseconds, that an entry's state machine needs
+/// for all decisions of a query over `shards` shards.
 fn measure_query_micros(shards: u32) -> f64 {
     const ROUND_COUNT: u64 = 2000;
     let mut machine = build_entry_machine(shards * 2);
@@ -262,7 +272,8 @@
     times[times.len() / 2]
 }
 
-/// Returns the memory of a gossip that knows `servers` servers.
+/// Returns the memory, in bytes, of a gossip state machine that knows `servers`
+/// servers. The value is the mean growth of the process over several machines.
 fn measure_gossip_bytes(servers: u32) -> f64 {
     const MACHINE_COUNT: usize = 8;
     let local_member = MemberState {
@@ -289,8 +300,8 @@
     (after - before) / MACHINE_COUNT as f64
 }
 
-/// Returns the memory of a roster, out of the growth of the process over
-/// several of them.
+/// Returns the memory, in bytes, of an entry's roster of `servers` servers. The
+/// value is the mean growth of the process over several state machines.
 fn measure_roster_bytes(servers: u32) -> f64 {
     const MACHINE_COUNT: usize = 8;
     let before = resident_bytes();
@@ -299,11 +310,14 @@
         .collect();
     let after = resident_bytes();
     black_box(&machines);
-    // Not given back before the next size is measured, which would hide it.
+    // Leaks the machines: the next measurement would reuse freed memory, and the
+    // process would grow by less than that measurement allocates.
     std::mem::forget(machines);
     (after - before) / MACHINE_COUNT as f64
 }
 
+/// Returns the encoded size, in bytes, of the message that sends a service table
+/// with `services` services.
 fn encoded_table_bytes(services: u32) -> anyhow::Result<usize> {
     let mut text = "service,kind\n".to_string();
     for service in 0..services {
@@ -319,6 +333,8 @@
     Ok(encode(&PeerRequest::Table(table))?.len())
 }
 
+/// Returns the encoded size, in bytes, of the control group's state with `claims`
+/// claims of idempotency keys.
 fn encoded_claim_bytes(claims: u32) -> anyhow::Result<usize> {
     let mut state = ControlState::default();
     for claim in 0..claims {
--- a/crates/cli/src/measure/control.rs
+++ b/crates/cli/src/measure/control.rs
@@ -1,5 +1,6 @@
-//! Measurements of the control group: seven instances in this process, five
-//! of them replicas, each with a data folder of its own.
+//! Measurements of the control group: time to apply a change, failover time, claim
+//! throughput and the time to open a replica. The group has seven instances in this
+//! process. Five of them are replicas, each with its own data folder.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -21,16 +22,17 @@
 
 use crate::client::{HttpClient, ServiceCall};
 
-/// Instances of the group.
+/// Number of instances in the group.
 const INSTANCE_COUNT: usize = 7;
-/// How many of them are replicas.
+/// Number of instances that are replicas of the control log.
 const REPLICA_COUNT: usize = 5;
-/// Longest time for anything that must come about.
+/// Time limit for a change to be accepted or to reach an instance.
 const STEP_TIMEOUT: Duration = Duration::from_secs(20);
-/// First port of the instances.
+/// First port of each instance. Every instance has its own loopback address.
 const FIRST_PORT: u16 = 17_400;
 
-/// A group of instances in this process.
+/// A group of instances in this process, under measurement. Dropping the group
+/// kills its instances and removes their data folders.
 pub struct MeasuredGroup {
     folder: PathBuf,
     running: Vec<Option<InstanceHandle>>,
@@ -47,11 +49,15 @@
     }
 }
 
+/// Returns the address of an instance's listener; `port` is the offset from
+/// [`FIRST_PORT`].
 fn address(node: usize, port: u16) -> SocketAddr {
     let ip = IpAddr::V4(Ipv4Addr::new(127, 77, 0, node as u8 + 1));
     SocketAddr::new(ip, FIRST_PORT + port)
 }
 
+/// Returns the cluster settings of an instance. Only replicas get a data folder,
+/// below `folder`.
 fn cluster_settings(folder: &Path, node: usize) -> ClusterSettings {
     let others = (0..INSTANCE_COUNT).filter(|other| *other != node);
     let peers = others.map(|other| PeerSettings {
@@ -68,6 +74,7 @@
     }
 }
 
+/// Returns the settings of an instance.
 fn instance_settings(folder: &Path, node: usize) -> InstanceSettings {
     InstanceSettings::builder(format!("m{node}"))
         .domain(format!("d{}", node % 3))
@@ -108,6 +115,7 @@
         Ok(group)
     }
 
+    /// Starts an instance; a replica reopens its data folder.
     fn start_node(&mut self, node: usize) -> anyhow::Result<()> {
         self.running[node] = Some(InstanceHandle::start(InstanceSetup {
             settings: instance_settings(&self.folder, node),
@@ -118,6 +126,8 @@
         Ok(())
     }
 
+    /// Applies a change of the service table at an instance. Retries the request
+    /// until it succeeds or [`STEP_TIMEOUT`] has passed.
     async fn apply_change(&mut self, node: usize) -> anyhow::Result<()> {
         let change = TableChange {
             base: self.version,
@@ -143,6 +153,7 @@
         }
     }
 
+    /// Records the table version of an accepted change.
     fn record_version(&mut self, body: ApplyBody) -> anyhow::Result<()> {
         match body {
             ApplyBody::Accepted { version } => {
@@ -153,7 +164,7 @@
         }
     }
 
-    /// Waits until the last version is in force at all running instances.
+    /// Waits until all running instances use the last accepted table version.
     async fn wait_until_applied_everywhere(&self) -> anyhow::Result<()> {
         let until = Instant::now() + STEP_TIMEOUT;
         for node in (0..INSTANCE_COUNT).filter(|node| self.running[*node].is_some()) {
@@ -171,12 +182,13 @@
         Ok(())
     }
 
-    /// Measures the time from an operator's apply, at an instance without a
-    /// disk, until the change is in force at all instances.
+    /// Measures the time, in microseconds, from an operator's change at an instance
+    /// without a data folder until all instances use the new table version.
     ///
     /// # Errors
     ///
-    /// Fails if a change is not accepted.
+    /// Fails if a change is not accepted, or does not reach all instances, within
+    /// [`STEP_TIMEOUT`].
     pub async fn measure_apply(&mut self, changes: u32) -> anyhow::Result<Histogram<u64>> {
         self.apply_change(INSTANCE_COUNT - 1).await?;
         let mut times = Histogram::new(3)?;
@@ -189,12 +201,14 @@
         Ok(times)
     }
 
-    /// Measures the time from the end of a replica until a change is accepted
-    /// again, over all replicas in turn; the longest are those of leaders.
+    /// Kills each replica in turn and measures the time, in milliseconds, until the
+    /// group accepts a change again. The times are longest where the killed replica
+    /// was the leader.
     ///
     /// # Errors
     ///
-    /// Fails if no leader is found.
+    /// Fails if the group accepts no change within [`STEP_TIMEOUT`], for example
+    /// because it elects no leader.
     pub async fn measure_failovers(&mut self) -> anyhow::Result<Vec<f64>> {
         let mut times = Vec::new();
         for node in 0..REPLICA_COUNT {
@@ -212,13 +226,15 @@
         Ok(times)
     }
 
-    /// Measures keyed submissions a second at `in_flight` at a time. No
-    /// upstream is there, so that each is claimed, refused, and given back:
-    /// two commands in the log.
+    /// Measures the rate of submissions with an idempotency key, per second, with
+    /// `in_flight` concurrent requests. The group has no upstream servers, so each
+    /// submission claims its key, is refused and releases the claim: two commands
+    /// in the control log.
     ///
     /// # Errors
     ///
-    /// Fails if an instance does not respond.
+    /// Fails if a task that sends the requests panics. Requests without a response
+    /// are not counted.
     pub async fn measure_claims(&self, in_flight: usize, length: Duration) -> anyhow::Result<f64> {
         let until = Instant::now() + length;
         let begin = Instant::now();
@@ -248,12 +264,12 @@
     }
 }
 
-/// Measures the time to open a data folder that holds `changes` changes since
-/// the last snapshot or before, in milliseconds.
+/// Measures the time, in milliseconds, to open the data folder of a replica that
+/// stored `changes` changes. A snapshot in the folder may cover some of them.
 ///
 /// # Errors
 ///
-/// Fails if the folder cannot be written.
+/// Fails if the folder cannot be written, or if the changes cannot be read back.
 pub fn measure_replica_open(parent: &Path, changes: u64) -> anyhow::Result<f64> {
     let folder = parent.join(format!("wheelmast-start-{}-{changes}", std::process::id()));
     let cluster = ClusterSettings {
@@ -283,11 +299,11 @@
     drop(replica);
     let begin = Instant::now();
     let opened = open_replica(&cluster, "m0", ProcessClock::start())?;
-    let took = begin.elapsed().as_secs_f64() * 1e3;
+    let open_time_ms = begin.elapsed().as_secs_f64() * 1e3;
     let version = opened.map(|replica| replica.machine.state().version());
     std::fs::remove_dir_all(&folder)?;
     if version != Some(changes) {
         bail!("could not read {changes} changes back, found {version:?}");
     }
-    Ok(took)
+    Ok(open_time_ms)
 }
--- a/crates/cli/src/measure/fleet.rs
+++ b/crates/cli/src/measure/fleet.rs
@@ -1,6 +1,7 @@
-//! What entries and control instances say to each other at a size, by kind of
-//! message: counted from the choices and the encoding that instances use, without
-//! a network.
+//! Counts the messages and bytes between entries and control instances in a
+//! deployment of a given size, by kind of message. The counts come from the same
+//! selection of connections and the same encoding that instances use; no network is
+//! involved.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,7 +17,7 @@
 use wheelmast_wire::group::GroupMessage;
 use wheelmast_wire::peer::encode;
 
-/// Failure domains, and the region of each.
+/// Failure domains with their regions.
 const DOMAINS: [(&str, &str); 6] = [
     ("north-1", "north"),
     ("middle-1", "middle"),
@@ -25,63 +26,69 @@
     ("middle-2", "middle"),
     ("south-2", "south"),
 ];
-/// Bytes before each message.
+/// Bytes of the frame header that precedes each message.
 const FRAME_HEADER_BYTES: usize = 4;
-/// Signs of life a second that an entry sends on a connection.
+/// Pings per second that an entry sends on each connection.
 const PINGS_PER_S: f64 = 1.25;
-/// Signs of life a second that a control instance sends on a connection.
-const STATE_REPORTS_PER_S: f64 = 1.0;
-/// Control instances that have a vote, where two losses are borne.
+/// Status messages (`Here`) per second that a control instance sends on each
+/// connection to an entry.
+const STATUS_MESSAGES_PER_S: f64 = 1.0;
+/// Number of voting control instances. Five voters tolerate the loss of two.
 const VOTERS: usize = 5;
-/// Greetings a second of an instance with a vote to another control instance.
+/// Hello messages per second from a voting control instance to each other control
+/// instance.
 const HELLOS_PER_S: f64 = 0.5;
-/// The same of one without: it asks with each to be kept up to date.
+/// Hello messages per second from a learner (a control instance without a vote) to
+/// each other control instance. Each hello of a learner also requests log updates.
 const LEARNER_HELLOS_PER_S: f64 = 4.0;
-/// Heartbeats a second of the leader to each other replica.
+/// Heartbeats per second from the leader to each other replica.
 const HEARTBEATS_PER_S: f64 = 8.3;
 
-/// A size of the deployment.
+/// Size of a deployment.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetSize {
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Control instances.
+    /// Number of control instances.
     pub control: usize,
-    /// Servers.
+    /// Number of servers.
     pub servers: usize,
 }
 
-/// Messages of one kind, and how many bytes of them cross regions.
+/// Count of messages of one kind and of their bytes.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct KindCount {
-    /// Messages.
+    /// Number of messages.
     pub messages: f64,
-    /// Bytes, as encoded.
+    /// Encoded bytes, frame headers included.
     pub bytes: f64,
-    /// Bytes between regions among them.
+    /// The part of `bytes` that crosses from one region to another.
     pub cross_region_bytes: f64,
 }
 
-/// What an event, or a second without any, costs.
+/// Counts of the messages caused by an event or sent in an idle second, by kind.
 pub type EventCounts = BTreeMap<&'static str, KindCount>;
 
-/// A deployment at one size.
+/// Model of a deployment of one size.
 pub struct FleetModel {
     size: FleetSize,
     regions: RegionMap,
     entries: Vec<EntryPeer>,
     control: Vec<(SocketAddr, &'static str)>,
-    /// Control instances that each entry is connected to; the first is its source.
+    /// For each entry, the indices of the control instances that it is connected
+    /// to. The first one is the entry's source: the only one that sends large state
+    /// (route tables, all servers, all entries) to the entry.
     connections: Vec<Vec<usize>>,
 }
 
 impl FleetModel {
-    /// Lays a deployment out and lets each entry choose its connections.
+    /// Distributes the instances over the failure domains and chooses the control
+    /// connections of each entry.
     pub fn new(size: FleetSize) -> FleetModel {
         let regions = DOMAINS.map(|(domain, region)| (domain.into(), region.into()));
         let regions = RegionMap::new(regions);
         let control: Vec<_> = (0..size.control)
-            .map(|place| (address(place), domain_of(place)))
+            .map(|index| (address(index), domain_of(index)))
             .collect();
         let entries: Vec<EntryPeer> = (0..size.entries).map(entry).collect();
         let connections = entries.iter().map(|entry| {
@@ -92,8 +99,8 @@
             });
             let candidates: Vec<_> = candidates.collect();
             let chosen = choose_control_connections(&entry.id(), &candidates);
-            let place = |chosen| control.iter().position(|(address, _)| *address == chosen);
-            chosen.into_iter().filter_map(place).collect()
+            let index_of = |chosen| control.iter().position(|(address, _)| *address == chosen);
+            chosen.into_iter().filter_map(index_of).collect()
         });
         let connections = connections.collect();
         FleetModel {
@@ -105,21 +112,21 @@
         }
     }
 
-    /// Counts a second in which nothing happens.
+    /// Counts the messages of a second without any event.
     ///
     /// # Errors
     ///
     /// Fails if a message can't be encoded.
     pub fn count_idle_second(&self) -> anyhow::Result<EventCounts> {
         let mut counts = EventCounts::new();
-        let state_report = GroupMessage::Here {
+        let status = GroupMessage::Here {
             domain: DOMAINS[0].0.into(),
             settled: true,
             fresh: false,
             version: 40,
         };
         self.count_to_entries(&mut counts, &GroupMessage::Ping, PINGS_PER_S)?;
-        self.count_to_entries(&mut counts, &state_report, STATE_REPORTS_PER_S)?;
+        self.count_to_entries(&mut counts, &status, STATUS_MESSAGES_PER_S)?;
         let known = self.control.iter().map(|(address, _)| *address);
         let hello = GroupMessage::Hello {
             from: member(0),
@@ -148,46 +155,46 @@
                 round: 4000,
             },
         };
-        // Each is answered.
+        // Factor 2: each heartbeat is answered.
         self.count_to_control(&mut counts, &heartbeat, HEARTBEATS_PER_S * 2.0)?;
         Ok(counts)
     }
 
-    /// Counts that a server leaves.
+    /// Counts the messages sent when a server leaves.
     ///
     /// # Errors
     ///
     /// Fails if a message can't be encoded.
     pub fn count_server_leave(&self) -> anyhow::Result<EventCounts> {
         let mut counts = EventCounts::new();
-        let notice = ServerAnnouncement {
+        let announcement = ServerAnnouncement {
             standing: ServerLifecycle::Draining,
             ..server(1)
         };
-        let lifecycle_only = GroupMessage::Notices(vec![notice.lifecycle_only()]);
+        let lifecycle_only = GroupMessage::Notices(vec![announcement.lifecycle_only()]);
         self.count_to_entries(&mut counts, &lifecycle_only, 1.0)?;
         let observation = GroupMessage::Keep {
             tag: 400,
-            notice: Box::new(notice),
+            notice: Box::new(announcement),
         };
         self.count_to_control(&mut counts, &observation, 1.0)?;
         self.count_to_control(&mut counts, &GroupMessage::Kept(400), 1.0)?;
         Ok(counts)
     }
 
-    /// Counts that a server comes.
+    /// Counts the messages sent when a server joins.
     ///
     /// # Errors
     ///
     /// Fails if a message can't be encoded.
     pub fn count_server_join(&self) -> anyhow::Result<EventCounts> {
         let mut counts = EventCounts::new();
-        let notice = server(1);
+        let announcement = server(1);
         let renewal = GroupMessage::Renewals {
             whole: false,
-            servers: vec![(notice.id.clone(), notice.position())],
+            servers: vec![(announcement.id.clone(), announcement.position())],
         };
-        let notices = GroupMessage::Notices(vec![notice]);
+        let notices = GroupMessage::Notices(vec![announcement]);
         for (entry, connections) in self.entries.iter().zip(&self.connections) {
             self.count_message(
                 &mut counts,
@@ -202,7 +209,7 @@
         Ok(counts)
     }
 
-    /// Counts that an entry joins.
+    /// Counts the messages sent when an entry joins.
     ///
     /// # Errors
     ///
@@ -219,12 +226,12 @@
             left: Vec::new(),
         };
         let notices = (0..self.size.servers).map(server).collect();
-        let view = select_known_peers(joined, &self.entries);
-        let whole = [
-            members(view.into_iter().cloned().collect()),
+        let known_peers = select_known_peers(joined, &self.entries);
+        let initial_messages = [
+            members(known_peers.into_iter().cloned().collect()),
             GroupMessage::Notices(notices),
         ];
-        for message in &whole {
+        for message in &initial_messages {
             self.count_message(
                 &mut counts,
                 message,
@@ -233,7 +240,8 @@
                 1.0,
             )?;
         }
-        // The others of its failure domain are told of it; of other domains some.
+        // All other entries in its failure domain are notified of the new entry. In
+        // other domains, only the entries whose known peers include the new entry are.
         let update = members(vec![joined.clone()]);
         for (entry, connections) in self.entries.iter().zip(&self.connections).skip(1) {
             let is_in_view = select_known_peers(entry, &self.entries).contains(&joined);
@@ -256,7 +264,7 @@
         Ok(counts)
     }
 
-    /// Counts messages on all connections of entries.
+    /// Counts a message sent `times` times on every connection of every entry.
     fn count_to_entries(
         &self,
         counts: &mut EventCounts,
@@ -271,20 +279,22 @@
         Ok(())
     }
 
-    /// Counts messages of one control instance to all others.
+    /// Counts a message sent `times` times from the first control instance to each
+    /// other control instance.
     fn count_to_control(
         &self,
         counts: &mut EventCounts,
         message: &GroupMessage,
         times: f64,
     ) -> anyhow::Result<()> {
-        for place in 1..self.control.len() {
-            self.count_message(counts, message, DOMAINS[0].0, Some(&place), times)?;
+        for index in 1..self.control.len() {
+            self.count_message(counts, message, DOMAINS[0].0, Some(&index), times)?;
         }
         Ok(())
     }
 
-    /// Counts a message between a failure domain and a control instance.
+    /// Counts a message sent `times` times between a failure domain and a control
+    /// instance. Counts nothing if there is no such control instance.
     fn count_message(
         &self,
         counts: &mut EventCounts,
@@ -308,38 +318,43 @@
     }
 }
 
-fn domain_of(place: usize) -> &'static str {
-    DOMAINS[place % DOMAINS.len()].0
+/// Returns the failure domain of the instance or server with this index.
+fn domain_of(index: usize) -> &'static str {
+    DOMAINS[index % DOMAINS.len()].0
 }
 
-fn address(place: usize) -> SocketAddr {
-    let [high, low] = (place as u16).to_be_bytes();
+/// Returns a distinct address for each index.
+fn address(index: usize) -> SocketAddr {
+    let [high, low] = (index as u16).to_be_bytes();
     SocketAddr::from(([10, 0, high, low], 7380))
 }
 
-fn entry(place: usize) -> EntryPeer {
+/// Returns the entry with this index.
+fn entry(index: usize) -> EntryPeer {
     EntryPeer {
-        instance: format!("entry-{}-{place}", domain_of(place)).into(),
-        incarnation: u64::MAX - place as u64,
-        domain: domain_of(place).into(),
-        address: address(place),
+        instance: format!("entry-{}-{index}", domain_of(index)).into(),
+        incarnation: u64::MAX - index as u64,
+        domain: domain_of(index).into(),
+        address: address(index),
     }
 }
 
-fn member(place: usize) -> MemberRecord {
+/// Returns the membership record of the control instance with this index.
+fn member(index: usize) -> MemberRecord {
     MemberRecord {
         id: u64::MAX,
-        instance: format!("control-{}-{place}", domain_of(place)).into(),
-        address: address(place),
+        instance: format!("control-{}-{index}", domain_of(index)).into(),
+        address: address(index),
     }
 }
 
-fn server(place: usize) -> ServerAnnouncement {
+/// Returns the announcement of the server with this index, 21 servers per service.
+fn server(index: usize) -> ServerAnnouncement {
     ServerAnnouncement {
-        id: format!("i-{place:010x}").into(),
-        service: format!("service{}", place / 21).into(),
-        address: Some(address(place)),
-        domain: domain_of(place).into(),
+        id: format!("i-{index:010x}").into(),
+        service: format!("service{}", index / 21).into(),
+        address: Some(address(index)),
+        domain: domain_of(index).into(),
         version: "v1".into(),
         slots: 3,
         standing: ServerLifecycle::Ready,
--- a/crates/cli/src/measure/gossip.rs
+++ b/crates/cli/src/measure/gossip.rs
@@ -1,4 +1,6 @@
-//! What members cost each other while nothing happens, by count.
+//! Measures the gossip load of a member in the steady state: messages, bytes and
+//! processor time per second. The members' state machines run on a simulated clock,
+//! connected by a simulated network.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,27 +14,27 @@
 use wheelmast_core::process::gossip::message::GossipMessage;
 use wheelmast_wire::peer::{encode, PeerRequest};
 
-/// Time between two steps of the clock.
+/// Step of the simulated clock.
 const TICK: Duration = Duration::from_millis(25);
-/// Longest time the members get to settle.
+/// Simulated time limit for the members to converge.
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(240);
-/// Time that is measured.
+/// Simulated time over which the load is measured.
 const MEASURED_TIME: Duration = Duration::from_secs(10);
-/// Time between two announcements of a server.
+/// Interval between two announcements of the same server.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What one member costs in a second.
+/// Mean load of one member per second.
 #[derive(Debug, Clone, Copy)]
 pub struct GossipLoad {
-    /// Messages sent.
+    /// Messages sent per second.
     pub messages: f64,
-    /// Bytes sent, as encoded, without the transport's own.
+    /// Encoded bytes sent per second, without the overhead of the transport.
     pub bytes: f64,
-    /// Processor time of the decisions and the encoding, as a part of a core.
+    /// Processor time of the decisions and the encoding, in percent of a core.
     pub core_percent: f64,
 }
 
-/// Members joined by a network that loses nothing.
+/// Simulated network that connects the members and loses no message.
 struct LosslessNetwork {
     machines: Vec<GossipMachine>,
     indices_by_address: HashMap<SocketAddr, usize>,
@@ -43,10 +45,12 @@
     is_counting: bool,
 }
 
+/// Returns the address of a member.
 fn address(node: usize) -> SocketAddr {
     SocketAddr::from(([127, 1, (node / 250) as u8, (node % 250) as u8 + 1], 7403))
 }
 
+/// Returns an announcement of a server.
 fn build_announcement(server: usize, sequence: u64) -> UpstreamAnnouncement {
     UpstreamAnnouncement {
         name: format!("kiln-watch-{server}").into(),
@@ -72,6 +76,7 @@
 }
 
 impl LosslessNetwork {
+    /// Creates the members; up to three of them are the seeds of all others.
     fn new(members: usize) -> LosslessNetwork {
         let machines = (0..members).map(|node| {
             let local_member = MemberState {
@@ -95,6 +100,8 @@
         }
     }
 
+    /// Passes an input to a member's state machine and puts the messages that it
+    /// sends on the network.
     fn step_machine(&mut self, node: usize, step_machine: GossipInput) -> anyhow::Result<()> {
         let mut out = Vec::new();
         self.machines[node].step(self.now, step_machine, &mut out);
@@ -112,6 +119,8 @@
         Ok(())
     }
 
+    /// Advances the clock by one step: delivers the messages in flight and wakes
+    /// the members whose timers are due.
     fn tick(&mut self) -> anyhow::Result<()> {
         self.now += TICK;
         for (to, message) in std::mem::take(&mut self.messages_in_flight) {
@@ -127,7 +136,8 @@
         Ok(())
     }
 
-    /// Runs for a time while each server announces itself somewhere.
+    /// Runs the members for `time`. Each server announces itself to a random member
+    /// once per [`ANNOUNCE_INTERVAL`].
     fn run(&mut self, time: Duration, servers: usize, rng: &mut SmallRng) -> anyhow::Result<()> {
         let until = self.now + time;
         let ticks = ANNOUNCE_INTERVAL.as_millis() / TICK.as_millis();
@@ -149,7 +159,8 @@
 }
 
 impl LosslessNetwork {
-    /// Runs until all know all and nothing is left to be told.
+    /// Runs the members until they have converged: each one knows all members and
+    /// all servers and has no queued updates.
     fn wait_until_converged(&mut self, servers: usize, rng: &mut SmallRng) -> anyhow::Result<()> {
         let until = self.now + CONVERGENCE_TIMEOUT;
         while self.now < until {
@@ -168,12 +179,13 @@
     }
 }
 
-/// Measures the load of a member among others while nothing changes.
+/// Measures the gossip load of a member in a group of `members` members that know
+/// `servers` servers, while neither set changes.
 ///
 /// # Errors
 ///
-/// Fails if a message cannot be encoded, or the members do not find each
-/// other.
+/// Fails if a message cannot be encoded, or if the members do not converge within
+/// [`CONVERGENCE_TIMEOUT`].
 pub fn measure_gossip(members: usize, servers: usize) -> anyhow::Result<GossipLoad> {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut network = LosslessNetwork::new(members);
@@ -182,11 +194,11 @@
     network.is_counting = true;
     let begin = Instant::now();
     network.run(MEASURED_TIME, servers, &mut rng)?;
-    let spent = begin.elapsed().as_secs_f64();
-    let seconds = MEASURED_TIME.as_secs_f64() * members as f64;
+    let elapsed_s = begin.elapsed().as_secs_f64();
+    let member_seconds = MEASURED_TIME.as_secs_f64() * members as f64;
     Ok(GossipLoad {
-        messages: network.messages as f64 / seconds,
-        bytes: network.bytes as f64 / seconds,
-        core_percent: spent / seconds * 100.0,
+        messages: network.messages as f64 / member_seconds,
+        bytes: network.bytes as f64 / member_seconds,
+        core_percent: elapsed_s / member_seconds * 100.0,
     })
 }
--- a/crates/cli/tests/demo.rs
+++ b/crates/cli/tests/demo.rs
@@ -1,4 +1,5 @@
-//! The demo's checker: clean under faults, and it notices a guard that is off.
+//! Runs the demo under injected faults. The checker must find no violation with all
+//! safety checks on, and must find one when a safety check is off.
 
 use std::time::Duration;
 
@@ -9,6 +10,7 @@
 use wheelmast_fake::deployment::{kivela, lonestar, FakeDeployment};
 use wheelmast_fake::fault::{FaultKind, FAULTS};
 
+/// One demo run and the condition that its violations must meet.
 struct DemoCase {
     name: &'static str,
     deployment: fn() -> FakeDeployment,
@@ -35,6 +37,7 @@
     }
 }
 
+/// Runs a case and returns its report.
 fn run_case(case: &DemoCase) -> RunReport {
     let mut safety_checks = EntrySafetyChecks::default();
     (case.disable_check)(&mut safety_checks);
@@ -57,7 +60,8 @@
     report.expect(case.name)
 }
 
-/// Runs the cases two at a time, so that a small machine keeps up.
+/// Runs and checks all cases, two at a time, so that a small machine is not
+/// overloaded.
 fn check_all(cases: Vec<DemoCase>) {
     for pair in cases.chunks(2) {
         std::thread::scope(|scope| {
@@ -74,7 +78,7 @@
 }
 
 #[test]
-fn no_promise_is_broken_under_faults() {
+fn no_guarantee_is_violated_under_faults() {
     let all: Vec<FaultKind> = FAULTS.iter().map(|(_, fault)| *fault).collect();
     check_all(vec![
         DemoCase {
@@ -98,7 +102,7 @@
 }
 
 #[test]
-fn the_checker_notices_a_guard_that_is_off() {
+fn the_checker_detects_a_disabled_safety_check() {
     check_all(vec![
         DemoCase {
             name: "snapshot",
@@ -150,11 +154,13 @@
     ]);
 }
 
-/// A server that leaves rejects its work, and each instance ejects it: for two
-/// seconds, then for four. The play lasts until both are over well before its
-/// end, so that the server is asked again while this counts.
+/// Guards against a checker that misses requests sent to a server after its leave.
+/// A leaving server rejects requests, and each instance then ejects that server: for
+/// two seconds, then for four. The run is long enough for both ejections to end well
+/// before the run does, so that instances send requests to the server again while
+/// the checker still counts them.
 #[test]
-fn the_checker_notices_work_after_leaving() {
+fn the_checker_detects_work_after_leaving() {
     check_all(vec![DemoCase {
         name: "drain",
         seconds: 12,
