--- a/crates/cli/src/demo/port.rs
+++ b/crates/cli/src/demo/port.rs
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 ///
-/// Fails if none of the [`MAX_ATTEMPTS`] ports that are tried is free.
+/// Fails if none of the `MAX_ATTEMPTS` ports that are tried is free.
 pub fn choose_address(source: IpAddr) -> anyhow::Result<SocketAddr> {
     let process_offset = (std::process::id() % u32::from(PORT_COUNT)) as u16;
     for _ in 0..MAX_ATTEMPTS {
--- a/crates/cli/src/demo/run.rs
+++ b/crates/cli/src/demo/run.rs
@@ -64,7 +64,7 @@
 /// # Errors
 ///
 /// Fails if the instances or the fake servers cannot be started, or if an instance
-/// does not learn of all servers within [`READY_TIMEOUT`].
+/// does not learn of all servers within `READY_TIMEOUT`.
 pub async fn run_plan<P>(plan: &RunPlan, policy: P, name: &str) -> anyhow::Result<RunReport>
 where
     P: RoutePolicy + Clone + Send + 'static,
--- a/crates/cli/src/measure/control.rs
+++ b/crates/cli/src/measure/control.rs
@@ -50,7 +50,7 @@
 }
 
 /// Returns the address of an instance's listener; `port` is the offset from
-/// [`FIRST_PORT`].
+/// `FIRST_PORT`.
 fn address(node: usize, port: u16) -> SocketAddr {
     let ip = IpAddr::V4(Ipv4Addr::new(127, 77, 0, node as u8 + 1));
     SocketAddr::new(ip, FIRST_PORT + port)
@@ -127,7 +127,7 @@
     }
 
     /// Applies a change of the service table at an instance. Retries the request
-    /// until it succeeds or [`STEP_TIMEOUT`] has passed.
+    /// until it succeeds or `STEP_TIMEOUT` has passed.
     async fn apply_change(&mut self, node: usize) -> anyhow::Result<()> {
         let change = TableChange {
             base: self.version,
@@ -188,7 +188,7 @@
     /// # Errors
     ///
     /// Fails if a change is not accepted, or does not reach all instances, within
-    /// [`STEP_TIMEOUT`].
+    /// `STEP_TIMEOUT`.
     pub async fn measure_apply(&mut self, changes: u32) -> anyhow::Result<Histogram<u64>> {
         self.apply_change(INSTANCE_COUNT - 1).await?;
         let mut times = Histogram::new(3)?;
@@ -207,7 +207,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the group accepts no change within [`STEP_TIMEOUT`], for example
+    /// Fails if the group accepts no change within `STEP_TIMEOUT`, for example
     /// because it elects no leader.
     pub async fn measure_failovers(&mut self) -> anyhow::Result<Vec<f64>> {
         let mut times = Vec::new();
--- a/crates/cli/src/measure/gossip.rs
+++ b/crates/cli/src/measure/gossip.rs
@@ -137,7 +137,7 @@
     }
 
     /// Runs the members for `time`. Each server announces itself to a random member
-    /// once per [`ANNOUNCE_INTERVAL`].
+    /// once per `ANNOUNCE_INTERVAL`.
     fn run(&mut self, time: Duration, servers: usize, rng: &mut SmallRng) -> anyhow::Result<()> {
         let until = self.now + time;
         let ticks = ANNOUNCE_INTERVAL.as_millis() / TICK.as_millis();
@@ -185,7 +185,7 @@
 /// # Errors
 ///
 /// Fails if a message cannot be encoded, or if the members do not converge within
-/// [`CONVERGENCE_TIMEOUT`].
+/// `CONVERGENCE_TIMEOUT`.
 pub fn measure_gossip(members: usize, servers: usize) -> anyhow::Result<GossipLoad> {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut network = LosslessNetwork::new(members);
