--- a/crates/cli/src/demo/balancer.rs
+++ b/crates/cli/src/demo/balancer.rs
@@ -1,4 +1,5 @@
-//! A stand-in for the platform's balancer: takes turns among ready instances.
+//! Stand-in for the platform's load balancer: round robin over the instances that
+//! report themselves ready.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -10,28 +11,29 @@
 
 use crate::client::HttpClient;
 
-/// Interval at which the balancer asks instances whether they are ready.
+/// Interval between two readiness checks of the same instance.
 const PROBE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// One instance behind the balancer.
+/// An instance behind the balancer.
 #[derive(Debug)]
 pub struct BalancerTarget {
-    /// Where callers reach it.
+    /// Address of the instance's listener for callers.
     pub address: SocketAddr,
-    /// Where operators reach it.
+    /// Address of the instance's listener for operators.
     pub operators: SocketAddr,
     ready: AtomicBool,
 }
 
-/// The balancer.
+/// Round-robin balancer over the instances of a demo run.
 #[derive(Debug)]
 pub struct DemoBalancer {
     targets: Vec<BalancerTarget>,
-    turn: AtomicUsize,
+    next_index: AtomicUsize,
 }
 
 impl DemoBalancer {
-    /// Returns a balancer over instances.
+    /// Creates a balancer that treats all given instances as ready until the first
+    /// readiness check.
     pub fn new(instances: &[InstanceHandle]) -> Arc<DemoBalancer> {
         let targets = instances.iter().map(|instance| BalancerTarget {
             address: instance.callers,
@@ -40,21 +42,23 @@
         });
         Arc::new(DemoBalancer {
             targets: targets.collect(),
-            turn: AtomicUsize::new(0),
+            next_index: AtomicUsize::new(0),
         })
     }
 
-    /// Returns the instance whose turn it is.
+    /// Returns the next ready instance in round-robin order, or the next instance
+    /// if none is ready.
     pub fn next(&self) -> &BalancerTarget {
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
+        let next_index = self.next_index.fetch_add(1, Ordering::Relaxed);
         let count = self.targets.len();
-        let mut turns = (0..count).map(|step| &self.targets[(turn + step) % count]);
-        let ready = turns.find(|target| target.ready.load(Ordering::Relaxed));
-        ready.unwrap_or(&self.targets[turn % count])
+        let mut candidates = (0..count).map(|step| &self.targets[(next_index + step) % count]);
+        let ready = candidates.find(|target| target.ready.load(Ordering::Relaxed));
+        ready.unwrap_or(&self.targets[next_index % count])
     }
 
-    /// Asks all instances over and over whether they are ready.
-    pub async fn probe(self: Arc<Self>) {
+    /// Polls `/ready` of all instances in an endless loop and records which of them
+    /// are ready.
+    pub async fn poll_readiness(self: Arc<Self>) {
         let client = HttpClient::default();
         let mut ticks = tokio::time::interval(PROBE_INTERVAL);
         loop {
--- a/crates/cli/src/demo/run.rs
+++ b/crates/cli/src/demo/run.rs
@@ -1,4 +1,5 @@
-//! One run of the demo: a deployment, three instances, load, faults.
+//! One run of the demo: starts a fake deployment and one instance per failure
+//! domain, sends load, injects faults and builds the report.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::atomic::AtomicU64;
@@ -18,60 +19,65 @@
 use crate::client::HttpClient;
 use crate::demo::balancer::DemoBalancer;
 use crate::demo::port::choose_address;
-use crate::demo::report::{CountReport, RunReport, ServiceReport, SlowStory};
-use crate::demo::schedule::span_of;
-use crate::demo::tally::{CallEnd, SlowCall, TallyBook};
+use crate::demo::report::{CountReport, RunReport, ServiceReport, SlowRequestTrace};
+use crate::demo::schedule::fault_span;
+use crate::demo::tally::{CallOutcome, RunStats, SlowCall};
 use crate::demo::traffic::{make_traffic, TrafficContext};
 use crate::measure::cpu::thread_times_ms;
 
-/// Time the instances get to learn of all servers.
+/// Time limit for the instances to learn of all servers before the load starts.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time between two looks whether they have.
-const LEARN_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between a crash and the start after it.
-const CRASH_GAP: Duration = Duration::from_millis(300);
-/// Time before a graceful leave refuses anything.
+/// Interval between two status requests to an instance that does not know all servers
+/// yet.
+const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time between the abrupt end of an instance and its restart.
+const RESTART_DELAY: Duration = Duration::from_millis(300);
+/// Time during shutdown between the first "not ready" answer of an instance and its
+/// first refused request. It spans several readiness checks of the balancer.
 const DRAIN_NOTICE: Duration = Duration::from_millis(400);
 
-/// What a run is made with.
+/// Parameters of a run.
 #[derive(Debug, Clone)]
 pub struct RunPlan {
-    /// The deployment.
+    /// Fake deployment that serves the requests.
     pub deployment: FakeDeployment,
-    /// How long requests are made.
+    /// Time during which requests are sent.
     pub length: Duration,
-    /// Faults to begin and end.
+    /// Faults to inject.
     pub faults: Vec<FaultKind>,
-    /// Factor on the rates of the deployment.
+    /// Factor by which the deployment's request rates are multiplied.
     pub rate_factor: f64,
-    /// Guards of the instances; all on but in tests.
+    /// Safety checks of the instances. Only tests switch some of them off.
     pub safety_checks: EntrySafetyChecks,
-    /// Whether the restart of an instance is abrupt; only in tests.
-    pub kills: bool,
-    /// Whether the story of the slowest request is told.
-    pub explains: bool,
-    /// Whether a line is printed each second.
-    pub prints: bool,
+    /// Whether [`FaultKind::RestartEntry`] kills the instance instead of shutting
+    /// it down gracefully. Only tests set this.
+    pub should_kill: bool,
+    /// Whether the report includes the trace of the slowest request.
+    pub should_explain_slowest: bool,
+    /// Whether a line of statistics is printed each second.
+    pub should_print_progress: bool,
 }
 
-/// Runs a plan under a policy.
+/// Runs a plan with a routing policy and returns the report. `name` is the
+/// policy's name in the report.
 ///
 /// # Errors
 ///
-/// Fails if the instances or the fake servers cannot be started.
+/// Fails if the instances or the fake servers cannot be started, or if an instance
+/// does not learn of all servers within `READY_TIMEOUT`.
 pub async fn run_plan<P>(plan: &RunPlan, policy: P, name: &str) -> anyhow::Result<RunReport>
 where
     P: RoutePolicy + Clone + Send + 'static,
 {
     let world = FakeWorld::start(plan.deployment.clone()).await?;
-    let mut stage = DemoStage::start(plan, world, policy)?;
-    stage.wait_learned().await?;
-    stage.play(plan).await?;
-    stage.close(plan, name).await
+    let mut demo_run = DemoRun::start(plan, world, policy)?;
+    demo_run.wait_until_servers_known().await?;
+    demo_run.run_load(plan).await?;
+    demo_run.finish(plan, name).await
 }
 
-/// The instances and the deployment of a run.
-struct DemoStage<P> {
+/// The instances and the fake deployment of a run in progress.
+struct DemoRun<P> {
     world: Arc<FakeWorld>,
     instances: Vec<InstanceHandle>,
     settings: Vec<InstanceSettings>,
@@ -79,11 +85,13 @@
     policy: P,
     safety_checks: EntrySafetyChecks,
     context: Arc<TrafficContext>,
-    probe: tokio::task::JoinHandle<()>,
+    poll_readiness: tokio::task::JoinHandle<()>,
 }
 
-impl<P: RoutePolicy + Clone + Send + 'static> DemoStage<P> {
-    fn start(plan: &RunPlan, world: FakeWorld, policy: P) -> anyhow::Result<DemoStage<P>> {
+impl<P: RoutePolicy + Clone + Send + 'static> DemoRun<P> {
+    /// Starts one instance per failure domain and announces the fake servers to
+    /// each instance.
+    fn start(plan: &RunPlan, world: FakeWorld, policy: P) -> anyhow::Result<DemoRun<P>> {
         let table = ServiceTable::parse(plan.deployment.table, 1)?;
         let mut instances = Vec::new();
         let mut all_settings = Vec::new();
@@ -108,17 +116,17 @@
             all_settings.push(settings);
         }
         let balancer = DemoBalancer::new(&instances);
-        let probe = tokio::spawn(balancer.clone().probe());
+        let poll_readiness = tokio::spawn(balancer.clone().poll_readiness());
         let context = Arc::new(TrafficContext {
             balancer,
             ledger: world.ledger.clone(),
-            book: TallyBook::default(),
+            stats: RunStats::default(),
             table: table.clone(),
             client: HttpClient::default(),
             run: rand::random(),
             count: AtomicU64::new(0),
         });
-        Ok(DemoStage {
+        Ok(DemoRun {
             world: Arc::new(world),
             instances,
             settings: all_settings,
@@ -126,12 +134,12 @@
             policy,
             safety_checks: plan.safety_checks,
             context,
-            probe,
+            poll_readiness,
         })
     }
 
     /// Waits until every instance knows every server.
-    async fn wait_learned(&self) -> anyhow::Result<()> {
+    async fn wait_until_servers_known(&self) -> anyhow::Result<()> {
         let until = Instant::now() + READY_TIMEOUT;
         for instance in &self.instances {
             loop {
@@ -142,14 +150,15 @@
                 if Instant::now() > until {
                     anyhow::bail!("could not learn of all servers within {READY_TIMEOUT:?}");
                 }
-                tokio::time::sleep(LEARN_INTERVAL).await;
+                tokio::time::sleep(STATUS_POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    /// Makes traffic, begins and ends faults, and prints a line a second.
-    async fn play(&mut self, plan: &RunPlan) -> anyhow::Result<()> {
+    /// Sends the load, injects the faults and prints the progress if the plan asks
+    /// for that. Returns after the last response.
+    async fn run_load(&mut self, plan: &RunPlan) -> anyhow::Result<()> {
         let begin = Instant::now();
         let until = begin + plan.length;
         let mut traffic = tokio::task::JoinSet::new();
@@ -158,19 +167,19 @@
             rate.rate *= plan.rate_factor;
             traffic.spawn(make_traffic(self.context.clone(), rate, until));
         }
-        let faults = tokio::spawn(play_faults(
+        let faults = tokio::spawn(inject_faults(
             self.world.clone(),
             plan.faults.clone(),
             begin,
             plan.length,
         ));
         let printer = plan
-            .prints
-            .then(|| tokio::spawn(print_seconds(self.context.clone(), begin)));
+            .should_print_progress
+            .then(|| tokio::spawn(print_progress(self.context.clone(), begin)));
         if plan.faults.contains(&FaultKind::RestartEntry) {
-            let span = span_of(FaultKind::RestartEntry);
+            let span = fault_span(FaultKind::RestartEntry);
             tokio::time::sleep_until((begin + plan.length.mul_f64(span.begin)).into()).await;
-            self.restart_first(plan.kills).await?;
+            self.restart_first(plan.should_kill).await?;
         }
         while traffic.join_next().await.is_some() {}
         faults.abort();
@@ -180,11 +189,12 @@
         Ok(())
     }
 
-    /// Asks the instance of the slowest request for its decisions.
-    async fn explain(&self, slowest: &SlowCall) -> anyhow::Result<SlowStory> {
+    /// Fetches the decisions made for the slowest request from the instance that
+    /// served the request.
+    async fn explain(&self, slowest: &SlowCall) -> anyhow::Result<SlowRequestTrace> {
         let path = format!("/v1/explain/{}", slowest.request);
         let response = self.context.client.get(slowest.operators, &path).await?;
-        Ok(SlowStory {
+        Ok(SlowRequestTrace {
             service: slowest.service.to_string(),
             request: slowest.request.clone(),
             latency_ms: slowest.latency.as_secs_f64() * 1e3,
@@ -192,12 +202,13 @@
         })
     }
 
-    /// Ends the first instance by its graceful way and starts it anew.
-    async fn restart_first(&mut self, kills: bool) -> anyhow::Result<()> {
+    /// Stops the first instance and starts it again with the same settings. The
+    /// stop is abrupt if `should_kill` is set, else graceful.
+    async fn restart_first(&mut self, should_kill: bool) -> anyhow::Result<()> {
         let first = self.instances.remove(0);
-        if kills {
+        if should_kill {
             first.kill();
-            tokio::time::sleep(CRASH_GAP).await;
+            tokio::time::sleep(RESTART_DELAY).await;
         } else {
             first.shut_down().await;
         }
@@ -211,11 +222,13 @@
         Ok(())
     }
 
-    async fn close(self, plan: &RunPlan, name: &str) -> anyhow::Result<RunReport> {
-        self.probe.abort();
+    /// Shuts the instances down, runs the checks that need the whole run and builds
+    /// the report.
+    async fn finish(self, plan: &RunPlan, name: &str) -> anyhow::Result<RunReport> {
+        self.poll_readiness.abort();
         let threads = thread_times_ms("wm-");
-        let slowest = match self.context.book.slowest() {
-            Some(slowest) if plan.explains => Some(self.explain(&slowest).await?),
+        let slowest = match self.context.stats.slowest() {
+            Some(slowest) if plan.should_explain_slowest => Some(self.explain(&slowest).await?),
             _ => None,
         };
         for instance in self.instances {
@@ -223,8 +236,8 @@
         }
         let context = Arc::into_inner(self.context).context("could not end the traffic")?;
         let ledger = self.world.ledger.clone();
-        let mut result = context.book.finish();
-        for term in &result.once_terms {
+        let mut result = context.stats.finish();
+        for term in &result.single_run_terms {
             check_once(&ledger, term, &mut result.violations);
         }
         result.violations.work_after_leaving = ledger.work_after_leaving();
@@ -249,15 +262,17 @@
             services: result
                 .services
                 .iter()
-                .map(|(service, tally)| ServiceReport {
+                .map(|(service, stats)| ServiceReport {
                     service: service.to_string(),
-                    counts: CountReport::new(tally),
+                    counts: CountReport::new(stats),
                 })
                 .collect(),
         })
     }
 }
 
+/// Returns the settings of the instance in a failure domain. `source` is the local
+/// address of its listeners and outgoing connections.
 fn instance_settings(
     domain: &str,
     source: IpAddr,
@@ -276,35 +291,37 @@
     Ok(settings)
 }
 
+/// Returns the outer name of a fault.
 fn fault_name(fault: FaultKind) -> String {
     let mut faults = FAULTS.iter();
     let found = faults.find(|(_, kind)| *kind == fault);
     found.map_or_else(String::new, |(name, _)| name.to_string())
 }
 
+/// Fetches the status of an instance from its operator address.
 async fn read_status(client: &HttpClient, address: SocketAddr) -> anyhow::Result<InstanceStatus> {
     client.get(address, "/v1/status").await?.json()
 }
 
-/// Begins and ends each fault at its time.
-async fn play_faults(
+/// Begins and ends each fault at the times given by [`fault_span`].
+async fn inject_faults(
     world: Arc<FakeWorld>,
     faults: Vec<FaultKind>,
     begin: Instant,
     length: Duration,
 ) {
-    let mut moments: Vec<(Instant, FaultKind, bool)> = Vec::new();
+    let mut events: Vec<(Instant, FaultKind, bool)> = Vec::new();
     for kind in faults {
-        let span = span_of(kind);
-        moments.push((begin + length.mul_f64(span.begin), kind, true));
+        let span = fault_span(kind);
+        events.push((begin + length.mul_f64(span.begin), kind, true));
         if span.end < 1.0 {
-            moments.push((begin + length.mul_f64(span.end), kind, false));
+            events.push((begin + length.mul_f64(span.end), kind, false));
         }
     }
-    moments.sort_by_key(|(at, ..)| *at);
-    for (at, kind, begins) in moments {
+    events.sort_by_key(|(at, ..)| *at);
+    for (at, kind, is_begin) in events {
         tokio::time::sleep_until(at.into()).await;
-        if begins {
+        if is_begin {
             fault::begin(&world, kind);
         } else {
             fault::end(&world, kind);
@@ -312,23 +329,24 @@
     }
 }
 
-async fn print_seconds(context: Arc<TrafficContext>, begin: Instant) {
+/// Prints a line of statistics each second, in an endless loop.
+async fn print_progress(context: Arc<TrafficContext>, begin: Instant) {
     let mut ticks = tokio::time::interval(Duration::from_secs(1));
     ticks.tick().await;
     loop {
         ticks.tick().await;
-        let second = context.book.take_second();
+        let recent = context.stats.take_recent();
         println!(
             "{:>3} s  {:>5} queries  {:>5} complete  {:>4} partial  {:>4} refused  \
              p50 {:>6.1} ms  p99 {:>7.1} ms  coverage {:.4}",
             begin.elapsed().as_secs(),
-            second.total(),
-            second.count(CallEnd::Complete),
-            second.count(CallEnd::Partial),
-            second.count(CallEnd::Refused) + second.count(CallEnd::Unknown),
-            second.quantile_ms(0.5),
-            second.quantile_ms(0.99),
-            second.coverage_mean()
+            recent.total(),
+            recent.count(CallOutcome::Complete),
+            recent.count(CallOutcome::Partial),
+            recent.count(CallOutcome::Refused) + recent.count(CallOutcome::Unknown),
+            recent.quantile_ms(0.5),
+            recent.quantile_ms(0.99),
+            recent.coverage_mean()
         );
     }
 }
--- a/crates/cli/src/demo/tally.rs
+++ b/crates/cli/src/demo/tally.rs
@@ -1,4 +1,5 @@
-//! Counting what the demo's callers got.
+//! Statistics of requests as the demo's callers see them: outcomes, latency,
+//! coverage and violations of guarantees.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -10,112 +11,113 @@
 use wheelmast_wire::caller::OUTCOME_NOT_RUN;
 use wheelmast_wire::prelude::{AnswerBody, ProblemBody};
 
-/// Longest latency told apart, in microseconds.
-const LONGEST_MICROS: u64 = 60_000_000;
-/// Significant digits of a latency.
-const DIGITS: u8 = 3;
+/// Upper bound of the latency histogram in microseconds. Longer latencies are
+/// recorded as this value.
+const MAX_LATENCY_MICROS: u64 = 60_000_000;
+/// Significant decimal digits that the latency histogram keeps.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// How one request ended.
+/// Outcome of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallEnd {
-    /// Every shard is in the answer.
+pub enum CallOutcome {
+    /// The answer includes every shard.
     Complete,
-    /// Some shards are.
+    /// The answer omits at least one shard.
     Partial,
-    /// It was refused and did not run.
+    /// The request was refused and did not run.
     Refused,
-    /// It was refused, and it may have run.
+    /// The request was refused but may have run.
     Unknown,
-    /// There was no response.
+    /// No usable response arrived.
     CutOff,
 }
 
-/// One request as its caller saw it.
+/// Result of one request as its caller saw it.
 #[derive(Debug, Clone)]
 pub struct CallResult {
-    /// Service asked.
+    /// Name of the service that was called.
     pub service: &'static str,
-    /// How it ended.
-    pub end: CallEnd,
-    /// Shards that answered.
+    /// Outcome of the request.
+    pub outcome: CallOutcome,
+    /// Number of shards that answered.
     pub answered: u32,
-    /// Shards that were asked.
+    /// Number of shards that the request covers.
     pub asked: u32,
-    /// Time from the moment the request was due.
+    /// Time from the moment the request was due until its response.
     pub latency: Duration,
-    /// Problem named in a refusal.
+    /// Title of the problem in a refusal.
     pub problem: Option<String>,
-    /// Identity of the request, if a response named it.
+    /// Request id, if the response contains one.
     pub request: Option<String>,
-    /// Where operators reach the instance that was asked.
+    /// Operator address of the instance that the request was sent to.
     pub operators: SocketAddr,
 }
 
 impl CallResult {
-    /// Takes what an answer says.
-    pub fn take_answer(&mut self, answer: &AnswerBody) {
+    /// Records the request id, coverage and outcome of an answer.
+    pub fn record_answer(&mut self, answer: &AnswerBody) {
         self.request = Some(answer.request.clone());
         self.answered = answer.coverage.answered;
         self.asked = answer.coverage.asked;
-        self.end = if answer.coverage.missing.is_empty() {
-            CallEnd::Complete
+        self.outcome = if answer.coverage.missing.is_empty() {
+            CallOutcome::Complete
         } else {
-            CallEnd::Partial
+            CallOutcome::Partial
         };
     }
 
-    /// Takes what a problem says.
-    pub fn take_problem(&mut self, problem: &ProblemBody) {
+    /// Records the request id, coverage, title and outcome of a refusal.
+    pub fn record_problem(&mut self, problem: &ProblemBody) {
         if let Some(coverage) = &problem.coverage {
             self.asked = coverage.asked;
             self.answered = coverage.answered;
         }
         self.request = problem.request.clone();
         self.problem = Some(problem.title.clone());
-        self.end = if problem.outcome == OUTCOME_NOT_RUN {
-            CallEnd::Refused
+        self.outcome = if problem.outcome == OUTCOME_NOT_RUN {
+            CallOutcome::Refused
         } else {
-            CallEnd::Unknown
+            CallOutcome::Unknown
         };
     }
 }
 
-/// A slow request, to be explained.
+/// The slowest request so far, with all that is needed to fetch its decisions.
 #[derive(Debug, Clone)]
 pub struct SlowCall {
-    /// Service asked.
+    /// Name of the service that was called.
     pub service: &'static str,
-    /// Identity of the request.
+    /// Request id.
     pub request: String,
-    /// Time it took.
+    /// Latency of the request.
     pub latency: Duration,
-    /// Where operators reach the instance that was asked.
+    /// Operator address of the instance that the request was sent to.
     pub operators: SocketAddr,
 }
 
-/// Counts over many requests.
+/// Statistics over many requests.
 #[derive(Debug)]
-pub struct CallTally {
-    /// Requests by how they ended.
-    pub ends: HashMap<CallEndKey, u64>,
-    /// Latencies in microseconds.
+pub struct CallStats {
+    /// Number of requests by outcome.
+    pub outcome_counts: HashMap<CallOutcomeKey, u64>,
+    /// Histogram of latencies in microseconds.
     pub latency: Histogram<u64>,
-    /// Refusals by problem.
+    /// Number of refusals by the title of the problem.
     pub problems: BTreeMap<String, u64>,
-    /// Shards asked, over all requests.
+    /// Sum of the shards that the requests cover.
     pub asked: u64,
     coverage_sum: f64,
     coverage_count: u64,
 }
 
-/// Key of [`CallTally::ends`].
-pub type CallEndKey = u8;
+/// Key of [`CallStats::outcome_counts`]: a [`CallOutcome`] as a number.
+pub type CallOutcomeKey = u8;
 
-impl Default for CallTally {
+impl Default for CallStats {
     fn default() -> Self {
-        let latency = Histogram::new_with_bounds(1, LONGEST_MICROS, DIGITS);
-        CallTally {
-            ends: HashMap::new(),
+        let latency = Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS);
+        CallStats {
+            outcome_counts: HashMap::new(),
             latency: latency.expect("the bounds are constants that fit"),
             problems: BTreeMap::new(),
             asked: 0,
@@ -125,30 +127,36 @@
     }
 }
 
-impl CallTally {
-    /// Adds one request.
+impl CallStats {
+    /// Adds the result of one request.
     pub fn add(&mut self, result: &CallResult) {
-        *self.ends.entry(result.end as CallEndKey).or_default() += 1;
+        *self
+            .outcome_counts
+            .entry(result.outcome as CallOutcomeKey)
+            .or_default() += 1;
         self.latency
             .saturating_record(result.latency.as_micros().max(1) as u64);
         if let Some(problem) = &result.problem {
             *self.problems.entry(problem.clone()).or_default() += 1;
         }
         self.asked += u64::from(result.asked);
-        let is_answer = matches!(result.end, CallEnd::Complete | CallEnd::Partial);
+        let is_answer = matches!(result.outcome, CallOutcome::Complete | CallOutcome::Partial);
         let fraction = f64::from(result.answered) / f64::from(result.asked.max(1));
         self.coverage_sum += if is_answer { fraction } else { 0.0 };
         self.coverage_count += 1;
     }
 
-    /// Returns the number of requests that ended this way.
-    pub fn count(&self, end: CallEnd) -> u64 {
-        self.ends.get(&(end as CallEndKey)).copied().unwrap_or(0)
+    /// Returns the number of requests with the given outcome.
+    pub fn count(&self, outcome: CallOutcome) -> u64 {
+        self.outcome_counts
+            .get(&(outcome as CallOutcomeKey))
+            .copied()
+            .unwrap_or(0)
     }
 
-    /// Returns the number of requests.
+    /// Returns the number of all requests.
     pub fn total(&self) -> u64 {
-        self.ends.values().sum()
+        self.outcome_counts.values().sum()
     }
 
     /// Returns a quantile of the latency in milliseconds.
@@ -156,29 +164,31 @@
         self.latency.value_at_quantile(quantile) as f64 / 1e3
     }
 
-    /// Returns the mean coverage; a refusal counts as none.
+    /// Returns the mean coverage (0 to 1). A refusal counts as 0.
     pub fn coverage_mean(&self) -> f64 {
         self.coverage_sum / self.coverage_count.max(1) as f64
     }
 }
 
+/// Statistics behind the lock of [`RunStats`].
 #[derive(Debug, Default)]
-struct BookState {
-    all: CallTally,
-    services: BTreeMap<&'static str, CallTally>,
-    second: CallTally,
+struct RunStatsState {
+    all: CallStats,
+    services: BTreeMap<&'static str, CallStats>,
+    recent: CallStats,
     violations: ViolationCounts,
-    once_terms: Vec<String>,
+    single_run_terms: Vec<String>,
     slowest: Option<SlowCall>,
 }
 
-impl BookState {
-    fn note_slow(&mut self, result: &CallResult) {
+impl RunStatsState {
+    /// Replaces the slowest request if `result` took longer.
+    fn update_slowest(&mut self, result: &CallResult) {
         let Some(request) = &result.request else {
             return;
         };
         let longest = self.slowest.as_ref().map_or(Duration::ZERO, |s| s.latency);
-        // One that was sent to a single server tells little.
+        // A request for a single shard is skipped: its trace shows few decisions.
         if result.asked > 1 && result.latency > longest {
             self.slowest = Some(SlowCall {
                 service: result.service,
@@ -190,39 +200,41 @@
     }
 }
 
-/// All counts of a demo's run.
+/// Statistics of a demo run, shared by all of its callers.
 #[derive(Debug, Default)]
-pub struct TallyBook {
-    state: Mutex<BookState>,
+pub struct RunStats {
+    state: Mutex<RunStatsState>,
 }
 
-impl TallyBook {
-    fn state(&self) -> MutexGuard<'_, BookState> {
+impl RunStats {
+    fn state(&self) -> MutexGuard<'_, RunStatsState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds one request and the promises it broke.
+    /// Adds the result of one request. `check` adds the violations found in its
+    /// response.
     pub fn add(&self, result: &CallResult, check: impl FnOnce(&mut ViolationCounts)) {
         let mut state = self.state();
         state.all.add(result);
-        state.second.add(result);
+        state.recent.add(result);
         let service = state.services.entry(result.service).or_default();
         service.add(result);
-        state.note_slow(result);
-        if result.end == CallEnd::CutOff {
+        state.update_slowest(result);
+        if result.outcome == CallOutcome::CutOff {
             state.violations.cut_off += 1;
         }
         check(&mut state.violations);
     }
 
-    /// Remembers a request that must have run at most once at the end.
-    pub fn remember_once(&self, term: String) {
-        self.state().once_terms.push(term);
+    /// Registers the search term of a request that must not run more than once.
+    /// This is checked after the run.
+    pub fn register_single_run(&self, term: String) {
+        self.state().single_run_terms.push(term);
     }
 
-    /// Takes the counts since the last call, for a line a second.
-    pub fn take_second(&self) -> CallTally {
-        std::mem::take(&mut self.state().second)
+    /// Returns the statistics since the previous call and resets them.
+    pub fn take_recent(&self) -> CallStats {
+        std::mem::take(&mut self.state().recent)
     }
 
     /// Returns the slowest request so far.
@@ -230,28 +242,28 @@
         self.state().slowest.clone()
     }
 
-    /// Ends the run and returns its counts.
-    pub fn finish(self) -> TallyResult {
+    /// Returns the final statistics of the run.
+    pub fn finish(self) -> RunStatsResult {
         let state = self.state.into_inner();
         let state = state.unwrap_or_else(PoisonError::into_inner);
-        TallyResult {
+        RunStatsResult {
             all: state.all,
             services: state.services,
             violations: state.violations,
-            once_terms: state.once_terms,
+            single_run_terms: state.single_run_terms,
         }
     }
 }
 
-/// The counts of an ended run.
+/// Final statistics of a run.
 #[derive(Debug)]
-pub struct TallyResult {
-    /// Over all services.
-    pub all: CallTally,
-    /// By service.
-    pub services: BTreeMap<&'static str, CallTally>,
-    /// Broken promises so far.
+pub struct RunStatsResult {
+    /// Statistics over all services.
+    pub all: CallStats,
+    /// Statistics of each service.
+    pub services: BTreeMap<&'static str, CallStats>,
+    /// Violations found while the run was going on.
     pub violations: ViolationCounts,
-    /// Requests that must have run at most once.
-    pub once_terms: Vec<String>,
+    /// Search terms of the requests that must not run more than once.
+    pub single_run_terms: Vec<String>,
 }
--- a/crates/cli/src/demo/traffic.rs
+++ b/crates/cli/src/demo/traffic.rs
@@ -1,5 +1,5 @@
-//! Open-loop traffic: requests are due at random times, whatever became of
-//! the earlier ones, and latency counts from the moment they were due.
+//! Open-loop traffic: requests are sent at random times that do not depend on
+//! earlier responses. Latency is measured from the moment a request was due.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -13,35 +13,36 @@
 use wheelmast_wire::prelude::{AnswerBody, ProblemBody};
 
 use crate::client::{HttpClient, HttpResponse, ServiceCall};
-use crate::demo::arrival::pause;
+use crate::demo::arrival::draw_interval;
 use crate::demo::balancer::DemoBalancer;
-use crate::demo::tally::{CallEnd, CallResult, TallyBook};
+use crate::demo::tally::{CallOutcome, CallResult, RunStats};
 
-/// What all callers of a run share.
+/// State shared by all callers of a run.
 #[derive(Debug)]
 pub struct TrafficContext {
-    /// Chooses the instance.
+    /// Chooses the instance that a request is sent to.
     pub balancer: Arc<DemoBalancer>,
-    /// What the fakes did.
+    /// Record of the work that the fake servers did; responses are checked
+    /// against it.
     pub ledger: Arc<FakeLedger>,
-    /// Where results are counted.
-    pub book: TallyBook,
-    /// Tells the kind of each service.
+    /// Statistics of the results.
+    pub stats: RunStats,
+    /// Service table, which holds the request kind of each service.
     pub table: ServiceTable,
-    /// Sends the requests.
+    /// HTTP client that sends the requests.
     pub client: HttpClient,
-    /// Distinguishes the terms of this run.
+    /// Random number that makes the search terms of this run unique.
     pub run: u64,
-    /// Counts the requests.
+    /// Number of requests made so far.
     pub count: AtomicU64,
 }
 
-/// Makes requests of one service until `until`, and waits for the last.
+/// Sends requests to one service until `until`, then waits for all responses.
 pub async fn make_traffic(context: Arc<TrafficContext>, rate: ServiceRate, until: Instant) {
     let mut due = Instant::now();
     let mut calls = tokio::task::JoinSet::new();
     loop {
-        due += pause(rate.rate);
+        due += draw_interval(rate.rate);
         if due >= until {
             break;
         }
@@ -51,6 +52,8 @@
     while calls.join_next().await.is_some() {}
 }
 
+/// Sends one request and records its result. `due` is the time at which the
+/// request was scheduled.
 async fn make_request(context: Arc<TrafficContext>, service: &'static str, due: Instant) {
     let count = context.count.fetch_add(1, Ordering::Relaxed);
     let term = format!("t{}-{count}", context.run);
@@ -59,7 +62,7 @@
     let (call, shape) = match kind {
         Some(RequestKind::Fetch) => (ServiceCall::Fetch(term.clone()), AnswerShape::Single),
         Some(RequestKind::NonRepeatable) => {
-            context.book.remember_once(term.clone());
+            context.stats.register_single_run(term.clone());
             let key = Some(term.clone());
             (ServiceCall::Submit { json, key }, AnswerShape::Single)
         }
@@ -72,7 +75,7 @@
         .await;
     let result = CallResult {
         service,
-        end: CallEnd::CutOff,
+        outcome: CallOutcome::CutOff,
         answered: 0,
         asked: 0,
         latency: due.elapsed(),
@@ -80,10 +83,12 @@
         request: None,
         operators: target.operators,
     };
-    record(&context, &term, shape, result, response);
+    record_response(&context, &term, shape, result, response);
 }
 
-fn record(
+/// Checks a response against the fake servers' record and adds the result to the
+/// statistics.
+fn record_response(
     context: &TrafficContext,
     term: &str,
     shape: AnswerShape,
@@ -94,19 +99,19 @@
     match response {
         Ok(response) if response.status == StatusCode::OK => {
             if let Ok(answer) = response.json::<AnswerBody>() {
-                result.take_answer(&answer);
+                result.record_answer(&answer);
                 check_answer(&context.ledger, term, shape, &answer, &mut found);
             }
         }
         Ok(response) => {
             if let Ok(problem) = response.json::<ProblemBody>() {
-                result.take_problem(&problem);
+                result.record_problem(&problem);
                 check_problem(&context.ledger, term, &problem, &mut found);
             }
         }
         Err(error) => tracing::warn!("demo: {error:#}"),
     }
-    context.book.add(&result, |counts| {
+    context.stats.add(&result, |counts| {
         counts.mixed_snapshot += found.mixed_snapshot;
         counts.false_coverage += found.false_coverage;
         counts.foreign_answer += found.foreign_answer;
--- a/crates/cli/src/measure/capacity.rs
+++ b/crates/cli/src/measure/capacity.rs
@@ -1,4 +1,6 @@
-//! Slopes by which the capacity page is worked out.
+//! Measures how decision time, memory and message sizes grow with the deployment.
+//! Each growth rate is the slope of a line fitted through several sizes; the
+//! capacity page is computed from these slopes.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -18,68 +20,69 @@
 use crate::measure::cpu::resident_bytes;
 use crate::measure::fit::{fit_line, LineFit, SizePoint};
 
-/// One slope: what was measured over which sizes.
+/// Growth of one measured value with the size of the deployment.
 #[derive(Debug)]
 pub struct MeasuredSlope {
-    /// What was measured.
+    /// Name of the measured value.
     pub name: &'static str,
-    /// Unit of the value.
+    /// Unit of the measured value.
     pub unit: &'static str,
-    /// Unit of the size.
+    /// What the size counts, for example servers.
     pub per: &'static str,
-    /// The points.
+    /// Measured values, one per size.
     pub points: Vec<SizePoint>,
-    /// The line through them.
+    /// Line fitted through the points.
     pub fit: LineFit,
 }
 
-/// Measures all slopes.
+/// Measures the slopes of all values.
 ///
 /// # Errors
 ///
 /// Fails if a message cannot be encoded.
 pub fn measure_slopes() -> anyhow::Result<Vec<MeasuredSlope>> {
     Ok(vec![
-        slope(
+        measure_slope(
             "decisions of a query",
             "us",
             "shard",
             &[20, 60, 120, 240],
-            query_micros,
+            measure_query_micros,
         ),
-        slope(
+        measure_slope(
             "roster memory",
             "bytes",
             "server",
             &[1350, 2700, 5400, 10_800],
-            roster_bytes,
+            measure_roster_bytes,
         ),
-        slope(
+        measure_slope(
             "gossip memory",
             "bytes",
             "server",
             &[2700, 5400, 10_800, 18_000],
-            gossip_bytes,
+            measure_gossip_bytes,
         ),
-        slope("table push", "bytes", "service", &[4, 40, 400], |size| {
-            table_push_bytes(size).unwrap_or(0) as f64
+        measure_slope("table push", "bytes", "service", &[4, 40, 400], |size| {
+            encoded_table_bytes(size).unwrap_or(0) as f64
         }),
-        slope(
+        measure_slope(
             "state of the fence",
             "bytes",
             "claim",
             &[1000, 10_000, 50_000],
-            |size| claim_bytes(size).unwrap_or(0) as f64,
+            |size| encoded_claim_bytes(size).unwrap_or(0) as f64,
         ),
     ])
 }
 
-/// Sizes of messages that do not grow, in bytes.
+/// Returns the encoded sizes, in bytes, of messages whose size does not depend on
+/// the deployment.
 ///
 /// # Errors
 ///
 /// Fails if a message cannot be encoded.
-pub fn message_sizes() -> anyhow::Result<Vec<(&'static str, usize)>> {
+pub fn measure_message_sizes() -> anyhow::Result<Vec<(&'static str, usize)>> {
     let heartbeat = PeerRequest::Replica {
         from: u64::MAX,
         message: ReplicaMessage::Append {
@@ -127,7 +130,8 @@
     ])
 }
 
-fn slope(
+/// Measures a value at each size and fits a line through the results.
+fn measure_slope(
     name: &'static str,
     unit: &'static str,
     per: &'static str,
@@ -150,6 +154,7 @@
     }
 }
 
+/// Returns the body of a typical query.
 fn body() -> RequestBody {
     RequestBody {
         kind: RequestKind::Query,
@@ -158,6 +163,7 @@
     }
 }
 
+/// Returns a typical announcement of a server that holds two snapshots.
 fn announcement() -> AnnouncementBody {
     AnnouncementBody {
         server: "kiln-watch-17-1".into(),
@@ -183,8 +189,8 @@
     }
 }
 
-/// Returns a machine that knows `servers` servers in groups of two.
-fn machine(servers: u32) -> EntryMachine<LowestCostPolicy> {
+/// Returns an entry's state machine that knows `servers` servers, two per shard.
+fn build_entry_machine(servers: u32) -> EntryMachine<LowestCostPolicy> {
     let options = EntryOptions::builder().decisions_per_second(0).build();
     let mut machine = EntryMachine::new(options, LowestCostPolicy::default());
     let mut out = Vec::new();
@@ -194,13 +200,15 @@
     }
     let shards = servers / 2;
     for index in 0..servers {
-        let news = server_news(index, shards);
-        machine.step(Duration::ZERO, EntryInput::Announce(news), &mut out);
+        let announcement = build_server_announcement(index, shards);
+        machine.step(Duration::ZERO, EntryInput::Announce(announcement), &mut out);
     }
     machine
 }
 
-fn server_news(index: u32, shards: u32) -> UpstreamAnnouncement {
+/// Returns the announcement of server `index`, which holds one of `shards` shards.
+/// The number of shards is capped at 4000.
+fn build_server_announcement(index: u32, shards: u32) -> UpstreamAnnouncement {
     UpstreamAnnouncement {
         name: format!("search-{index}").into(),
         upstream: "search".into(),
@@ -224,20 +232,22 @@
     }
 }
 
+/// Returns the key of some server, for use in a subquery.
 fn first_server() -> ServerKey {
-    let machine = machine(2);
+    let machine = build_entry_machine(2);
     let first = machine.roster().servers().next().map(|(key, _)| key);
     first.expect("two servers were announced")
 }
 
-/// Returns the median time of all decisions of a query, in microseconds.
-fn query_micros(shards: u32) -> f64 {
-    const ROUNDS: u64 = 2000;
-    let mut machine = machine(shards * 2);
+/// Returns the median time, in microseconds, that an entry's state machine needs
+/// for all decisions of a query over `shards` shards.
+fn measure_query_micros(shards: u32) -> f64 {
+    const ROUND_COUNT: u64 = 2000;
+    let mut machine = build_entry_machine(shards * 2);
     let mut times = Vec::new();
-    let mut orders = Vec::new();
-    let mut ends = Vec::new();
-    for round in 0..ROUNDS {
+    let mut actions = Vec::new();
+    let mut reply_actions = Vec::new();
+    for round in 0..ROUND_COUNT {
         let now = Duration::from_millis(round * 10);
         let request = QueryRequest {
             call: CallTag(round),
@@ -246,29 +256,30 @@
             body: Arc::new(body()),
         };
         let begin = Instant::now();
-        machine.step(now, EntryInput::Submit(request), &mut orders);
-        for action in orders.drain(..) {
+        machine.step(now, EntryInput::Submit(request), &mut actions);
+        for action in actions.drain(..) {
             if let EntryAction::Send(order) = action {
                 let now = now + Duration::from_millis(4);
                 machine.step(
                     now,
                     EntryInput::Reply(AttemptReply::with_no_hits(&order)),
-                    &mut ends,
+                    &mut reply_actions,
                 );
             }
         }
         times.push(begin.elapsed().as_secs_f64() * 1e6);
-        black_box(&ends);
-        ends.clear();
+        black_box(&reply_actions);
+        reply_actions.clear();
     }
     times.sort_by(f64::total_cmp);
     times[times.len() / 2]
 }
 
-/// Returns the memory of a gossip that knows `servers` servers.
-fn gossip_bytes(servers: u32) -> f64 {
-    const MACHINES: usize = 8;
-    let own = MemberState {
+/// Returns the memory, in bytes, of a gossip state machine that knows `servers`
+/// servers. The value is the mean growth of the process over several machines.
+fn measure_gossip_bytes(servers: u32) -> f64 {
+    const MACHINE_COUNT: usize = 8;
+    let local_member = MemberState {
         name: "instance-0".into(),
         address: ([127, 0, 0, 1], 7403).into(),
         domain: "domain-0".into(),
@@ -277,11 +288,11 @@
     };
     let before = resident_bytes();
     let mut machines = Vec::new();
-    for _ in 0..MACHINES {
-        let mut machine = GossipMachine::new(own.clone(), Vec::new(), 1, Duration::ZERO);
+    for _ in 0..MACHINE_COUNT {
+        let mut machine = GossipMachine::new(local_member.clone(), Vec::new(), 1, Duration::ZERO);
         for server in 0..servers {
             let mut out = Vec::new();
-            let input = GossipInput::Announced(server_news(server, servers / 2));
+            let input = GossipInput::Announced(build_server_announcement(server, servers / 2));
             machine.step(Duration::ZERO, input, &mut out);
         }
         machines.push(machine);
@@ -289,23 +300,28 @@
     let after = resident_bytes();
     black_box(&machines);
     std::mem::forget(machines);
-    (after - before) / MACHINES as f64
+    (after - before) / MACHINE_COUNT as f64
 }
 
-/// Returns the memory of a roster, out of the growth of the process over
-/// several of them.
-fn roster_bytes(servers: u32) -> f64 {
-    const MACHINES: usize = 8;
+/// Returns the memory, in bytes, of an entry's roster of `servers` servers. The
+/// value is the mean growth of the process over several state machines.
+fn measure_roster_bytes(servers: u32) -> f64 {
+    const MACHINE_COUNT: usize = 8;
     let before = resident_bytes();
-    let machines: Vec<_> = (0..MACHINES).map(|_| machine(servers)).collect();
+    let machines: Vec<_> = (0..MACHINE_COUNT)
+        .map(|_| build_entry_machine(servers))
+        .collect();
     let after = resident_bytes();
     black_box(&machines);
-    // Not given back before the next size is measured, which would hide it.
+    // Leaks the machines: the next measurement would reuse freed memory, and the
+    // process would grow by less than that measurement allocates.
     std::mem::forget(machines);
-    (after - before) / MACHINES as f64
+    (after - before) / MACHINE_COUNT as f64
 }
 
-fn table_push_bytes(services: u32) -> anyhow::Result<usize> {
+/// Returns the encoded size, in bytes, of the message that sends a service table
+/// with `services` services.
+fn encoded_table_bytes(services: u32) -> anyhow::Result<usize> {
     let mut text = "service,kind\n".to_string();
     for service in 0..services {
         text.push_str(&format!("service-{service:04},query\n"));
@@ -320,7 +336,9 @@
     Ok(encode(&PeerRequest::Table(table))?.len())
 }
 
-fn claim_bytes(claims: u32) -> anyhow::Result<usize> {
+/// Returns the encoded size, in bytes, of the control group's state with `claims`
+/// claims of idempotency keys.
+fn encoded_claim_bytes(claims: u32) -> anyhow::Result<usize> {
     let mut state = ControlState::default();
     for claim in 0..claims {
         state.apply(&ControlCommand::Claim(ClaimRequest {
--- a/crates/cli/src/measure/fleet.rs
+++ b/crates/cli/src/measure/fleet.rs
@@ -1,6 +1,7 @@
-//! What entries and control instances say to each other at a size, by kind of
-//! message: counted from the choices and the encoding that instances use, without
-//! a network.
+//! Counts the messages and bytes between entries and control instances in a
+//! deployment of a given size, by kind of message. The counts come from the same
+//! selection of connections and the same encoding that instances use; no network is
+//! involved.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,7 +17,7 @@
 use wheelmast_wire::group::GroupMessage;
 use wheelmast_wire::peer::encode;
 
-/// Failure domains, and the region of each.
+/// Failure domains with their regions.
 const DOMAINS: [(&str, &str); 6] = [
     ("north-1", "north"),
     ("middle-1", "middle"),
@@ -25,66 +26,72 @@
     ("middle-2", "middle"),
     ("south-2", "south"),
 ];
-/// Bytes before each message.
-const FRAME_HEAD: usize = 4;
-/// Signs of life a second that an entry sends on a connection.
+/// Bytes of the frame header that precedes each message.
+const FRAME_HEADER_BYTES: usize = 4;
+/// Pings per second that an entry sends on each connection.
 const PINGS_PER_S: f64 = 1.25;
-/// Signs of life a second that a control instance sends on a connection.
-const HERES_PER_S: f64 = 1.0;
-/// Control instances that have a vote, where two losses are borne.
+/// Status messages (`Here`) per second that a control instance sends on each
+/// connection to an entry.
+const STATUS_MESSAGES_PER_S: f64 = 1.0;
+/// Number of voting control instances. Five voters tolerate the loss of two.
 const VOTERS: usize = 5;
-/// Greetings a second of an instance with a vote to another control instance.
+/// Hello messages per second from a voting control instance to each other control
+/// instance.
 const HELLOS_PER_S: f64 = 0.5;
-/// The same of one without: it asks with each to be kept up to date.
+/// Hello messages per second from a learner (a control instance without a vote) to
+/// each other control instance. Each hello of a learner also requests log updates.
 const LEARNER_HELLOS_PER_S: f64 = 4.0;
-/// Heartbeats a second of the leader to each other replica.
+/// Heartbeats per second from the leader to each other replica.
 const HEARTBEATS_PER_S: f64 = 8.3;
 
-/// A size of the deployment.
+/// Size of a deployment.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetSize {
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Control instances.
+    /// Number of control instances.
     pub control: usize,
-    /// Servers.
+    /// Number of servers.
     pub servers: usize,
 }
 
-/// Messages of one kind, and how many bytes of them cross regions.
+/// Count of messages of one kind and of their bytes.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct KindCount {
-    /// Messages.
+    /// Number of messages.
     pub messages: f64,
-    /// Bytes, as encoded.
+    /// Encoded bytes, frame headers included.
     pub bytes: f64,
-    /// Bytes between regions among them.
-    pub far_bytes: f64,
+    /// The part of `bytes` that crosses from one region to another.
+    pub cross_region_bytes: f64,
 }
 
-/// What an event, or a second without any, costs.
+/// Counts of the messages caused by an event or sent in an idle second, by kind.
 pub type EventCounts = BTreeMap<&'static str, KindCount>;
 
-/// A deployment at one size.
+/// Model of a deployment of one size.
 pub struct FleetModel {
     size: FleetSize,
     regions: RegionMap,
     entries: Vec<EntryPeer>,
     control: Vec<(SocketAddr, &'static str)>,
-    /// Control instances that each entry is connected to; the first is its source.
-    lines: Vec<Vec<usize>>,
+    /// For each entry, the indices of the control instances that it is connected
+    /// to. The first one is the entry's source: the only one that sends large state
+    /// (route tables, all servers, all entries) to the entry.
+    connections: Vec<Vec<usize>>,
 }
 
 impl FleetModel {
-    /// Lays a deployment out and lets each entry choose its connections.
+    /// Distributes the instances over the failure domains and chooses the control
+    /// connections of each entry.
     pub fn new(size: FleetSize) -> FleetModel {
         let regions = DOMAINS.map(|(domain, region)| (domain.into(), region.into()));
         let regions = RegionMap::new(regions);
         let control: Vec<_> = (0..size.control)
-            .map(|place| (address(place), domain_of(place)))
+            .map(|index| (address(index), domain_of(index)))
             .collect();
         let entries: Vec<EntryPeer> = (0..size.entries).map(entry).collect();
-        let lines = entries.iter().map(|entry| {
+        let connections = entries.iter().map(|entry| {
             let candidates = control.iter().map(|(address, domain)| ControlCandidate {
                 address: *address,
                 place: Some((*domain, regions.proximity(&entry.domain, domain))),
@@ -92,34 +99,34 @@
             });
             let candidates: Vec<_> = candidates.collect();
             let chosen = choose_control_connections(&entry.id(), &candidates);
-            let place = |chosen| control.iter().position(|(address, _)| *address == chosen);
-            chosen.into_iter().filter_map(place).collect()
+            let index_of = |chosen| control.iter().position(|(address, _)| *address == chosen);
+            chosen.into_iter().filter_map(index_of).collect()
         });
-        let lines = lines.collect();
+        let connections = connections.collect();
         FleetModel {
             size,
             regions,
             entries,
             control,
-            lines,
+            connections,
         }
     }
 
-    /// Counts a second in which nothing happens.
+    /// Counts the messages of a second without any event.
     ///
     /// # Errors
     ///
     /// Fails if a message can't be encoded.
-    pub fn idle_second(&self) -> anyhow::Result<EventCounts> {
+    pub fn count_idle_second(&self) -> anyhow::Result<EventCounts> {
         let mut counts = EventCounts::new();
-        let here = GroupMessage::Here {
+        let status = GroupMessage::Here {
             domain: DOMAINS[0].0.into(),
             settled: true,
             fresh: false,
             version: 40,
         };
-        self.to_entries(&mut counts, &GroupMessage::Ping, PINGS_PER_S)?;
-        self.to_entries(&mut counts, &here, HERES_PER_S)?;
+        self.count_to_entries(&mut counts, &GroupMessage::Ping, PINGS_PER_S)?;
+        self.count_to_entries(&mut counts, &status, STATUS_MESSAGES_PER_S)?;
         let known = self.control.iter().map(|(address, _)| *address);
         let hello = GroupMessage::Hello {
             from: member(0),
@@ -133,7 +140,7 @@
         let voters = self.size.control.min(VOTERS);
         let learners = self.size.control - voters;
         let hellos = HELLOS_PER_S * voters as f64 + LEARNER_HELLOS_PER_S * learners as f64;
-        self.to_control(&mut counts, &hello, hellos)?;
+        self.count_to_control(&mut counts, &hello, hellos)?;
         let heartbeat = GroupMessage::Replica {
             from: u64::MAX,
             to: u64::MAX,
@@ -148,39 +155,39 @@
                 round: 4000,
             },
         };
-        // Each is answered.
-        self.to_control(&mut counts, &heartbeat, HEARTBEATS_PER_S * 2.0)?;
+        // Factor 2: each heartbeat is answered.
+        self.count_to_control(&mut counts, &heartbeat, HEARTBEATS_PER_S * 2.0)?;
         Ok(counts)
     }
 
-    /// Counts that a server leaves.
+    /// Counts the messages sent when a server leaves.
     ///
     /// # Errors
     ///
     /// Fails if a message can't be encoded.
-    pub fn server_leaves(&self) -> anyhow::Result<EventCounts> {
+    pub fn count_server_leave(&self) -> anyhow::Result<EventCounts> {
         let mut counts = EventCounts::new();
         let announcement = ServerAnnouncement {
             standing: ServerLifecycle::Draining,
             ..server(1)
         };
         let lifecycle_only = GroupMessage::Notices(vec![announcement.lifecycle_only()]);
-        self.to_entries(&mut counts, &lifecycle_only, 1.0)?;
-        let keep = GroupMessage::Keep {
+        self.count_to_entries(&mut counts, &lifecycle_only, 1.0)?;
+        let observation = GroupMessage::Keep {
             tag: 400,
             announcement: Box::new(announcement),
         };
-        self.to_control(&mut counts, &keep, 1.0)?;
-        self.to_control(&mut counts, &GroupMessage::Kept(400), 1.0)?;
+        self.count_to_control(&mut counts, &observation, 1.0)?;
+        self.count_to_control(&mut counts, &GroupMessage::Kept(400), 1.0)?;
         Ok(counts)
     }
 
-    /// Counts that a server comes.
+    /// Counts the messages sent when a server joins.
     ///
     /// # Errors
     ///
     /// Fails if a message can't be encoded.
-    pub fn server_comes(&self) -> anyhow::Result<EventCounts> {
+    pub fn count_server_join(&self) -> anyhow::Result<EventCounts> {
         let mut counts = EventCounts::new();
         let announcement = server(1);
         let renewal = GroupMessage::Renewals {
@@ -188,22 +195,29 @@
             servers: vec![(announcement.id.clone(), announcement.position())],
         };
         let notices = GroupMessage::Notices(vec![announcement]);
-        for (entry, lines) in self.entries.iter().zip(&self.lines) {
-            self.count(&mut counts, &notices, &entry.domain, lines.first(), 1.0)?;
+        for (entry, connections) in self.entries.iter().zip(&self.connections) {
+            self.count_message(
+                &mut counts,
+                &notices,
+                &entry.domain,
+                connections.first(),
+                1.0,
+            )?;
         }
-        self.to_control(&mut counts, &notices, 1.0)?;
-        self.to_control(&mut counts, &renewal, 1.0)?;
+        self.count_to_control(&mut counts, &notices, 1.0)?;
+        self.count_to_control(&mut counts, &renewal, 1.0)?;
         Ok(counts)
     }
 
-    /// Counts that an entry joins.
+    /// Counts the messages sent when an entry joins.
     ///
     /// # Errors
     ///
     /// Fails if a message can't be encoded.
-    pub fn entry_joins(&self) -> anyhow::Result<EventCounts> {
+    pub fn count_entry_join(&self) -> anyhow::Result<EventCounts> {
         let mut counts = EventCounts::new();
-        let (Some(joined), Some(lines)) = (self.entries.first(), self.lines.first()) else {
+        let (Some(joined), Some(connections)) = (self.entries.first(), self.connections.first())
+        else {
             return Ok(counts);
         };
         let members = |joined: Vec<EntryPeer>| GroupMessage::Members {
@@ -212,20 +226,33 @@
             left: Vec::new(),
         };
         let notices = (0..self.size.servers).map(server).collect();
-        let view = select_known_peers(joined, &self.entries);
-        let whole = [
-            members(view.into_iter().cloned().collect()),
+        let known_peers = select_known_peers(joined, &self.entries);
+        let initial_messages = [
+            members(known_peers.into_iter().cloned().collect()),
             GroupMessage::Notices(notices),
         ];
-        for message in &whole {
-            self.count(&mut counts, message, &joined.domain, lines.first(), 1.0)?;
+        for message in &initial_messages {
+            self.count_message(
+                &mut counts,
+                message,
+                &joined.domain,
+                connections.first(),
+                1.0,
+            )?;
         }
-        // The others of its failure domain are told of it; of other domains some.
-        let news = members(vec![joined.clone()]);
-        for (entry, lines) in self.entries.iter().zip(&self.lines).skip(1) {
-            let hears = select_known_peers(entry, &self.entries).contains(&joined);
-            if hears || entry.domain == joined.domain {
-                self.count(&mut counts, &news, &entry.domain, lines.first(), 1.0)?;
+        // All other entries in its failure domain are notified of the new entry. In
+        // other domains, only the entries whose known peers include the new entry are.
+        let update = members(vec![joined.clone()]);
+        for (entry, connections) in self.entries.iter().zip(&self.connections).skip(1) {
+            let is_in_view = select_known_peers(entry, &self.entries).contains(&joined);
+            if is_in_view || entry.domain == joined.domain {
+                self.count_message(
+                    &mut counts,
+                    &update,
+                    &entry.domain,
+                    connections.first(),
+                    1.0,
+                )?;
             }
         }
         let followers = GroupMessage::Followers {
@@ -233,93 +260,101 @@
             joined: vec![(joined.clone(), true)],
             left: Vec::new(),
         };
-        self.to_control(&mut counts, &followers, lines.len() as f64)?;
+        self.count_to_control(&mut counts, &followers, connections.len() as f64)?;
         Ok(counts)
     }
 
-    /// Counts messages on all connections of entries.
-    fn to_entries(
+    /// Counts a message sent `times` times on every connection of every entry.
+    fn count_to_entries(
         &self,
         counts: &mut EventCounts,
         message: &GroupMessage,
         times: f64,
     ) -> anyhow::Result<()> {
-        for (entry, lines) in self.entries.iter().zip(&self.lines) {
-            for line in lines {
-                self.count(counts, message, &entry.domain, Some(line), times)?;
+        for (entry, connections) in self.entries.iter().zip(&self.connections) {
+            for connection in connections {
+                self.count_message(counts, message, &entry.domain, Some(connection), times)?;
             }
         }
         Ok(())
     }
 
-    /// Counts messages of one control instance to all others.
-    fn to_control(
+    /// Counts a message sent `times` times from the first control instance to each
+    /// other control instance.
+    fn count_to_control(
         &self,
         counts: &mut EventCounts,
         message: &GroupMessage,
         times: f64,
     ) -> anyhow::Result<()> {
-        for place in 1..self.control.len() {
-            self.count(counts, message, DOMAINS[0].0, Some(&place), times)?;
+        for index in 1..self.control.len() {
+            self.count_message(counts, message, DOMAINS[0].0, Some(&index), times)?;
         }
         Ok(())
     }
 
-    /// Counts a message between a failure domain and a control instance.
-    fn count(
+    /// Counts a message sent `times` times between a failure domain and a control
+    /// instance. Counts nothing if there is no such control instance.
+    fn count_message(
         &self,
         counts: &mut EventCounts,
         message: &GroupMessage,
         domain: &str,
-        line: Option<&usize>,
+        connection: Option<&usize>,
         times: f64,
     ) -> anyhow::Result<()> {
-        let Some((_, other)) = line.and_then(|line| self.control.get(*line)) else {
+        let Some((_, other)) = connection.and_then(|connection| self.control.get(*connection))
+        else {
             return Ok(());
         };
-        let bytes = times * (encode(message)?.len() + FRAME_HEAD) as f64;
+        let bytes = times * (encode(message)?.len() + FRAME_HEADER_BYTES) as f64;
         let count = counts.entry(message.kind()).or_default();
         count.messages += times;
         count.bytes += bytes;
         if self.regions.proximity(domain, other) == DomainProximity::Elsewhere {
-            count.far_bytes += bytes;
+            count.cross_region_bytes += bytes;
         }
         Ok(())
     }
 }
 
-fn domain_of(place: usize) -> &'static str {
-    DOMAINS[place % DOMAINS.len()].0
+/// Returns the failure domain of the instance or server with this index.
+fn domain_of(index: usize) -> &'static str {
+    DOMAINS[index % DOMAINS.len()].0
 }
 
-fn address(place: usize) -> SocketAddr {
-    let [high, low] = (place as u16).to_be_bytes();
+/// Returns a distinct address for each index.
+fn address(index: usize) -> SocketAddr {
+    let [high, low] = (index as u16).to_be_bytes();
     SocketAddr::from(([10, 0, high, low], 7380))
 }
 
-fn entry(place: usize) -> EntryPeer {
+/// Returns the entry with this index.
+fn entry(index: usize) -> EntryPeer {
     EntryPeer {
-        instance: format!("entry-{}-{place}", domain_of(place)).into(),
-        incarnation: u64::MAX - place as u64,
-        domain: domain_of(place).into(),
-        address: address(place),
+        instance: format!("entry-{}-{index}", domain_of(index)).into(),
+        incarnation: u64::MAX - index as u64,
+        domain: domain_of(index).into(),
+        address: address(index),
     }
 }
 
-fn member(place: usize) -> MemberRecord {
+/// Returns the membership record of the control instance with this index.
+fn member(index: usize) -> MemberRecord {
     MemberRecord {
         id: u64::MAX,
-        instance: format!("control-{}-{place}", domain_of(place)).into(),
-        address: address(place),
+        instance: format!("control-{}-{index}", domain_of(index)).into(),
+        address: address(index),
     }
 }
 
-fn server(place: usize) -> ServerAnnouncement {
+/// Returns the announcement of the server with this index, 21 servers per service.
+fn server(index: usize) -> ServerAnnouncement {
     ServerAnnouncement {
-        id: format!("i-{place:010x}").into(),
-        service: format!("service{}", place / 21).into(),
-        address: Some(address(place)),
-        domain: domain_of(place).into(),
+        id: format!("i-{index:010x}").into(),
+        service: format!("service{}", index / 21).into(),
+        address: Some(address(index)),
+        domain: domain_of(index).into(),
         version: "v1".into(),
         slots: 3,
         standing: ServerLifecycle::Ready,
--- a/crates/cli/src/measure/gossip.rs
+++ b/crates/cli/src/measure/gossip.rs
@@ -1,4 +1,6 @@
-//! What members cost each other while nothing happens, by count.
+//! Measures the gossip load of a member in the steady state: messages, bytes and
+//! processor time per second. The members' state machines run on a simulated clock,
+//! connected by a simulated network.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,42 +14,44 @@
 use wheelmast_core::process::gossip::message::GossipMessage;
 use wheelmast_wire::peer::{encode, PeerRequest};
 
-/// Time between two steps of the clock.
+/// Step of the simulated clock.
 const TICK: Duration = Duration::from_millis(25);
-/// Longest time the members get to settle.
-const SETTLE_TIME: Duration = Duration::from_secs(240);
-/// Time that is measured.
+/// Simulated time limit for the members to converge.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(240);
+/// Simulated time over which the load is measured.
 const MEASURED_TIME: Duration = Duration::from_secs(10);
-/// Time between two announcements of a server.
-const RENEW_TIME: Duration = Duration::from_secs(1);
+/// Interval between two announcements of the same server.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What one member costs in a second.
+/// Mean load of one member per second.
 #[derive(Debug, Clone, Copy)]
 pub struct GossipLoad {
-    /// Messages sent.
+    /// Messages sent per second.
     pub messages: f64,
-    /// Bytes sent, as encoded, without the transport's own.
+    /// Encoded bytes sent per second, without the overhead of the transport.
     pub bytes: f64,
-    /// Processor time of the decisions and the encoding, as a part of a core.
+    /// Processor time of the decisions and the encoding, in percent of a core.
     pub core_percent: f64,
 }
 
-/// Members joined by a network that loses nothing.
-struct QuietNet {
+/// Simulated network that connects the members and loses no message.
+struct LosslessNetwork {
     machines: Vec<GossipMachine>,
-    places: HashMap<SocketAddr, usize>,
-    wire: Vec<(SocketAddr, GossipMessage)>,
+    indices_by_address: HashMap<SocketAddr, usize>,
+    messages_in_flight: Vec<(SocketAddr, GossipMessage)>,
     now: Duration,
     messages: u64,
     bytes: u64,
-    counts: bool,
+    is_counting: bool,
 }
 
+/// Returns the address of a member.
 fn address(node: usize) -> SocketAddr {
     SocketAddr::from(([127, 1, (node / 250) as u8, (node % 250) as u8 + 1], 7403))
 }
 
-fn news(server: usize, sequence: u64) -> UpstreamAnnouncement {
+/// Returns an announcement of a server.
+fn build_announcement(server: usize, sequence: u64) -> UpstreamAnnouncement {
     UpstreamAnnouncement {
         name: format!("kiln-watch-{server}").into(),
         upstream: "kiln-watch".into(),
@@ -71,10 +75,11 @@
     }
 }
 
-impl QuietNet {
-    fn new(members: usize) -> QuietNet {
+impl LosslessNetwork {
+    /// Creates the members; up to three of them are the seeds of all others.
+    fn new(members: usize) -> LosslessNetwork {
         let machines = (0..members).map(|node| {
-            let own = MemberState {
+            let local_member = MemberState {
                 name: format!("instance-{node}"),
                 address: address(node),
                 domain: format!("domain-{}", node % 6),
@@ -82,61 +87,69 @@
                 standing: MemberLifecycle::Alive,
             };
             let seeds = (0..3).filter(|seed| *seed != node).map(address).collect();
-            GossipMachine::new(own, seeds, node as u64, Duration::ZERO)
+            GossipMachine::new(local_member, seeds, node as u64, Duration::ZERO)
         });
-        QuietNet {
+        LosslessNetwork {
             machines: machines.collect(),
-            places: (0..members).map(|node| (address(node), node)).collect(),
-            wire: Vec::new(),
+            indices_by_address: (0..members).map(|node| (address(node), node)).collect(),
+            messages_in_flight: Vec::new(),
             now: Duration::ZERO,
             messages: 0,
             bytes: 0,
-            counts: false,
+            is_counting: false,
         }
     }
 
-    fn input(&mut self, node: usize, input: GossipInput) -> anyhow::Result<()> {
+    /// Passes an input to a member's state machine and puts the messages that it
+    /// sends on the network.
+    fn step_machine(&mut self, node: usize, step_machine: GossipInput) -> anyhow::Result<()> {
         let mut out = Vec::new();
-        self.machines[node].step(self.now, input, &mut out);
+        self.machines[node].step(self.now, step_machine, &mut out);
         for action in out {
             let GossipAction::Send { to, message } = action else {
                 continue;
             };
-            if self.counts {
+            if self.is_counting {
                 let request = PeerRequest::Gossip(Box::new(message.clone()));
                 self.messages += 1;
                 self.bytes += encode(&request)?.len() as u64;
             }
-            self.wire.push((to, message));
+            self.messages_in_flight.push((to, message));
         }
         Ok(())
     }
 
+    /// Advances the clock by one step: delivers the messages in flight and wakes
+    /// the members whose timers are due.
     fn tick(&mut self) -> anyhow::Result<()> {
         self.now += TICK;
-        for (to, message) in std::mem::take(&mut self.wire) {
-            if let Some(node) = self.places.get(&to).copied() {
-                self.input(node, GossipInput::Message(message))?;
+        for (to, message) in std::mem::take(&mut self.messages_in_flight) {
+            if let Some(node) = self.indices_by_address.get(&to).copied() {
+                self.step_machine(node, GossipInput::Message(message))?;
             }
         }
         for node in 0..self.machines.len() {
             if self.machines[node].next_wake() <= self.now {
-                self.input(node, GossipInput::Wake)?;
+                self.step_machine(node, GossipInput::Wake)?;
             }
         }
         Ok(())
     }
 
-    /// Runs for a time while each server announces itself somewhere.
+    /// Runs the members for `time`. Each server announces itself to a random member
+    /// once per `ANNOUNCE_INTERVAL`.
     fn run(&mut self, time: Duration, servers: usize, rng: &mut SmallRng) -> anyhow::Result<()> {
         let until = self.now + time;
-        let ticks = RENEW_TIME.as_millis() / TICK.as_millis();
+        let ticks = ANNOUNCE_INTERVAL.as_millis() / TICK.as_millis();
         let mut tick = 0;
         while self.now < until {
             for server in (tick % ticks as usize..servers).step_by(ticks as usize) {
                 let node = rng.random_range(0..self.machines.len());
                 let sequence = self.now.as_millis() as u64;
-                self.input(node, GossipInput::Announced(news(server, sequence)))?;
+                self.step_machine(
+                    node,
+                    GossipInput::Announced(build_announcement(server, sequence)),
+                )?;
             }
             self.tick()?;
             tick += 1;
@@ -145,19 +158,20 @@
     }
 }
 
-impl QuietNet {
-    /// Runs until all know all and nothing is left to be told.
-    fn settle(&mut self, servers: usize, rng: &mut SmallRng) -> anyhow::Result<()> {
-        let until = self.now + SETTLE_TIME;
+impl LosslessNetwork {
+    /// Runs the members until they have converged: each one knows all members and
+    /// all servers and has no queued updates.
+    fn wait_until_converged(&mut self, servers: usize, rng: &mut SmallRng) -> anyhow::Result<()> {
+        let until = self.now + CONVERGENCE_TIMEOUT;
         while self.now < until {
-            self.run(RENEW_TIME, servers, rng)?;
+            self.run(ANNOUNCE_INTERVAL, servers, rng)?;
             let members = self.machines.len();
-            let is_settled = |machine: &GossipMachine| {
+            let has_converged = |machine: &GossipMachine| {
                 machine.others().count() + 1 == members
                     && machine.server_count() == servers
                     && machine.is_queue_empty()
             };
-            if self.machines.iter().all(is_settled) {
+            if self.machines.iter().all(has_converged) {
                 return Ok(());
             }
         }
@@ -165,25 +179,26 @@
     }
 }
 
-/// Measures the load of a member among others while nothing changes.
+/// Measures the gossip load of a member in a group of `members` members that know
+/// `servers` servers, while neither set changes.
 ///
 /// # Errors
 ///
-/// Fails if a message cannot be encoded, or the members do not find each
-/// other.
+/// Fails if a message cannot be encoded, or if the members do not converge within
+/// `CONVERGENCE_TIMEOUT`.
 pub fn measure_gossip(members: usize, servers: usize) -> anyhow::Result<GossipLoad> {
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut net = QuietNet::new(members);
-    net.settle(0, &mut rng)?;
-    net.settle(servers, &mut rng)?;
-    net.counts = true;
+    let mut network = LosslessNetwork::new(members);
+    network.wait_until_converged(0, &mut rng)?;
+    network.wait_until_converged(servers, &mut rng)?;
+    network.is_counting = true;
     let begin = Instant::now();
-    net.run(MEASURED_TIME, servers, &mut rng)?;
-    let spent = begin.elapsed().as_secs_f64();
-    let seconds = MEASURED_TIME.as_secs_f64() * members as f64;
+    network.run(MEASURED_TIME, servers, &mut rng)?;
+    let elapsed_s = begin.elapsed().as_secs_f64();
+    let member_seconds = MEASURED_TIME.as_secs_f64() * members as f64;
     Ok(GossipLoad {
-        messages: net.messages as f64 / seconds,
-        bytes: net.bytes as f64 / seconds,
-        core_percent: spent / seconds * 100.0,
+        messages: network.messages as f64 / member_seconds,
+        bytes: network.bytes as f64 / member_seconds,
+        core_percent: elapsed_s / member_seconds * 100.0,
     })
 }
--- a/crates/cli/tests/demo.rs
+++ b/crates/cli/tests/demo.rs
@@ -1,4 +1,5 @@
-//! The demo's checker: clean under faults, and it notices a guard that is off.
+//! Runs the demo under injected faults. The checker must find no violation with all
+//! safety checks on, and must find one when a safety check is off.
 
 use std::time::Duration;
 
@@ -9,14 +10,15 @@
 use wheelmast_fake::deployment::{kivela, lonestar, FakeDeployment};
 use wheelmast_fake::fault::{FaultKind, FAULTS};
 
+/// One demo run and the condition that its violations must meet.
 struct DemoCase {
     name: &'static str,
     deployment: fn() -> FakeDeployment,
     seconds: u64,
     faults: Vec<FaultKind>,
-    off: fn(&mut EntrySafetyChecks),
+    disable_check: fn(&mut EntrySafetyChecks),
     rate_factor: f64,
-    kills: bool,
+    should_kill: bool,
     check: fn(&ViolationCounts) -> bool,
 }
 
@@ -27,26 +29,27 @@
             deployment: kivela,
             seconds: 3,
             faults: Vec::new(),
-            off: |_| (),
+            disable_check: |_| (),
             rate_factor: 1.0,
-            kills: false,
+            should_kill: false,
             check: |counts| counts.total() == 0,
         }
     }
 }
 
+/// Runs a case and returns its report.
 fn run_case(case: &DemoCase) -> RunReport {
     let mut safety_checks = EntrySafetyChecks::default();
-    (case.off)(&mut safety_checks);
+    (case.disable_check)(&mut safety_checks);
     let plan = RunPlan {
         deployment: (case.deployment)(),
         length: Duration::from_secs(case.seconds),
         faults: case.faults.clone(),
         rate_factor: case.rate_factor,
         safety_checks,
-        kills: case.kills,
-        explains: false,
-        prints: false,
+        should_kill: case.should_kill,
+        should_explain_slowest: false,
+        should_print_progress: false,
     };
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
@@ -57,7 +60,8 @@
     report.expect(case.name)
 }
 
-/// Runs the cases two at a time, so that a small machine keeps up.
+/// Runs and checks all cases, two at a time, so that a small machine is not
+/// overloaded.
 fn check_all(cases: Vec<DemoCase>) {
     for pair in cases.chunks(2) {
         std::thread::scope(|scope| {
@@ -74,7 +78,7 @@
 }
 
 #[test]
-fn no_promise_is_broken_under_faults() {
+fn no_guarantee_is_violated_under_faults() {
     let all: Vec<FaultKind> = FAULTS.iter().map(|(_, fault)| *fault).collect();
     check_all(vec![
         DemoCase {
@@ -98,26 +102,26 @@
 }
 
 #[test]
-fn the_checker_notices_a_guard_that_is_off() {
+fn the_checker_detects_a_disabled_safety_check() {
     check_all(vec![
         DemoCase {
             name: "snapshot",
             faults: vec![FaultKind::WrongSnapshot],
-            off: |safety_checks| safety_checks.snapshot = false,
+            disable_check: |safety_checks| safety_checks.snapshot = false,
             check: |counts| counts.mixed_snapshot > 0,
             ..DemoCase::default()
         },
         DemoCase {
             name: "shard",
             faults: vec![FaultKind::WrongShard],
-            off: |safety_checks| safety_checks.shard = false,
+            disable_check: |safety_checks| safety_checks.shard = false,
             check: |counts| counts.false_coverage > 0,
             ..DemoCase::default()
         },
         DemoCase {
             name: "identity",
             faults: vec![FaultKind::Crossed],
-            off: |safety_checks| safety_checks.reply_identity = false,
+            disable_check: |safety_checks| safety_checks.reply_identity = false,
             check: |counts| counts.foreign_answer > 0,
             ..DemoCase::default()
         },
@@ -126,7 +130,7 @@
             seconds: 6,
             rate_factor: 4.0,
             faults: vec![FaultKind::Broken],
-            off: |safety_checks| safety_checks.single_run = false,
+            disable_check: |safety_checks| safety_checks.single_run = false,
             check: |counts| counts.double_run > 0,
             ..DemoCase::default()
         },
@@ -135,7 +139,7 @@
             seconds: 6,
             rate_factor: 4.0,
             faults: vec![FaultKind::Broken],
-            off: |safety_checks| safety_checks.not_run_claim = false,
+            disable_check: |safety_checks| safety_checks.not_run_claim = false,
             check: |counts| counts.false_not_run > 0,
             ..DemoCase::default()
         },
@@ -143,23 +147,25 @@
             name: "graceful leave",
             faults: vec![FaultKind::RestartEntry],
             rate_factor: 4.0,
-            kills: true,
+            should_kill: true,
             check: |counts| counts.cut_off > 0,
             ..DemoCase::default()
         },
     ]);
 }
 
-/// A server that leaves rejects its work, and each instance ejects it: for two
-/// seconds, then for four. The play lasts until both are over well before its
-/// end, so that the server is asked again while this counts.
+/// Guards against a checker that misses requests sent to a server after its leave.
+/// A leaving server rejects requests, and each instance then ejects that server: for
+/// two seconds, then for four. The run is long enough for both ejections to end well
+/// before the run does, so that instances send requests to the server again while
+/// the checker still counts them.
 #[test]
-fn the_checker_notices_work_after_leaving() {
+fn the_checker_detects_work_after_leaving() {
     check_all(vec![DemoCase {
         name: "drain",
         seconds: 12,
         faults: vec![FaultKind::Drain],
-        off: |safety_checks| safety_checks.drain = false,
+        disable_check: |safety_checks| safety_checks.drain = false,
         check: |counts| counts.work_after_leaving > 0,
         ..DemoCase::default()
     }]);
