--- a/crates/core/src/process/forward/begin.rs
+++ b/crates/core/src/process/forward/begin.rs
@@ -106,13 +106,10 @@
         let timing = self.find_or_add_timing(&rule.name);
         let workspace = workspace.zip(table.workspaces());
         let workspace = workspace.map(|(workspace, workspaces)| workspaces.rule(workspace));
-        let mut allowed_regions = self.options.regions.allowed_regions(&rule.allowed_regions);
+        let mut allowed_regions = self.options.regions.allowed_regions(&rule.homes);
         if let Some(workspace) = workspace {
-            allowed_regions = allowed_regions.intersection(
-                self.options
-                    .regions
-                    .allowed_regions(&workspace.allowed_regions),
-            );
+            allowed_regions = allowed_regions
+                .intersection(self.options.regions.allowed_regions(&workspace.homes));
         }
         let mut deadlines =
             self.timings[timing].compute_deadlines(rule, call.time_left, call.arrived_at);
--- a/crates/core/src/version/route_table.rs
+++ b/crates/core/src/version/route_table.rs
@@ -63,9 +63,9 @@
     #[serde(default)]
     pub least_coverage: f64,
     /// Regions in which the route's requests may be served; empty allows all
-    /// regions. Serialized as `homes`.
-    #[serde(default, rename = "homes")]
-    pub allowed_regions: Vec<String>,
+    /// regions.
+    #[serde(default)]
+    pub homes: Vec<String>,
     /// Whether requests of the route need no caller key.
     #[serde(default)]
     pub public: bool,
--- a/crates/core/src/version/workspace.rs
+++ b/crates/core/src/version/workspace.rs
@@ -103,9 +103,9 @@
     #[serde(default)]
     pub cap: Option<UsageCap>,
     /// Regions in which the workspace's requests may be served; empty allows all
-    /// regions. Serialized as `homes`.
-    #[serde(default, rename = "homes")]
-    pub allowed_regions: Vec<String>,
+    /// regions.
+    #[serde(default)]
+    pub homes: Vec<String>,
 }
 
 /// Deserializes a list of keys. Error messages do not quote the input, because it
--- a/crates/core/tests/forward/allowed_regions.rs
+++ b/crates/core/tests/forward/allowed_regions.rs
@@ -42,7 +42,7 @@
         ..ForwardOptions::default()
     });
     let rule = RouteRule {
-        allowed_regions: allowed_regions.iter().map(ToString::to_string).collect(),
+        homes: allowed_regions.iter().map(ToString::to_string).collect(),
         ..route("q", target)
     };
     let services: Vec<String> = rule.services().map(str::to_string).collect();
--- a/crates/core/tests/forward/harness.rs
+++ b/crates/core/tests/forward/harness.rs
@@ -43,7 +43,7 @@
         rank: 1,
         top: 3,
         least_coverage: 0.5,
-        allowed_regions: Vec::new(),
+        homes: Vec::new(),
         public: false,
     }
 }
--- a/crates/core/tests/forward/keys.rs
+++ b/crates/core/tests/forward/keys.rs
@@ -29,7 +29,7 @@
         keys: vec![CallerKey::new(*key)],
         rank: None,
         cap: None,
-        allowed_regions: if *name == "tied" {
+        homes: if *name == "tied" {
             vec!["east".to_string()]
         } else {
             Vec::new()
@@ -255,7 +255,7 @@
             ..ForwardOptions::default()
         });
         let rule = RouteRule {
-            allowed_regions: allowed_regions.iter().map(ToString::to_string).collect(),
+            homes: allowed_regions.iter().map(ToString::to_string).collect(),
             ..route("q", RouteTarget::Service("desk".into()))
         };
         harness.set_table(table_with_keys(3, vec![rule], &[(workspace, KEY)]));
--- a/crates/core/tests/workspaces.rs
+++ b/crates/core/tests/workspaces.rs
@@ -13,7 +13,7 @@
         keys: keys.iter().map(|key| CallerKey::new(*key)).collect(),
         rank: None,
         cap: None,
-        allowed_regions: Vec::new(),
+        homes: Vec::new(),
     }
 }
 
--- a/crates/fake/src/model/told.rs
+++ b/crates/fake/src/model/told.rs
@@ -56,7 +56,7 @@
         rank: kind.rank,
         top: 5,
         least_coverage: kind.least_coverage,
-        allowed_regions: Vec::new(),
+        homes: Vec::new(),
         public: false,
     }
 }
--- a/crates/wire/tests/routes_page.rs
+++ b/crates/wire/tests/routes_page.rs
@@ -15,7 +15,7 @@
     let draft = NativeDialect::read_table(text.as_bytes()).expect("the example can be parsed");
     let table = RouteTable::check(draft).expect("the example has no findings");
     let route = &table.routes()[0];
-    assert_eq!(route.allowed_regions, ["north"]);
+    assert_eq!(route.homes, ["north"]);
     assert!(matches!(&route.target, RouteTarget::Gather(names) if names.len() == 2));
     let cold: Vec<f64> = table
         .services()
